--- a/crates/bellyoke-core/src/cookie/link/sent.rs
+++ b/crates/bellyoke-core/src/cookie/link/losses.rs
@@ -23,12 +23,12 @@
 
 /// What was sent last, and which flows were heard.
 #[derive(Debug)]
-pub struct SentTable {
+pub struct LossDetector {
     data: SeenTable,
     flows: SeenTable,
 }
 
-impl Default for SentTable {
+impl Default for LossDetector {
     fn default() -> Self {
         Self {
             data: SeenTable::new(DATA_PLACES),
@@ -37,10 +37,10 @@
     }
 }
 
-impl SentTable {
+impl LossDetector {
     /// A data packet has come from its sender. Returns whether it tells that what was sent before
     /// got lost.
-    pub fn heard(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
+    pub fn record_received(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
         let paused = self.flows.seen_at(flow);
         self.flows.note(now, flow);
@@ -51,7 +51,7 @@
     }
 
     /// A data packet is sent. Returns whether it is new, as far as is remembered.
-    pub fn sent(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
+    pub fn record_sent(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let key = key_of(packet);
         let is_new = self.data.seen_at(key).is_none();
         self.data.note(now, key);
--- a/crates/bellyoke-core/src/cookie/link/mod.rs
+++ b/crates/bellyoke-core/src/cookie/link/mod.rs
@@ -8,24 +8,24 @@
 //! queue. Nothing is paced until data was lost. Short packets (openings, acknowledgements, short
 //! requests) never wait.
 
+pub mod losses;
 pub mod rate;
-pub mod sent;
 
 use crate::time::Timestamp;
+use losses::LossDetector;
 use rate::LinkRate;
-use sent::SentTable;
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// Packets of fewer bytes are never held back, and their loss tells nothing of the link.
-pub const BULK_LENGTH: usize = 1_000;
+pub const BULK_MINIMUM_BYTES: usize = 1_000;
 
 /// What may be sent at once after a pause, bytes: some full packets.
 const BURST_ALLOWANCE: f32 = 5_000.0;
 
 /// Most packets that wait. Each sender has a window of packets under way, so that these are a few
 /// windows.
-pub const MAXIMUM_HELD: usize = 256;
+pub const MAXIMUM_QUEUED_PACKETS: usize = 256;
 
 /// A packet that is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,17 +40,17 @@
 
 impl OutgoingPacket {
     const fn is_bulk(&self) -> bool {
-        self.data_sequence.is_some() && self.length >= BULK_LENGTH
+        self.data_sequence.is_some() && self.length >= BULK_MINIMUM_BYTES
     }
 }
 
 /// When a packet goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendVerdict {
+pub enum SendDecision {
     /// At once.
     Now,
-    /// The host hands it to [`LinkPacer::hold`].
-    Later,
+    /// The host hands it to [`LinkPacer::enqueue`].
+    Enqueue,
     /// Not at all: the same data waits already.
     Duplicate,
     /// Not at all: too much waits.
@@ -58,7 +58,7 @@
 }
 
 #[derive(Debug)]
-struct HeldPacket<Payload> {
+struct QueuedPacket<Payload> {
     packet: OutgoingPacket,
     payload: Payload,
 }
@@ -66,28 +66,28 @@
 /// Paces the packets of one sender. `Payload` is what the host needs to send a packet that was held.
 ///
 /// ```
-/// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendVerdict};
+/// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
 /// use bellyoke_core::time::Timestamp;
 ///
 /// let at = |milliseconds: u64| Timestamp::from_micros(milliseconds * 1_000);
 /// let bulk = |sequence| OutgoingPacket { flow_hash: 7, data_sequence: Some(sequence), length: 1_200 };
 /// let mut pacer = LinkPacer::default();
 /// for sequence in 0..16 {
-///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendVerdict::Now, "nothing was lost yet");
+///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendDecision::Now, "nothing was lost yet");
 /// }
 /// // The sender repeats what was lost: from now on a window is spread.
 /// for (milliseconds, sequence) in [(200, 12), (400, 13), (600, 14), (800, 15)] {
-///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendVerdict::Now);
+///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendDecision::Now);
 /// }
-/// let held = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendVerdict::Later);
+/// let held = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendDecision::Enqueue);
 /// assert!(held.count() > 8);
-/// # pacer.hold(bulk(20), ());
+/// # pacer.enqueue(bulk(20), ());
 /// ```
 #[derive(Debug)]
 pub struct LinkPacer<Payload> {
     rate: LinkRate,
-    sent: SentTable,
-    held: VecDeque<HeldPacket<Payload>>,
+    losses: LossDetector,
+    queue: VecDeque<QueuedPacket<Payload>>,
     /// When the link will have carried all that was sent, if it carries the learned rate.
     clear_at: Timestamp,
 }
@@ -96,8 +96,8 @@
     fn default() -> Self {
         Self {
             rate: LinkRate::default(),
-            sent: SentTable::default(),
-            held: VecDeque::new(),
+            losses: LossDetector::default(),
+            queue: VecDeque::new(),
             clear_at: Timestamp::ZERO,
         }
     }
@@ -105,32 +105,32 @@
 
 impl<Payload> LinkPacer<Payload> {
     /// Whether a packet may be sent at `now`. If so it counts as sent.
-    pub fn offer(&mut self, now: Timestamp, packet: &OutgoingPacket) -> SendVerdict {
+    pub fn offer(&mut self, now: Timestamp, packet: &OutgoingPacket) -> SendDecision {
         if !packet.is_bulk() {
             self.count(now, packet);
-            return SendVerdict::Now;
+            return SendDecision::Now;
         }
-        let lost = self.sent.heard(now, packet);
-        if self.waits(packet) {
-            return SendVerdict::Duplicate;
+        let lost = self.losses.record_received(now, packet);
+        if self.is_queued(packet) {
+            return SendDecision::Duplicate;
         }
         if lost {
-            self.rate.lost(now);
+            self.rate.record_loss(now);
         }
-        if self.held.is_empty() && self.has_room(now) {
+        if self.queue.is_empty() && self.has_room(now) {
             self.count(now, packet);
-            return SendVerdict::Now;
+            return SendDecision::Now;
         }
-        self.rate.held_back();
-        if self.held.len() >= MAXIMUM_HELD {
-            return SendVerdict::QueueFull;
+        self.rate.record_delayed();
+        if self.queue.len() >= MAXIMUM_QUEUED_PACKETS {
+            return SendDecision::QueueFull;
         }
-        SendVerdict::Later
+        SendDecision::Enqueue
     }
 
     /// Keeps a packet that goes later.
-    pub fn hold(&mut self, packet: OutgoingPacket, payload: Payload) {
-        self.held.push_back(HeldPacket { packet, payload });
+    pub fn enqueue(&mut self, packet: OutgoingPacket, payload: Payload) {
+        self.queue.push_back(QueuedPacket { packet, payload });
     }
 
     /// The next packet that may be sent at `now`. It counts as sent.
@@ -138,15 +138,15 @@
         if !self.has_room(now) {
             return None;
         }
-        let held = self.held.pop_front()?;
+        let held = self.queue.pop_front()?;
         self.count(now, &held.packet);
         Some(held.payload)
     }
 
     /// When the next packet that waits may be sent; none if none waits.
     #[must_use]
-    pub fn next_at(&self) -> Option<Timestamp> {
-        self.held.front()?;
+    pub fn next_due_at(&self) -> Option<Timestamp> {
+        self.queue.front()?;
         // Once pacing has ended, all that waits goes at once.
         let due = |allowance| self.clear_at.before(allowance);
         Some(self.allowance().map_or(Timestamp::ZERO, due))
@@ -154,8 +154,8 @@
 
     /// Packets that wait.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn queued_packets(&self) -> usize {
+        self.queue.len()
     }
 
     /// The learned rate, bytes a second; none while nothing is paced.
@@ -164,12 +164,12 @@
         self.rate.bytes_per_second()
     }
 
-    fn waits(&self, packet: &OutgoingPacket) -> bool {
-        let same = |held: &HeldPacket<Payload>| {
+    fn is_queued(&self, packet: &OutgoingPacket) -> bool {
+        let same = |held: &QueuedPacket<Payload>| {
             held.packet.flow_hash == packet.flow_hash
                 && held.packet.data_sequence == packet.data_sequence
         };
-        self.held.iter().any(same)
+        self.queue.iter().any(same)
     }
 
     /// How far ahead of the link packets may be sent; none while nothing is paced.
@@ -185,8 +185,8 @@
 
     fn count(&mut self, now: Timestamp, packet: &OutgoingPacket) {
         if packet.is_bulk() {
-            let is_new = self.sent.sent(now, packet);
-            self.rate.sent(now, packet.length, is_new);
+            let is_new = self.losses.record_sent(now, packet);
+            self.rate.record_sent(now, packet.length, is_new);
         }
         if let Some(rate) = self.rate.bytes_per_second() {
             let takes = Duration::from_secs_f32(packet.length as f32 / rate);
--- a/crates/bellyoke-core/src/cookie/link/rate.rs
+++ b/crates/bellyoke-core/src/cookie/link/rate.rs
@@ -64,24 +64,24 @@
 /// Losses for each new packet, the latest counting most. Repeated packets are left out, since a loss has many
 /// of them sent again.
 #[derive(Clone, Copy, Debug, Default)]
-struct LossShare {
+struct LossRatio {
     packets: f32,
     losses: f32,
 }
 
-impl LossShare {
+impl LossRatio {
     /// Packets after which both counts are halved.
-    const SPAN: f32 = 400.0;
+    const HALVING_PACKETS: f32 = 400.0;
 
-    fn sent(&mut self) {
+    fn record_sent(&mut self) {
         self.packets += 1.0;
-        if self.packets > Self::SPAN {
+        if self.packets > Self::HALVING_PACKETS {
             self.packets /= 2.0;
             self.losses /= 2.0;
         }
     }
 
-    fn share(&self) -> f32 {
+    fn ratio(&self) -> f32 {
         self.losses / self.packets.max(1.0)
     }
 }
@@ -91,10 +91,10 @@
 struct Pacing {
     bytes_per_second: f32,
     /// The rate at which it ends.
-    release_at: f32,
+    end_at_bytes_per_second: f32,
     /// Share of packets that were lost before.
-    share_before: f32,
-    stepped_at: Timestamp,
+    ratio_before: f32,
+    increased_at: Timestamp,
 }
 
 /// What the link carries, as far as is known.
@@ -103,12 +103,12 @@
     /// None while nothing is paced.
     pacing: Option<Pacing>,
     /// Since pacing began or ended.
-    losses: LossShare,
-    lost_at: Timestamp,
-    not_before: Timestamp,
+    losses: LossRatio,
+    last_loss_at: Timestamp,
+    retry_at: Timestamp,
     /// Trials in a row that brought nothing.
     failed_trials: u32,
-    held_back: bool,
+    was_delayed: bool,
     burst: BurstMeter,
 }
 
@@ -120,52 +120,52 @@
     }
 
     /// A data packet of so many bytes is sent, one that was not sent before if it is new.
-    pub fn sent(&mut self, now: Timestamp, length: usize, is_new: bool) {
-        self.burst.sent(now, length);
+    pub fn record_sent(&mut self, now: Timestamp, length: usize, is_new: bool) {
+        self.burst.record_sent(now, length);
         if is_new {
-            self.losses.sent();
+            self.losses.record_sent();
         }
-        self.grow(now);
+        self.increase_rate(now);
     }
 
     /// Data that was sent got lost.
-    pub fn lost(&mut self, now: Timestamp) {
-        if now.since(self.lost_at) < DECREASE_INTERVAL {
+    pub fn record_loss(&mut self, now: Timestamp) {
+        if now.since(self.last_loss_at) < DECREASE_INTERVAL {
             return;
         }
-        self.lost_at = now;
+        self.last_loss_at = now;
         self.losses.losses += 1.0;
         match self.pacing {
-            Some(pacing) => self.lower(now, pacing),
-            None => self.begin(now),
+            Some(pacing) => self.decrease_rate(now, pacing),
+            None => self.begin_pacing(now),
         }
     }
 
     /// A packet was held back for the rate.
-    pub const fn held_back(&mut self) {
-        self.held_back = true;
+    pub const fn record_delayed(&mut self) {
+        self.was_delayed = true;
     }
 
-    fn begin(&mut self, now: Timestamp) {
-        let rare = self.losses.losses < LOSSES_TO_PACE || self.losses.share() < LEAST_SHARE;
-        if rare || now < self.not_before {
+    fn begin_pacing(&mut self, now: Timestamp) {
+        let rare = self.losses.losses < LOSSES_TO_PACE || self.losses.ratio() < LEAST_SHARE;
+        if rare || now < self.retry_at {
             return;
         }
         let rate = self.burst.busiest_bytes() / FIRST_SPREAD.as_secs_f32();
         let rate = rate.max(LOWEST);
         self.pacing = Some(Pacing {
             bytes_per_second: rate,
-            release_at: rate * RELEASE,
-            share_before: self.losses.share(),
-            stepped_at: now,
+            end_at_bytes_per_second: rate * RELEASE,
+            ratio_before: self.losses.ratio(),
+            increased_at: now,
         });
-        self.losses = LossShare::default();
+        self.losses = LossRatio::default();
     }
 
-    fn lower(&mut self, now: Timestamp, mut pacing: Pacing) {
+    fn decrease_rate(&mut self, now: Timestamp, mut pacing: Pacing) {
         let judged = self.losses.losses >= LOSSES_TO_JUDGE;
-        if judged && self.losses.share() > pacing.share_before * LEAST_GAIN {
-            self.give_up(now);
+        if judged && self.losses.ratio() > pacing.ratio_before * LEAST_GAIN {
+            self.abandon_pacing(now);
             return;
         }
         pacing.bytes_per_second = (pacing.bytes_per_second * DECREASE).max(LOWEST);
@@ -173,42 +173,45 @@
     }
 
     /// Pacing makes losses no rarer: they aren't the link's.
-    fn give_up(&mut self, now: Timestamp) {
+    fn abandon_pacing(&mut self, now: Timestamp) {
         let doublings = self.failed_trials.min(MOST_DOUBLINGS);
-        self.not_before = now.after(HOLD_OFF * (1 << doublings));
+        self.retry_at = now.after(HOLD_OFF * (1 << doublings));
         self.failed_trials += 1;
-        self.end();
+        self.end_pacing();
     }
 
-    fn grow(&mut self, now: Timestamp) {
+    fn increase_rate(&mut self, now: Timestamp) {
         let Some(mut pacing) = self.pacing else {
             return;
         };
-        let passed = now.since(pacing.stepped_at);
+        let passed = now.since(pacing.increased_at);
         if passed < INCREASE_INTERVAL {
             return;
         }
-        let steps = match (std::mem::take(&mut self.held_back), now.since(self.lost_at)) {
+        let steps = match (
+            std::mem::take(&mut self.was_delayed),
+            now.since(self.last_loss_at),
+        ) {
             (true, _) => 1,
-            (false, quiet) if quiet >= QUIET => steps_in(passed),
+            (false, quiet) if quiet >= QUIET => elapsed_steps(passed),
             (false, _) => 0,
         };
-        pacing.stepped_at = now;
+        pacing.increased_at = now;
         pacing.bytes_per_second *= INCREASE.powi(steps);
         self.pacing = Some(pacing);
-        if pacing.bytes_per_second >= pacing.release_at {
+        if pacing.bytes_per_second >= pacing.end_at_bytes_per_second {
             self.failed_trials = 0;
-            self.end();
+            self.end_pacing();
         }
     }
 
-    fn end(&mut self) {
+    fn end_pacing(&mut self) {
         self.pacing = None;
-        self.losses = LossShare::default();
+        self.losses = LossRatio::default();
     }
 }
 
-fn steps_in(passed: Duration) -> i32 {
+fn elapsed_steps(passed: Duration) -> i32 {
     let steps = passed.as_millis() / INCREASE_INTERVAL.as_millis();
     let steps = u32::try_from(steps).unwrap_or(MOST_STEPS).min(MOST_STEPS);
     i32::try_from(steps).unwrap_or_default()
@@ -223,7 +226,7 @@
 }
 
 impl BurstMeter {
-    fn sent(&mut self, now: Timestamp, length: usize) {
+    fn record_sent(&mut self, now: Timestamp, length: usize) {
         if now.since(self.window_start) >= BURST_WINDOW {
             self.busiest_bytes = self.window_bytes.max(self.busiest_bytes * BURST_DECAY);
             self.window_start = now;
--- a/crates/bellyoke-core/tests/cookie/link.rs
+++ b/crates/bellyoke-core/tests/cookie/link.rs
@@ -2,7 +2,9 @@
 //! window that repeat what is not acknowledged.
 
 use crate::support::at;
-use bellyoke_core::cookie::link::{LinkPacer, MAXIMUM_HELD, OutgoingPacket, SendVerdict};
+use bellyoke_core::cookie::link::{
+    LinkPacer, MAXIMUM_QUEUED_PACKETS, OutgoingPacket, SendDecision,
+};
 use bellyoke_core::time::Timestamp;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -162,15 +164,15 @@
                 let packet = bulk(upload.flow, sequence);
                 let verdict = match paced {
                     true => pacer.offer(at(now), &packet),
-                    false => SendVerdict::Now,
+                    false => SendDecision::Now,
                 };
                 match verdict {
-                    SendVerdict::Now => goes.push((upload.flow, sequence)),
-                    SendVerdict::Later => {
+                    SendDecision::Now => goes.push((upload.flow, sequence)),
+                    SendDecision::Enqueue => {
                         outcome.held += 1;
-                        pacer.hold(packet, (upload.flow, sequence));
+                        pacer.enqueue(packet, (upload.flow, sequence));
                     }
-                    SendVerdict::Duplicate | SendVerdict::QueueFull => {}
+                    SendDecision::Duplicate | SendDecision::QueueFull => {}
                 }
             }
         }
@@ -256,11 +258,11 @@
 fn paced_after(packets: u32) -> LinkPacer<u32> {
     let mut pacer = LinkPacer::default();
     for sequence in 0..packets {
-        assert_eq!(pacer.offer(at(0), &bulk(1, sequence)), SendVerdict::Now);
+        assert_eq!(pacer.offer(at(0), &bulk(1, sequence)), SendDecision::Now);
     }
     for (milliseconds, sequence) in [(200, 9), (400, 10), (600, 11), (800, 12)] {
         let verdict = pacer.offer(at(milliseconds), &bulk(1, sequence));
-        assert_eq!(verdict, SendVerdict::Now);
+        assert_eq!(verdict, SendDecision::Now);
     }
     assert!(pacer.bytes_per_second().is_some());
     pacer
@@ -275,8 +277,8 @@
     let mut held = 0;
     for sequence in 100..100 + WINDOW {
         let packet = bulk(flow, sequence);
-        if pacer.offer(now, &packet) == SendVerdict::Later {
-            pacer.hold(packet, sequence);
+        if pacer.offer(now, &packet) == SendDecision::Enqueue {
+            pacer.enqueue(packet, sequence);
             held += 1;
         }
     }
@@ -287,7 +289,7 @@
 fn data_that_comes_again_soon_is_no_loss() {
     let mut pacer = LinkPacer::<()>::default();
     for now in [0, 1, 100] {
-        assert_eq!(pacer.offer(at(now), &bulk(1, 5)), SendVerdict::Now);
+        assert_eq!(pacer.offer(at(now), &bulk(1, 5)), SendDecision::Now);
     }
     assert_eq!(pacer.bytes_per_second(), None);
 }
@@ -307,7 +309,7 @@
         ..acknowledgement
     };
     for packet in [acknowledgement, request] {
-        assert_eq!(pacer.offer(at(810), &packet), SendVerdict::Now);
+        assert_eq!(pacer.offer(at(810), &packet), SendDecision::Now);
     }
 }
 
@@ -316,7 +318,7 @@
     let mut pacer = paced();
     offer_window(&mut pacer, at(810), 1);
     let last = bulk(1, 100 + WINDOW - 1);
-    assert_eq!(pacer.offer(at(1_020), &last), SendVerdict::Duplicate);
+    assert_eq!(pacer.offer(at(1_020), &last), SendDecision::Duplicate);
 }
 
 /// Losses that pacing doesn't make rarer end it, whatever waits then.
@@ -329,14 +331,18 @@
         for millisecond in now - 700..now {
             while pacer.next_due(at(millisecond)).is_some() {}
         }
-        assert_eq!(pacer.offer(at(now), &bulk(now, 7)), SendVerdict::Now);
+        assert_eq!(pacer.offer(at(now), &bulk(now, 7)), SendDecision::Now);
         offer_window(&mut pacer, at(now + 200), now + 1);
         // The first copy was lost.
         pacer.offer(at(now + 200), &bulk(now, 7));
         now += 1_000;
     }
-    assert!(pacer.held() > 0);
-    assert!(pacer.next_at().is_some_and(|next_at| next_at <= at(now)));
+    assert!(pacer.queued_packets() > 0);
+    assert!(
+        pacer
+            .next_due_at()
+            .is_some_and(|next_at| next_at <= at(now))
+    );
 }
 
 #[test]
@@ -345,17 +351,17 @@
     for flow in 0..40 {
         offer_window(&mut pacer, at(810), flow);
     }
-    assert_eq!(pacer.held(), MAXIMUM_HELD);
+    assert_eq!(pacer.queued_packets(), MAXIMUM_QUEUED_PACKETS);
     let mut sent = Vec::new();
     let mut now = at(810);
-    while let Some(next_at) = pacer.next_at() {
+    while let Some(next_at) = pacer.next_due_at() {
         assert!(next_at > now, "nothing is due that was not sent");
         now = next_at.after(std::time::Duration::from_micros(1));
         while let Some(sequence) = pacer.next_due(now) {
             sent.push(sequence);
         }
     }
-    assert_eq!(sent.len(), MAXIMUM_HELD);
+    assert_eq!(sent.len(), MAXIMUM_QUEUED_PACKETS);
     assert!(
         sent[..8].is_sorted(),
         "the first flow's window in its order"
--- a/crates/bellyoke-node/src/packet/sender.rs
+++ b/crates/bellyoke-node/src/packet/sender.rs
@@ -1,6 +1,6 @@
 //! Sends packets to instances, at once or when the node's link has room.
 
-use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendVerdict};
+use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
 use bellyoke_core::cookie::packet::{Destination, FlowPacket};
 use bellyoke_core::time::Timestamp;
 use std::io;
@@ -68,19 +68,19 @@
             length: datagram.len(),
         };
         match self.pacer.offer(now, &outgoing) {
-            SendVerdict::Now => {
+            SendDecision::Now => {
                 self.send(datagram, destination.address)?;
                 return Ok(SendOutcome::Sent);
             }
-            SendVerdict::Duplicate => return Ok(SendOutcome::Duplicate),
-            SendVerdict::QueueFull => return Ok(SendOutcome::QueueFull),
-            SendVerdict::Later => {}
+            SendDecision::Duplicate => return Ok(SendOutcome::Duplicate),
+            SendDecision::QueueFull => return Ok(SendOutcome::QueueFull),
+            SendDecision::Enqueue => {}
         }
         let held = HeldDatagram {
             bytes: datagram.into(),
             address: destination.address,
         };
-        self.pacer.hold(outgoing, held);
+        self.pacer.enqueue(outgoing, held);
         Ok(SendOutcome::Held)
     }
 
@@ -109,13 +109,13 @@
     /// When the next datagram that was held back may go; none if none was.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
-        self.pacer.next_at()
+        self.pacer.next_due_at()
     }
 
     /// Datagrams that wait.
     #[must_use]
     pub fn held(&self) -> usize {
-        self.pacer.held()
+        self.pacer.queued_packets()
     }
 
     /// The learned rate of the link, bytes a second; none while nothing is paced.
