--- a/crates/bellyoke-core/src/cookie/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/capacity.rs
@@ -59,7 +59,7 @@
     /// };
     /// let thin = MachineCapacity { link_mbps: Some(10.0), ..large };
     /// assert!(large.class() > thin.class());
-    /// assert_eq!(MachineCapacity::default().class(), CapacityClass::LEAST);
+    /// assert_eq!(MachineCapacity::default().class(), CapacityClass::SMALLEST);
     /// ```
     #[must_use]
     pub fn class(self) -> CapacityClass {
@@ -69,7 +69,7 @@
             level(self.link_mbps, UNIT_LINK_MBPS),
         ];
         let scarcest = levels.into_iter().min().unwrap_or_default();
-        CapacityClass::new(CapacityClass::LEAST.0 + scarcest)
+        CapacityClass::new(CapacityClass::SMALLEST.0 + scarcest)
     }
 }
 
@@ -90,7 +90,7 @@
 
 impl Default for CapacityClass {
     fn default() -> Self {
-        Self::LEAST
+        Self::SMALLEST
     }
 }
 
@@ -98,17 +98,17 @@
     /// How many times as much as the least of machines.
     #[must_use]
     pub fn relative_weight(self) -> f64 {
-        f64::from(self.weight()) / f64::from(Self::LEAST.weight())
+        f64::from(self.weight()) / f64::from(Self::SMALLEST.weight())
     }
 
     /// Too busy for more at the moment, whatever the machine has.
     pub const BUSY: Self = Self(0);
 
     /// Less than a unit of something, or not told.
-    pub const LEAST: Self = Self(1);
+    pub const SMALLEST: Self = Self(1);
 
     /// The largest.
-    pub const LARGEST: Self = Self(Self::LEAST.0 + HIGHEST_LEVEL);
+    pub const LARGEST: Self = Self(Self::SMALLEST.0 + HIGHEST_LEVEL);
 
     /// The class of a number; larger ones are the largest.
     #[must_use]
@@ -183,22 +183,22 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BusyDetector {
-    last_tick: Option<Timestamp>,
-    last_late: Option<Timestamp>,
+    last_tick_at: Option<Timestamp>,
+    last_late_at: Option<Timestamp>,
     late_ticks: u32,
 }
 
 impl BusyDetector {
     /// A tick. One so late that the process stood still counts as many.
     pub fn tick(&mut self, now: Timestamp) {
-        let gap = self.last_tick.replace(now).map(|last| now.since(last));
+        let gap = self.last_tick_at.replace(now).map(|last| now.since(last));
         let Some(gap) = gap.filter(|gap| *gap > LATE_TICK) else {
             return;
         };
-        if !self.was_late_of_late(now) {
+        if !self.was_late_recently(now) {
             self.late_ticks = 0;
         }
-        self.last_late = Some(now);
+        self.last_late_at = Some(now);
         let count = if gap > STALL_THRESHOLD { LATE_TICKS } else { 1 };
         self.late_ticks = self.late_ticks.saturating_add(count);
     }
@@ -206,10 +206,10 @@
     /// Whether several ticks of late were late.
     #[must_use]
     pub fn is_busy(&self, now: Timestamp) -> bool {
-        self.late_ticks >= LATE_TICKS && self.was_late_of_late(now)
+        self.late_ticks >= LATE_TICKS && self.was_late_recently(now)
     }
 
-    fn was_late_of_late(&self, now: Timestamp) -> bool {
-        self.last_late.is_some_and(|late| now.since(late) < CALM)
+    fn was_late_recently(&self, now: Timestamp) -> bool {
+        self.last_late_at.is_some_and(|late| now.since(late) < CALM)
     }
 }
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -328,7 +328,7 @@
 /// Who hears of a death late goes on sending there, and who hears late that an instance lives ends its flows.
 #[test]
 fn findings_questions_and_objections_go_to_another_zone_each_time() {
-    let class = CapacityClass::LEAST;
+    let class = CapacityClass::SMALLEST;
     let cookie = Cookie::of(InstanceId(7));
     for seed in 0..20 {
         let mut exchange = lone_exchange(seed);
@@ -368,7 +368,7 @@
 
 #[test]
 fn the_own_zone_is_asked_first_and_others_when_it_fails() {
-    let class = CapacityClass::LEAST;
+    let class = CapacityClass::SMALLEST;
     for seed in 0..20 {
         let peers = [(1, 7, class), (2, 0, class), (3, 8, class)];
         let sources = sources(seed, &peers);
@@ -381,7 +381,7 @@
 fn larger_machines_are_asked_for_snapshots_by_what_they_bear() {
     let large = CapacityClass::new(4);
     let peers = [
-        (1, 0, CapacityClass::LEAST),
+        (1, 0, CapacityClass::SMALLEST),
         (2, 0, large),
         (3, 0, CapacityClass::BUSY),
     ];
@@ -403,7 +403,7 @@
     let mut exchange = lone_exchange(1);
     let own = Versions::default();
     let mut hear = |number: usize, zone: u16| {
-        let heartbeat = heartbeat_of(zone, CapacityClass::LEAST, 0);
+        let heartbeat = heartbeat_of(zone, CapacityClass::SMALLEST, 0);
         let now = at(10_000 + number as u64);
         exchange.heartbeat(now, address(number), &heartbeat, own, |_| false);
     };
@@ -437,13 +437,13 @@
         machine(0.084, 112.0, 10.0),
         machine(16.0, 16_000.0, 10.0),
     ];
-    assert_eq!(small, [CapacityClass::LEAST; 3]);
-    assert!(large > CapacityClass::LEAST && CapacityClass::LEAST > CapacityClass::BUSY);
+    assert_eq!(small, [CapacityClass::SMALLEST; 3]);
+    assert!(large > CapacityClass::SMALLEST && CapacityClass::SMALLEST > CapacityClass::BUSY);
     assert_eq!(machine(1e9, 1e9, 1e9), CapacityClass::LARGEST);
     let unknown = MachineCapacity {
         link_mbps: None,
         cores: Some(64.0),
         memory_mb: Some(64_000.0),
     };
-    assert_eq!(unknown.class(), CapacityClass::LEAST);
+    assert_eq!(unknown.class(), CapacityClass::SMALLEST);
 }
--- a/crates/bellyoke-lab/src/cookie/scenario.rs
+++ b/crates/bellyoke-lab/src/cookie/scenario.rs
@@ -244,7 +244,7 @@
         let class = if node < self.large_nodes {
             CapacityClass::LARGEST
         } else {
-            CapacityClass::LEAST
+            CapacityClass::SMALLEST
         };
         NodePlace {
             zone: ZoneKey::of(&zone_name(node % self.node_zones.max(1))),
