--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -14,8 +14,8 @@
 //! nothing is refused.
 
 pub mod budget;
+pub mod queueing;
 pub mod service;
-pub mod signs;
 
 use crate::cookie::answers::{AnswerFate, AnswerSample};
 use crate::cookie::instance::Cookie;
@@ -24,8 +24,8 @@
 use crate::cookie::seen::SeenTable;
 use crate::cookie::table::{ForwardingTable, ServiceNumber};
 use crate::time::Timestamp;
-use service::ServiceGate;
-use signs::QueueCount;
+use queueing::QueueingCount;
+use service::ServiceAdmission;
 use std::time::Duration;
 
 /// Flows whose verdict is remembered, 16 bytes each: more than a node opens while a client sends copies.
@@ -70,7 +70,7 @@
     /// Rank of the requests; 0 goes first.
     pub priority: u8,
     /// Whether they may be sent again once they may have run.
-    pub may_repeat: bool,
+    pub may_retry: bool,
 }
 
 impl RequestClass {
@@ -79,7 +79,7 @@
     pub const fn of(terms: &RouteTerms) -> Self {
         Self {
             priority: terms.priority,
-            may_repeat: terms.kind.may_repeat(),
+            may_retry: terms.kind.may_repeat(),
         }
     }
 }
@@ -100,28 +100,28 @@
     /// Share of the requests that was lost of late.
     pub lost_share: f32,
     /// The instances that were sampled of late.
-    pub queues: QueueCount,
+    pub queues: QueueingCount,
 }
 
 /// Decides which openings a traffic thread admits.
 ///
 /// ```
-/// use bellyoke_core::cookie::admission::{AdmissionGate, AdmissionSettings};
+/// use bellyoke_core::cookie::admission::{AdmissionController, AdmissionSettings};
 ///
-/// let gate = AdmissionGate::new(AdmissionSettings::default());
+/// let gate = AdmissionController::new(AdmissionSettings::default());
 /// assert_eq!(gate.admitted_shares().count(), 0, "nothing is known of any service");
 /// ```
 #[derive(Debug)]
-pub struct AdmissionGate {
+pub struct AdmissionController {
     settings: AdmissionSettings,
     /// By service number, with the name that the number had.
-    services: Vec<(String, ServiceGate)>,
+    services: Vec<(String, ServiceAdmission)>,
     configuration_version: u64,
     refused: SeenTable,
     admitted: SeenTable,
 }
 
-impl AdmissionGate {
+impl AdmissionController {
     /// A gate that knows of no load.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
@@ -152,11 +152,11 @@
             return verdict;
         }
         let settings = self.settings;
-        let Some(gate) = self.gate(table, service) else {
+        let Some(gate) = self.service_mut(table, service) else {
             return true;
         };
         let class = RequestClass::of(terms);
-        let admitted = gate.offer(now, &settings, packet.flow.service, class);
+        let admitted = gate.admit(now, &settings, packet.flow.service, class);
         let verdicts = if admitted {
             &mut self.admitted
         } else {
@@ -167,15 +167,20 @@
     }
 
     /// Takes what became of a request.
-    pub fn answered(&mut self, now: Timestamp, table: &ForwardingTable, sample: &AnswerSample) {
+    pub fn record_answer(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+        sample: &AnswerSample,
+    ) {
         let settings = self.settings;
-        if let Some(gate) = self.gate(table, sample.service) {
-            gate.answered(now, &settings, sample);
+        if let Some(gate) = self.service_mut(table, sample.service) {
+            gate.record_answer(now, &settings, sample);
         }
     }
 
     /// Takes the instances at which openings came to nothing for `waited`.
-    pub fn openings_failed(
+    pub fn record_failed_openings(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
@@ -195,7 +200,7 @@
                 priority: 0,
                 fate: AnswerFate::Unanswered { waited },
             };
-            self.answered(now, table, &sample);
+            self.record_answer(now, table, &sample);
         }
     }
 
@@ -203,7 +208,7 @@
     pub fn review(&mut self, now: Timestamp) -> Vec<AdmissionChange> {
         let mut changes = Vec::new();
         for (name, gate) in &mut self.services {
-            gate.turn(now, &self.settings);
+            gate.roll_window(now, &self.settings);
             changes.extend(gate.take_change(name));
         }
         changes
@@ -232,11 +237,11 @@
         (attempt > 0).then_some(true)
     }
 
-    fn gate(
+    fn service_mut(
         &mut self,
         table: &ForwardingTable,
         service: ServiceNumber,
-    ) -> Option<&mut ServiceGate> {
+    ) -> Option<&mut ServiceAdmission> {
         self.adopt(table);
         let index = usize::try_from(service.0).ok()?;
         self.services.get_mut(index).map(|(_, gate)| gate)
@@ -252,7 +257,7 @@
         let renumbered = table.services().iter().map(|name| {
             let index = held.iter().position(|(known, _)| known == name);
             index.map_or_else(
-                || (name.clone(), ServiceGate::default()),
+                || (name.clone(), ServiceAdmission::default()),
                 |index| held.swap_remove(index),
             )
         });
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -60,7 +60,7 @@
     /// Whether what became of a request shows what the budget does: not before queues have drained, nor if it was
     /// given up that was asked before.
     #[must_use]
-    pub fn is_told_by(&self, now: Timestamp, fate: &AnswerFate) -> bool {
+    pub fn is_reflected_in(&self, now: Timestamp, fate: &AnswerFate) -> bool {
         match *fate {
             AnswerFate::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
             AnswerFate::Answered { .. } | AnswerFate::Short { .. } => {
@@ -81,7 +81,7 @@
     }
 
     /// Takes what was offered in a window, and returns whether overload is over.
-    pub fn is_over(&mut self, offered: f32) -> bool {
+    pub fn record_offered_rate(&mut self, offered: f32) -> bool {
         let fits = offered <= self.per_second;
         self.calm_windows = if fits { self.calm_windows + 1 } else { 0 };
         self.calm_windows >= CALM_WINDOWS
--- a/crates/bellyoke-core/src/cookie/admission/signs.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -49,24 +49,24 @@
 
 /// How long answers take in calm, seconds, and from how many samples that is known.
 #[derive(Clone, Copy, Debug)]
-struct CalmTime {
+struct Baseline {
     seconds: f32,
     samples: u32,
 }
 
 /// Instances by whether they queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct QueueCount {
+pub struct QueueingCount {
     /// Instances of which something was seen of late.
     pub sampled: usize,
     /// How many of them queue, or don't answer.
     pub queueing: usize,
 }
 
-impl QueueCount {
+impl QueueingCount {
     /// Whether most instances queue; `is_overloaded` tells whether they did before.
     #[must_use]
-    pub fn is_broad(&self, is_overloaded: bool) -> bool {
+    pub fn is_widespread(&self, is_overloaded: bool) -> bool {
         let most = if is_overloaded { MOST_STILL } else { MOST };
         self.sampled >= LEAST_SAMPLED && self.queueing as f32 >= self.sampled as f32 * most
     }
@@ -75,27 +75,27 @@
 /// What the answers of a service's instances tell of their queues.
 ///
 /// ```
-/// use bellyoke_core::cookie::admission::signs::QueueSigns;
+/// use bellyoke_core::cookie::admission::queueing::QueueDetector;
 /// use std::time::Duration;
 ///
-/// let mut signs = QueueSigns::default();
-/// assert!(!signs.is_long(0, Duration::from_secs(9)), "nothing is known of calm");
+/// let mut detector = QueueDetector::default();
+/// assert!(!detector.is_long(0, Duration::from_secs(9)), "nothing is known of calm");
 /// for _ in 0..20 {
-///     signs.learn_calm(0, Duration::from_millis(40));
+///     detector.learn_baseline(0, Duration::from_millis(40));
 /// }
-/// assert!(!signs.is_long(0, Duration::from_millis(50)));
-/// assert!(signs.is_long(0, Duration::from_millis(90)));
+/// assert!(!detector.is_long(0, Duration::from_millis(50)));
+/// assert!(detector.is_long(0, Duration::from_millis(90)));
 /// ```
 #[derive(Debug, Default)]
-pub struct QueueSigns {
+pub struct QueueDetector {
     sampled: Vec<InstanceSample>,
     /// By priority.
-    calm: BTreeMap<u8, CalmTime>,
+    calm: BTreeMap<u8, Baseline>,
 }
 
-impl QueueSigns {
+impl QueueDetector {
     /// Notes whether an instance queues.
-    pub fn note(&mut self, now: Timestamp, cookie: Cookie, queues: bool) {
+    pub fn record(&mut self, now: Timestamp, cookie: Cookie, queues: bool) {
         let new = InstanceSample {
             cookie,
             at: now,
@@ -135,7 +135,7 @@
 
     /// The instances of which something was seen of late, and how many of them queue.
     #[must_use]
-    pub fn count(&self, now: Timestamp) -> QueueCount {
+    pub fn count(&self, now: Timestamp) -> QueueingCount {
         let sampled = self.sampled.iter();
         let sampled = sampled.filter(|sample| now.since(sample.at) < SAMPLE_LIFETIME);
         let (mut count, mut queueing) = (0, 0);
@@ -143,7 +143,7 @@
             count += 1;
             queueing += usize::from(sample.queues);
         }
-        QueueCount {
+        QueueingCount {
             sampled: count,
             queueing,
         }
@@ -158,10 +158,10 @@
     }
 
     /// Moves the calm time of a priority towards the median of its answers; what is long moves it half as much.
-    pub fn learn_calm(&mut self, priority: u8, after: Duration) {
+    pub fn learn_baseline(&mut self, priority: u8, after: Duration) {
         let is_long = self.is_long(priority, after);
         let seconds = after.as_secs_f32();
-        let calm = self.calm.entry(priority).or_insert(CalmTime {
+        let calm = self.calm.entry(priority).or_insert(Baseline {
             seconds,
             samples: 0,
         });
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -10,7 +10,7 @@
 //! what is offered fits the budget nothing is refused.
 
 use super::budget::OpeningBudget;
-use super::signs::{QueueCount, QueueSigns};
+use super::queueing::{QueueDetector, QueueingCount};
 use super::{AdmissionChange, AdmissionSettings, RequestClass};
 use crate::cookie::answers::{AnswerFate, AnswerSample};
 use crate::time::Timestamp;
@@ -63,7 +63,7 @@
 
 /// The load of one service, as one traffic thread sees it.
 #[derive(Debug, Default)]
-pub struct ServiceGate {
+pub struct ServiceAdmission {
     began: Timestamp,
     /// In the order of admission.
     classes: Vec<ClassMeter>,
@@ -81,24 +81,24 @@
     /// How many of them were queued for.
     queued: u32,
     lost_share: f32,
-    signs: QueueSigns,
+    queue_detector: QueueDetector,
     /// What they told at the end of the last window.
-    queues: QueueCount,
+    queues: QueueingCount,
     /// What is admitted; none unless the service is overloaded.
     budget: Option<OpeningBudget>,
     change: Option<bool>,
 }
 
-impl ServiceGate {
+impl ServiceAdmission {
     /// Counts an opening, and returns whether it is admitted.
-    pub fn offer(
+    pub fn admit(
         &mut self,
         now: Timestamp,
         settings: &AdmissionSettings,
         route: SocketAddrV4,
         class: RequestClass,
     ) -> bool {
-        self.turn(now, settings);
+        self.roll_window(now, settings);
         let is_refusable = self.count_route(route);
         let meter = self.meter(class);
         meter.count += 1;
@@ -114,38 +114,38 @@
     }
 
     /// Takes what became of a request.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Timestamp,
         settings: &AdmissionSettings,
         sample: &AnswerSample,
     ) {
-        self.turn(now, settings);
+        self.roll_window(now, settings);
         let queues = match sample.fate {
             AnswerFate::Answered { after, .. } => {
-                let queues = self.signs.is_long(sample.priority, after);
+                let queues = self.queue_detector.is_long(sample.priority, after);
                 if self.budget.is_none() {
-                    self.signs.learn_calm(sample.priority, after);
+                    self.queue_detector.learn_baseline(sample.priority, after);
                 }
                 Some(queues)
             }
             // One that turns away at once is known to queue by its answers; an error of another is no sign of load.
             AnswerFate::Short { after } => {
-                let queues = self.signs.is_long(sample.priority, after);
-                if !queues && !self.signs.has_queued(now, sample.cookie) {
+                let queues = self.queue_detector.is_long(sample.priority, after);
+                if !queues && !self.queue_detector.has_queued(now, sample.cookie) {
                     return;
                 }
                 queues.then_some(true)
             }
             // Who waits for long at an instance that queues waits in its queue. Another one may have died.
-            AnswerFate::Unanswered { .. } if self.signs.has_queued(now, sample.cookie) => {
+            AnswerFate::Unanswered { .. } if self.queue_detector.has_queued(now, sample.cookie) => {
                 Some(true)
             }
             AnswerFate::Unanswered { .. } => return,
         };
         self.count_answer(now, &sample.fate, queues == Some(true));
         if let Some(queues) = queues {
-            self.signs.note(now, sample.cookie, queues);
+            self.queue_detector.record(now, sample.cookie, queues);
         }
     }
 
@@ -153,7 +153,7 @@
         let is_served = matches!(fate, AnswerFate::Answered { .. });
         self.served += u32::from(is_served);
         let budget = self.budget.as_ref();
-        if budget.is_some_and(|budget| !budget.is_told_by(now, fate)) {
+        if budget.is_some_and(|budget| !budget.is_reflected_in(now, fate)) {
             return;
         }
         self.queued += u32::from(is_queued);
@@ -165,21 +165,21 @@
     }
 
     /// Begins a new window if the last one is over.
-    pub fn turn(&mut self, now: Timestamp, settings: &AdmissionSettings) {
+    pub fn roll_window(&mut self, now: Timestamp, settings: &AdmissionSettings) {
         let elapsed = now.since(self.began);
         if elapsed < WINDOW {
             return;
         }
         self.began = now;
         if elapsed.as_millis() >= WINDOW.as_millis() * FORGET_WINDOWS {
-            self.forget_load();
+            self.reset_load();
             return;
         }
         self.count_window(elapsed.as_secs_f32());
-        self.signs.expire(now);
-        self.queues = self.signs.count(now);
-        self.judge(now, settings);
-        self.share_out();
+        self.queue_detector.expire(now);
+        self.queues = self.queue_detector.count(now);
+        self.update_budget(now, settings);
+        self.distribute_budget();
     }
 
     /// The change since the last call, if there is one.
@@ -221,7 +221,7 @@
         self.served = 0;
     }
 
-    fn judge(&mut self, now: Timestamp, settings: &AdmissionSettings) {
+    fn update_budget(&mut self, now: Timestamp, settings: &AdmissionSettings) {
         let samples = self.answered + self.lost;
         let is_enough = samples >= LEAST_SAMPLES;
         if is_enough {
@@ -234,8 +234,8 @@
             self.queued = 0;
         }
         // Losses without queues have another cause, which isn't mended by admitting less.
-        let is_broad = self.queues.is_broad(self.budget.is_some());
-        let lost_share = if is_broad { self.lost_share } else { 0.0 };
+        let is_widespread = self.queues.is_widespread(self.budget.is_some());
+        let lost_share = if is_widespread { self.lost_share } else { 0.0 };
         let excess = lost_share - settings.lost_share;
         let (offered, offered_last) = (self.offered(), self.offered_last);
         let Some(budget) = &mut self.budget else {
@@ -249,7 +249,7 @@
         if is_enough {
             budget.adjust(now, excess, queued_share);
         }
-        if budget.is_over(offered_last) {
+        if budget.record_offered_rate(offered_last) {
             self.budget = None;
             self.change = Some(false);
         }
@@ -257,7 +257,7 @@
 
     /// Gives the budget to the classes in their order. If all that was offered in the last window fits, nothing
     /// is refused in the next.
-    fn share_out(&mut self) {
+    fn distribute_budget(&mut self) {
         let budget = self.budget.as_ref().map(OpeningBudget::per_second);
         let budget = budget.filter(|budget| self.offered_last > *budget);
         let mut left = budget.unwrap_or(f32::INFINITY);
@@ -271,11 +271,11 @@
         }
     }
 
-    fn forget_load(&mut self) {
+    fn reset_load(&mut self) {
         self.change = self.budget.take().map(|_| false);
         self.classes.clear();
         self.routes.clear();
-        self.signs.forget_instances();
+        self.queue_detector.forget_instances();
         self.answered = 0;
         self.lost = 0;
         self.queued = 0;
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -4,7 +4,7 @@
 mod following;
 mod placing;
 
-use crate::cookie::admission::{AdmissionChange, AdmissionGate, AdmissionSettings};
+use crate::cookie::admission::{AdmissionChange, AdmissionController, AdmissionSettings};
 use crate::cookie::answers::AnswerMonitor;
 use crate::cookie::cold::ColdLimiter;
 use crate::cookie::ends::FlowEnds;
@@ -12,7 +12,7 @@
 use crate::cookie::health::{HealthChange, HealthSettings, OpeningMonitor};
 use crate::cookie::instance::Cookie;
 use crate::cookie::load::LoadMeter;
-use crate::cookie::locality::{ShareChange, ZonePlacements, ZonePreference, imbalance};
+use crate::cookie::locality::{SpillChange, ZonePlacements, ZonePreference, imbalance};
 use crate::cookie::outliers::{InstanceTally, TallyBook};
 use crate::cookie::packet::{Destination, FlowPacket, PacketRole};
 use crate::cookie::placement::Suitability;
@@ -137,7 +137,7 @@
     /// Instances whose answers fail, unlike those of others.
     outliers: BTreeSet<Cookie>,
     zones: ZonePreference,
-    admission: AdmissionGate,
+    admission: AdmissionController,
     /// The restarts that are taken account of, as the table tells them.
     restarted: Vec<(Cookie, u64)>,
 }
@@ -166,7 +166,7 @@
             tallies: TallyBook::default(),
             outliers: BTreeSet::new(),
             zones: ZonePreference::new(""),
-            admission: AdmissionGate::new(AdmissionSettings::default()),
+            admission: AdmissionController::new(AdmissionSettings::default()),
             restarted: Vec::new(),
         }
     }
@@ -192,7 +192,7 @@
     #[must_use]
     pub fn with_admission(self, settings: AdmissionSettings) -> Self {
         Self {
-            admission: AdmissionGate::new(settings),
+            admission: AdmissionController::new(settings),
             ..self
         }
     }
@@ -211,7 +211,7 @@
 
     /// How many nodes there are about; zero if that isn't known.
     pub fn set_estimated_nodes(&mut self, nodes: u64) {
-        self.zones.set_nodes(nodes);
+        self.zones.set_node_count(nodes);
     }
 
     /// What to do with a packet that was read at `now`; `backlog` tells whether it may have
@@ -241,7 +241,8 @@
             self.monitor.failed_of_late(),
             self.monitor.opening_timeout(),
         );
-        self.admission.openings_failed(now, table, failed, waited);
+        self.admission
+            .record_failed_openings(now, table, failed, waited);
         let is_known = |cookie| table.destination(cookie).is_some();
         self.monitor.retain(is_known);
         let judged = self.answers.review(now, table, &mut self.flows);
@@ -273,7 +274,7 @@
     }
 
     /// Adapts which zones new flows go to, and returns the shares that changed notably.
-    pub fn review_zones(&mut self, now: Timestamp) -> Vec<ShareChange> {
+    pub fn review_zones(&mut self, now: Timestamp) -> Vec<SpillChange> {
         self.zones.review(now)
     }
 
@@ -304,7 +305,7 @@
 
     /// How much of what is offered is admitted.
     #[must_use]
-    pub const fn admission(&self) -> &AdmissionGate {
+    pub const fn admission(&self) -> &AdmissionController {
         &self.admission
     }
 
@@ -372,6 +373,6 @@
     pub fn stalled(&mut self) {
         self.monitor.forget_pending();
         self.answers.forget_requests(&mut self.flows);
-        self.zones.stalled();
+        self.zones.reset_after_stall();
     }
 }
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -79,7 +79,7 @@
     ) {
         if let Some((_, zone)) = table.place_of(cookie) {
             self.zones.adopt(table);
-            self.zones.opened(now, flow_hash, zone, after);
+            self.zones.record_opened(now, flow_hash, zone, after);
         }
     }
 
@@ -113,7 +113,7 @@
     pub fn note_sample(&mut self, now: Timestamp, table: &ForwardingTable, sample: &AnswerSample) {
         if let Some((_, zone)) = table.place_of(sample.cookie) {
             self.zones.adopt(table);
-            self.zones.sampled(now, zone, sample);
+            self.zones.record_sample(now, zone, sample);
         }
     }
 
@@ -125,7 +125,7 @@
     ) {
         self.tallies.note(judged);
         self.note_sample(now, table, &judged.sample);
-        self.admission.answered(now, table, &judged.sample);
+        self.admission.record_answer(now, table, &judged.sample);
         if matches!(judged.sample.fate, AnswerFate::Short { .. }) {
             self.loads.count(now, judged.sample.cookie, FAILURE_WEIGHT);
         }
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -41,7 +41,7 @@
             return Decision::Refuse(RefusalReason::Overloaded);
         }
         self.zones.adopt(table);
-        self.zones.review_outcomes(now);
+        self.zones.review_failing_zones(now);
         let tries = route.terms.kind.may_repeat() && tries_outliers(flow_hash);
         let chosen = self.choose(now, table, part, flow_hash, attempt, tries);
         let Some((chosen, suitability)) = chosen else {
@@ -98,7 +98,7 @@
         let chosen = choose_by_zone(candidates, flow_hash, attempt, suitability, zone_rank, load)?;
         let suitability = self.suitability(now, chosen, share)?;
         self.zones
-            .placed(now, part.service, flow_hash, chosen.zone, capacity);
+            .record_placement(now, part.service, flow_hash, chosen.zone, capacity);
         Some((chosen, suitability))
     }
 
--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -25,23 +25,23 @@
 pub use capacity::ZoneCapacity;
 use delays::DelayMean;
 use outcomes::OpeningOutcomes;
-pub use share::ZoneShares;
-use share::{ServiceShare, ZoneView};
-use utilization::ZonePart;
+pub use share::SpillShares;
+use share::{ServiceSpill, ZoneView};
+use utilization::TrafficEstimate;
 
 /// Time between two changes of a share. Long enough that some dozen requests of a node of a busy service
 /// are answered in it, short against the seconds that a surge lasts.
-pub const WINDOW: Duration = Duration::from_millis(250);
+pub const ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How a zone ranks for one opening. The order is that of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneRank {
     /// Openings in it come to nothing.
-    Losing,
+    Failing,
     /// Only if the first has nothing as suitable.
-    Second,
+    Fallback,
     /// It is tried first.
-    First,
+    Preferred,
 }
 
 /// How all zones rank for one opening.
@@ -49,7 +49,7 @@
 pub struct ZoneRanks<'preference> {
     preference: &'preference ZonePreference,
     /// Whether the opening is sent to other zones.
-    is_sent_away: bool,
+    is_spilled: bool,
 }
 
 impl ZoneRanks<'_> {
@@ -57,15 +57,15 @@
     #[must_use]
     pub fn of(&self, zone: ZoneNumber) -> ZoneRank {
         let Some(own) = self.preference.own else {
-            return ZoneRank::Second;
+            return ZoneRank::Fallback;
         };
-        if self.preference.outcomes.is_losing(zone) {
-            return ZoneRank::Losing;
+        if self.preference.outcomes.is_failing(zone) {
+            return ZoneRank::Failing;
         }
-        if self.is_sent_away == (zone == own) {
-            ZoneRank::Second
+        if self.is_spilled == (zone == own) {
+            ZoneRank::Fallback
         } else {
-            ZoneRank::First
+            ZoneRank::Preferred
         }
     }
 }
@@ -81,17 +81,17 @@
 
 /// Shares that changed notably.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShareChange {
+pub struct SpillChange {
     /// The service.
     pub service: ServiceNumber,
     /// Shares of its openings that are sent to other zones.
-    pub shares: ZoneShares,
+    pub shares: SpillShares,
     /// From request to answer in the own zone of late, if that is known.
     pub own_delay: Option<Duration>,
     /// The same in other zones.
     pub other_delay: Option<Duration>,
     /// How much later flows open in other zones, if that is known.
-    pub crossing: Option<Duration>,
+    pub crossing_delay: Option<Duration>,
 }
 
 /// One traffic thread's choice of zones.
@@ -102,7 +102,7 @@
 ///
 /// let unknown = ZonePreference::new("");
 /// let ranks = unknown.ranks(ServiceNumber(0), 7);
-/// assert_eq!(ranks.of(ZoneNumber(0)), ZoneRank::Second, "all zones are alike");
+/// assert_eq!(ranks.of(ZoneNumber(0)), ZoneRank::Fallback, "all zones are alike");
 /// ```
 #[derive(Clone, Debug)]
 pub struct ZonePreference {
@@ -110,16 +110,16 @@
     own_name: String,
     own: Option<ZoneNumber>,
     zones: Vec<String>,
-    services: Vec<ServiceShare>,
+    services: Vec<ServiceSpill>,
     /// From an opening to the next packet of its flow, by zone.
-    distances: Vec<DelayMean>,
+    opening_delays: Vec<DelayMean>,
     outcomes: OpeningOutcomes,
-    part: ZonePart,
-    nodes: f32,
+    traffic: TrafficEstimate,
+    node_count: f32,
     /// Revisions of the table whose numbers are used.
     adopted: Option<(Revision, Revision)>,
     placements: ZonePlacements,
-    window_ends: Timestamp,
+    next_adjustment_at: Timestamp,
 }
 
 impl ZonePreference {
@@ -131,13 +131,13 @@
             own: None,
             zones: Vec::new(),
             services: Vec::new(),
-            distances: Vec::new(),
+            opening_delays: Vec::new(),
             outcomes: OpeningOutcomes::default(),
-            part: ZonePart::default(),
-            nodes: 0.0,
+            traffic: TrafficEstimate::default(),
+            node_count: 0.0,
             adopted: None,
             placements: ZonePlacements::default(),
-            window_ends: Timestamp::ZERO,
+            next_adjustment_at: Timestamp::ZERO,
         }
     }
 
@@ -152,19 +152,19 @@
         if self.zones != table.zones() {
             self.zones = table.zones().to_vec();
             self.own = self.number_of(&self.own_name);
-            self.distances = vec![DelayMean::default(); self.zones.len()];
-            self.outcomes = OpeningOutcomes::of(self.zones.len());
+            self.opening_delays = vec![DelayMean::default(); self.zones.len()];
+            self.outcomes = OpeningOutcomes::new(self.zones.len());
         }
         let names = table.services();
         let known = self.services.iter().map(|service| &service.name);
         if !known.eq(names) {
-            self.services = names.iter().map(|name| self.service_named(name)).collect();
+            self.services = names.iter().map(|name| self.service_spill(name)).collect();
         }
     }
 
     /// How many nodes there are about; zero if that isn't known.
-    pub fn set_nodes(&mut self, nodes: u64) {
-        self.nodes = nodes as f32;
+    pub fn set_node_count(&mut self, nodes: u64) {
+        self.node_count = nodes as f32;
     }
 
     /// The node's own zone; none if no instance stands in it.
@@ -178,7 +178,7 @@
     pub fn ranks(&self, service: ServiceNumber, flow_hash: u64) -> ZoneRanks<'_> {
         ZoneRanks {
             preference: self,
-            is_sent_away: draw(flow_hash) < self.shares(service).largest(),
+            is_spilled: draw(flow_hash) < self.spill_shares(service).largest(),
         }
     }
 
@@ -190,13 +190,13 @@
 
     /// Shares of a service's openings that are sent to other zones.
     #[must_use]
-    pub fn shares(&self, service: ServiceNumber) -> ZoneShares {
+    pub fn spill_shares(&self, service: ServiceNumber) -> SpillShares {
         let service = self.services.get(service.0 as usize);
-        service.map_or_else(ZoneShares::default, ServiceShare::shares)
+        service.map_or_else(SpillShares::default, ServiceSpill::shares)
     }
 
     /// An opening of a service was sent to a zone; `capacity` could have taken it.
-    pub fn placed(
+    pub fn record_placement(
         &mut self,
         now: Timestamp,
         service: ServiceNumber,
@@ -204,7 +204,7 @@
         zone: ZoneNumber,
         capacity: ZoneCapacity,
     ) {
-        self.outcomes.opening(now, flow_hash, zone);
+        self.outcomes.record_opening(now, flow_hash, zone);
         if self.own == Some(zone) {
             self.placements.own += 1;
         } else {
@@ -212,85 +212,97 @@
         }
         let zones = self.zones.len();
         if let Some(service) = self.services.get_mut(service.0 as usize) {
-            service.delays.opened(now);
-            service.note_capacity(capacity, zones);
+            service.delays.record_opened(now);
+            service.record_capacity(capacity, zones);
         }
     }
 
     /// An opening in a zone completed after so long.
-    pub fn opened(&mut self, now: Timestamp, flow_hash: u64, zone: ZoneNumber, after: Duration) {
-        self.outcomes.opened(now, flow_hash, zone, after);
-        if let Some(distance) = self.distances.get_mut(usize::from(zone.0)) {
+    pub fn record_opened(
+        &mut self,
+        now: Timestamp,
+        flow_hash: u64,
+        zone: ZoneNumber,
+        after: Duration,
+    ) {
+        self.outcomes.record_opened(now, flow_hash, zone, after);
+        if let Some(distance) = self.opening_delays.get_mut(usize::from(zone.0)) {
             distance.add(now, after);
         }
     }
 
     /// What became of a request in a zone.
-    pub fn sampled(&mut self, now: Timestamp, zone: ZoneNumber, sample: &AnswerSample) {
+    pub fn record_sample(&mut self, now: Timestamp, zone: ZoneNumber, sample: &AnswerSample) {
         let is_own = self.own == Some(zone);
         if let Some(service) = self.services.get_mut(sample.service.0 as usize) {
-            service.sampled(now, is_own, &sample.fate);
+            service.record_sample(now, is_own, &sample.fate);
         }
     }
 
     /// Adapts the shares, once a window, and returns those that changed notably.
-    pub fn review(&mut self, now: Timestamp) -> Vec<ShareChange> {
+    pub fn review(&mut self, now: Timestamp) -> Vec<SpillChange> {
         let mut changes = Vec::new();
         let Some(own) = self.own else {
             return changes;
         };
-        if now < self.window_ends {
+        if now < self.next_adjustment_at {
             return changes;
         }
-        self.window_ends = now.after(WINDOW);
-        self.review_outcomes(now);
+        self.next_adjustment_at = now.after(ADJUSTMENT_INTERVAL);
+        self.review_failing_zones(now);
         let view = self.view(own);
-        self.part.set(self.nodes, view.zones);
+        self.traffic.set_counts(self.node_count, view.zones);
         for (number, service) in self.services.iter_mut().enumerate() {
-            service.adapt(now, &view, &mut self.part);
-            if service.is_news() {
-                changes.push(ShareChange {
+            service.adapt(now, &view, &mut self.traffic);
+            if service.take_notable_change() {
+                changes.push(SpillChange {
                     service: ServiceNumber(u32::try_from(number).unwrap_or(u32::MAX)),
                     shares: service.shares(),
                     own_delay: service.delays.own(now),
                     other_delay: service.delays.others(now),
-                    crossing: view.crossing,
+                    crossing_delay: view.crossing_delay,
                 });
             }
         }
-        self.part.relax();
+        self.traffic.decay_correction();
         changes
     }
 
     /// Judges which zones lose. Asked before each opening, since a zone that has gone fails all of them.
-    pub fn review_outcomes(&mut self, now: Timestamp) {
-        let distances = &self.distances;
-        let usual = |zone: ZoneNumber| distances.get(usize::from(zone.0))?.ever();
+    pub fn review_failing_zones(&mut self, now: Timestamp) {
+        let opening_delays = &self.opening_delays;
+        let usual = |zone: ZoneNumber| opening_delays.get(usize::from(zone.0))?.last_known();
         self.outcomes.review(now, usual);
     }
 
     /// The process stood still: openings under way prove nothing.
-    pub fn stalled(&mut self) {
-        self.outcomes.stalled();
+    pub fn reset_after_stall(&mut self) {
+        self.outcomes.reset_after_stall();
     }
 
     fn view(&self, own: ZoneNumber) -> ZoneView {
-        let own_distance = self.distances.get(usize::from(own.0));
-        let own_distance = own_distance.and_then(|distance| distance.ever());
+        let own_opening_delay = self.opening_delays.get(usize::from(own.0));
+        let own_opening_delay = own_opening_delay.and_then(|distance| distance.last_known());
         ZoneView {
             zones: self.zones.len(),
-            crossing: self.crossing_cost(own, own_distance),
-            distance: own_distance,
+            crossing_delay: self.crossing_delay(own, own_opening_delay),
+            opening_delay: own_opening_delay,
         }
     }
 
     /// How much later flows open in other zones than in the own one: about twice the distance. Known once
     /// some have opened there.
-    fn crossing_cost(&self, own: ZoneNumber, own_distance: Option<Duration>) -> Option<Duration> {
-        let others = self.distances.iter().enumerate();
+    fn crossing_delay(
+        &self,
+        own: ZoneNumber,
+        own_opening_delay: Option<Duration>,
+    ) -> Option<Duration> {
+        let others = self.opening_delays.iter().enumerate();
         let others = others.filter(|(index, _)| *index != usize::from(own.0));
-        let nearest = others.filter_map(|(_, distance)| distance.ever()).min()?;
-        Some(nearest.saturating_sub(own_distance?))
+        let nearest = others
+            .filter_map(|(_, distance)| distance.last_known())
+            .min()?;
+        Some(nearest.saturating_sub(own_opening_delay?))
     }
 
     fn number_of(&self, name: &str) -> Option<ZoneNumber> {
@@ -298,9 +310,9 @@
         u16::try_from(number).ok().map(ZoneNumber)
     }
 
-    fn service_named(&self, name: &str) -> ServiceShare {
+    fn service_spill(&self, name: &str) -> ServiceSpill {
         let known = self.services.iter().find(|service| service.name == name);
-        known.cloned().unwrap_or_else(|| ServiceShare::named(name))
+        known.cloned().unwrap_or_else(|| ServiceSpill::named(name))
     }
 }
 
--- a/crates/bellyoke-core/src/cookie/locality/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/locality/capacity.rs
@@ -8,10 +8,10 @@
 /// ```
 /// use bellyoke_core::cookie::locality::ZoneCapacity;
 ///
-/// let even = ZoneCapacity::of(80.0, 240.0);
-/// assert_eq!(even.share_elsewhere(3), 0.0, "a third of the instances for a third of the traffic");
-/// let few = ZoneCapacity::of(4.0, 164.0);
-/// assert!(few.share_elsewhere(3) > 0.85, "a fortieth of them");
+/// let even = ZoneCapacity::new(80.0, 240.0);
+/// assert_eq!(even.spill_share(3), 0.0, "a third of the instances for a third of the traffic");
+/// let few = ZoneCapacity::new(4.0, 164.0);
+/// assert!(few.spill_share(3) > 0.85, "a fortieth of them");
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
@@ -29,7 +29,7 @@
 impl ZoneCapacity {
     /// So many requests in the own zone, and in all.
     #[must_use]
-    pub const fn of(own: f32, all: f32) -> Self {
+    pub const fn new(own: f32, all: f32) -> Self {
         Self {
             own,
             all,
@@ -69,7 +69,7 @@
     /// The share of openings that has to go elsewhere, so that the own zone's instances get no more than
     /// [`OVERPROVISIONING`] times what others get, if the traffic of all `zones` is alike.
     #[must_use]
-    pub fn share_elsewhere(&self, zones: usize) -> f32 {
+    pub fn spill_share(&self, zones: usize) -> f32 {
         if self.all <= 0.0 {
             return 0.0;
         }
--- a/crates/bellyoke-core/src/cookie/locality/outcomes.rs
+++ b/crates/bellyoke-core/src/cookie/locality/outcomes.rs
@@ -36,7 +36,7 @@
 struct ZoneOutcome {
     /// When the last opening that completed was sent.
     completed: Timestamp,
-    is_losing: bool,
+    is_failing: bool,
 }
 
 /// What came of openings, by zone.
@@ -47,7 +47,7 @@
 }
 
 impl OpeningOutcomes {
-    pub(super) fn of(zones: usize) -> Self {
+    pub(super) fn new(zones: usize) -> Self {
         Self {
             pending: VecDeque::new(),
             zones: vec![ZoneOutcome::default(); zones],
@@ -55,7 +55,7 @@
     }
 
     /// An opening is sent to a zone.
-    pub(super) fn opening(&mut self, now: Timestamp, flow_hash: u64, zone: ZoneNumber) {
+    pub(super) fn record_opening(&mut self, now: Timestamp, flow_hash: u64, zone: ZoneNumber) {
         if self.pending.len() >= MAXIMUM_PENDING {
             self.pending.pop_front();
         }
@@ -67,7 +67,7 @@
     }
 
     /// An opening in a zone completed after so long.
-    pub(super) fn opened(
+    pub(super) fn record_opened(
         &mut self,
         now: Timestamp,
         flow_hash: u64,
@@ -82,13 +82,13 @@
     }
 
     /// The process stood still: openings under way prove nothing.
-    pub(super) fn stalled(&mut self) {
+    pub(super) fn reset_after_stall(&mut self) {
         self.pending.clear();
     }
 
-    pub(super) fn is_losing(&self, zone: ZoneNumber) -> bool {
+    pub(super) fn is_failing(&self, zone: ZoneNumber) -> bool {
         let outcome = self.zones.get(usize::from(zone.0));
-        outcome.is_some_and(|outcome| outcome.is_losing)
+        outcome.is_some_and(|outcome| outcome.is_failing)
     }
 
     /// Judges all zones; `usual` tells how long openings in one take.
@@ -103,18 +103,18 @@
         }
         for (number, outcome) in self.zones.iter_mut().enumerate() {
             let zone = ZoneNumber(u16::try_from(number).unwrap_or(u16::MAX));
-            let patience = patience(usual(zone));
+            let timeout = overdue_timeout(usual(zone));
             let overdue = self.pending.iter().filter(|opening| {
                 opening.zone == zone
                     && opening.sent_at > outcome.completed
-                    && now.since(opening.sent_at) >= patience
+                    && now.since(opening.sent_at) >= timeout
             });
-            outcome.is_losing = overdue.count() >= LOSING_RUN;
+            outcome.is_failing = overdue.count() >= LOSING_RUN;
         }
     }
 }
 
-fn patience(usual: Option<Duration>) -> Duration {
+fn overdue_timeout(usual: Option<Duration>) -> Duration {
     let (least, most) = PATIENCE_BOUNDS;
     usual.map_or(most, |usual| (usual * PATIENCE_FACTOR).clamp(least, most))
 }
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -2,7 +2,7 @@
 
 use super::ZoneCapacity;
 use super::delays::ServiceDelays;
-use super::utilization::{Demand, ZonePart};
+use super::utilization::{Demand, TrafficEstimate};
 use crate::cookie::answers::AnswerFate;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 
 /// The shares of openings that are sent elsewhere, by cause. The largest counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ZoneShares {
+pub struct SpillShares {
     /// For the own zone's lack of instances.
     pub for_capacity: f32,
     /// For the load that the own zone would have.
@@ -43,7 +43,7 @@
     pub for_queue: f32,
 }
 
-impl ZoneShares {
+impl SpillShares {
     /// The share that is sent elsewhere.
     #[must_use]
     pub fn largest(&self) -> f32 {
@@ -57,15 +57,15 @@
     /// How many zones there are.
     pub(super) zones: usize,
     /// How much later flows open in other zones, if that is known.
-    pub(super) crossing: Option<Duration>,
+    pub(super) crossing_delay: Option<Duration>,
     /// How long flows take to open in the own one, if that is known.
-    pub(super) distance: Option<Duration>,
+    pub(super) opening_delay: Option<Duration>,
 }
 
 impl ZoneView {
     /// The largest share for load and queues: while it isn't known what crossing costs, a few find that out.
     fn largest_share(&self) -> f32 {
-        if self.crossing.is_some() {
+        if self.crossing_delay.is_some() {
             LARGEST_QUEUE_SHARE
         } else {
             FIRST_SHARE
@@ -75,16 +75,16 @@
 
 /// One service, as a node sees it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ServiceShare {
+pub(super) struct ServiceSpill {
     pub(super) name: String,
     pub(super) capacity: ZoneCapacity,
     pub(super) delays: ServiceDelays,
-    shares: ZoneShares,
+    shares: SpillShares,
     paused_until: Timestamp,
-    told: f32,
+    reported: f32,
 }
 
-impl ServiceShare {
+impl ServiceSpill {
     pub(super) fn named(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -92,46 +92,47 @@
         }
     }
 
-    pub(super) const fn shares(&self) -> ZoneShares {
+    pub(super) const fn shares(&self) -> SpillShares {
         self.shares
     }
 
-    pub(super) fn sampled(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
+    pub(super) fn record_sample(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
         self.delays.add(now, is_own, fate);
     }
 
-    pub(super) fn note_capacity(&mut self, capacity: ZoneCapacity, zones: usize) {
+    pub(super) fn record_capacity(&mut self, capacity: ZoneCapacity, zones: usize) {
         self.capacity = capacity;
-        self.shares.for_capacity = capacity.share_elsewhere(zones);
+        self.shares.for_capacity = capacity.spill_share(zones);
     }
 
     /// Adapts the shares at the end of a window.
-    pub(super) fn adapt(&mut self, now: Timestamp, view: &ZoneView, part: &mut ZonePart) {
-        self.delays.learn_usual(now, view.crossing);
-        self.adapt_to_load(now, view, part);
+    pub(super) fn adapt(&mut self, now: Timestamp, view: &ZoneView, traffic: &mut TrafficEstimate) {
+        self.delays.learn_baseline(now, view.crossing_delay);
+        self.adapt_to_load(now, view, traffic);
         self.adapt_to_queue(now, view);
-        part.learn(self.shares.for_load > 0.0, self.delays.waits(now));
+        traffic.learn(self.shares.for_load > 0.0, self.delays.is_queueing(now));
     }
 
     /// Whether the share has changed notably since this last said so.
-    pub(super) fn is_news(&mut self) -> bool {
+    pub(super) fn take_notable_change(&mut self) -> bool {
         let share = self.shares.largest();
-        let is_back = share == 0.0 && self.told != 0.0;
-        let is_news = is_back || (share - self.told).abs() >= NOTABLE_CHANGE;
+        let is_back = share == 0.0 && self.reported != 0.0;
+        let is_news = is_back || (share - self.reported).abs() >= NOTABLE_CHANGE;
         if is_news {
-            self.told = share;
+            self.reported = share;
         }
         is_news
     }
 
-    fn adapt_to_load(&mut self, now: Timestamp, view: &ZoneView, part: &ZonePart) {
-        let demand = self.delays.usual().map(|usual| Demand {
-            rate: self.delays.rate(now),
-            work: usual.saturating_sub(view.distance.unwrap_or_default()),
+    fn adapt_to_load(&mut self, now: Timestamp, view: &ZoneView, traffic: &TrafficEstimate) {
+        let demand = self.delays.baseline().map(|usual| Demand {
+            rate: self.delays.request_rate(now),
+            work: usual.saturating_sub(view.opening_delay.unwrap_or_default()),
             slots: self.capacity.own_slots(),
         });
-        let share = demand.map(|demand| part.share_elsewhere(&demand, view.crossing));
-        self.shares.for_load = at_least(share.unwrap_or_default().min(view.largest_share()));
+        let share = demand.map(|demand| traffic.spill_share(&demand, view.crossing_delay));
+        self.shares.for_load =
+            zero_if_negligible(share.unwrap_or_default().min(view.largest_share()));
     }
 
     /// More goes elsewhere while the own zone turns requests away, or queues for longer than it takes to
@@ -140,20 +141,20 @@
         if self.shares.for_queue > 0.0 && self.delays.others_are_no_better(now) {
             self.paused_until = now.after(PAUSE);
         }
-        let refused = self.delays.own_refused(now);
+        let refused = self.delays.own_rejected(now);
         let step = refused.map(|refused| refused * REFUSED_STEP);
-        let crossing = view.crossing.unwrap_or_default();
-        let queue = self.delays.own_queue(now);
+        let crossing = view.crossing_delay.unwrap_or_default();
+        let queue = self.delays.own_queueing_delay(now);
         let is_worth_crossing = queue.is_some_and(|queue| queue > crossing);
         let step = step.or_else(|| is_worth_crossing.then_some(SHARE_STEP));
         let share = match step {
             Some(step) if now >= self.paused_until => self.shares.for_queue + step,
             _ => self.shares.for_queue * SHARE_DECAY,
         };
-        self.shares.for_queue = at_least(share.min(view.largest_share()));
+        self.shares.for_queue = zero_if_negligible(share.min(view.largest_share()));
     }
 }
 
-fn at_least(share: f32) -> f32 {
+fn zero_if_negligible(share: f32) -> f32 {
     if share < LEAST_SHARE { 0.0 } else { share }
 }
--- a/crates/bellyoke-core/src/cookie/locality/utilization.rs
+++ b/crates/bellyoke-core/src/cookie/locality/utilization.rs
@@ -35,13 +35,13 @@
 
 /// This node's part in its zone's traffic.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ZonePart {
+pub(super) struct TrafficEstimate {
     /// Nodes that the zone would have if all zones had as many; none if that isn't known.
     nodes: Option<f32>,
     correction: f32,
 }
 
-impl Default for ZonePart {
+impl Default for TrafficEstimate {
     fn default() -> Self {
         Self {
             nodes: None,
@@ -50,16 +50,16 @@
     }
 }
 
-impl ZonePart {
+impl TrafficEstimate {
     /// How many nodes and zones there are.
-    pub(super) fn set(&mut self, nodes: f32, zones: usize) {
+    pub(super) fn set_counts(&mut self, nodes: f32, zones: usize) {
         let is_known = nodes > 1.0 && zones > 0;
         self.nodes = is_known.then(|| nodes / zones as f32);
     }
 
     /// The share of openings that has to go elsewhere so that requests in the own zone don't wait for
     /// longer than it takes to cross.
-    pub(super) fn share_elsewhere(&self, demand: &Demand, crossing: Option<Duration>) -> f32 {
+    pub(super) fn spill_share(&self, demand: &Demand, crossing: Option<Duration>) -> f32 {
         let Some(nodes) = self.nodes else {
             return 0.0;
         };
@@ -68,14 +68,14 @@
         }
         let busy = demand.rate * demand.work.as_secs_f32() * nodes * self.correction;
         let utilization = busy / demand.slots;
-        let target = target(demand.work, crossing.unwrap_or_default());
+        let target = target_utilization(demand.work, crossing.unwrap_or_default());
         (1.0 - target / utilization.max(target)).max(0.0)
     }
 
     /// Learns from a window of one service: whether openings went elsewhere, and whether requests waited.
-    pub(super) fn learn(&mut self, went_elsewhere: bool, waited: bool) {
+    pub(super) fn learn(&mut self, spilled: bool, queued: bool) {
         let (least, largest) = CORRECTION_BOUNDS;
-        let factor = match (went_elsewhere, waited) {
+        let factor = match (spilled, queued) {
             (true, false) => CORRECTION_FALL,
             (false, true) => CORRECTION_RISE,
             _ => 1.0,
@@ -84,14 +84,14 @@
     }
 
     /// What was learned is forgotten slowly.
-    pub(super) fn relax(&mut self) {
+    pub(super) fn decay_correction(&mut self) {
         self.correction += (1.0 - self.correction) * CORRECTION_RETURN;
     }
 }
 
 /// The utilization at which requests wait as long as it takes to cross. With two slots, requests that take
 /// `work` wait for `work` times u² / (1 - u²).
-fn target(work: Duration, crossing: Duration) -> f32 {
+fn target_utilization(work: Duration, crossing: Duration) -> f32 {
     let (work, crossing) = (work.as_secs_f32(), crossing.as_secs_f32());
     let both = (work + crossing).max(f32::MIN_POSITIVE);
     (crossing / both).sqrt().clamp(LEAST_TARGET, LARGEST_TARGET)
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -66,7 +66,7 @@
     suitability: impl FnMut(&Candidate) -> Option<Suitability>,
     load: impl Fn(&Candidate) -> f32,
 ) -> Option<&Candidate> {
-    let alike = |_: &Candidate| ZoneRank::Second;
+    let alike = |_: &Candidate| ZoneRank::Fallback;
     choose_by_zone(candidates, flow_hash, attempt, suitability, alike, load)
 }
 
@@ -91,7 +91,7 @@
             score: score(flow_hash, candidate.id),
             candidate,
         };
-        let is_fallback = new.zone_rank == ZoneRank::Second;
+        let is_fallback = new.zone_rank == ZoneRank::Fallback;
         if is_fallback && fallback.is_none_or(|held| new.exceeds(&held)) {
             fallback = Some(new);
         }
@@ -117,7 +117,7 @@
 ) -> Option<Ranked<'table>> {
     let last_of = |count: usize| ranked[..count].iter().rev().flatten().next().copied();
     let next = last_of(choices + 1)?;
-    let Some(other_zone) = other_zone.filter(|_| next.zone_rank == ZoneRank::First) else {
+    let Some(other_zone) = other_zone.filter(|_| next.zone_rank == ZoneRank::Preferred) else {
         return last_of(choices + copy);
     };
     Some(if copy == 1 { other_zone } else { next })
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -46,9 +46,9 @@
 
 fn first_zone_first(zone: u64) -> ZoneRank {
     match zone {
-        0 => ZoneRank::First,
-        1 => ZoneRank::Second,
-        _ => ZoneRank::Losing,
+        0 => ZoneRank::Preferred,
+        1 => ZoneRank::Fallback,
+        _ => ZoneRank::Failing,
     }
 }
 
@@ -102,8 +102,8 @@
 fn openings(preference: &mut ZonePreference, from: u64, count: u64) {
     for number in from..from + count {
         let hash = flow(u32::try_from(number).unwrap()).hash();
-        let capacity = ZoneCapacity::of(1.0, 3.0);
-        preference.placed(
+        let capacity = ZoneCapacity::new(1.0, 3.0);
+        preference.record_placement(
             at(10_000 + 10 * number),
             SERVICE,
             hash,
@@ -120,7 +120,7 @@
 }
 
 fn own_rank(preference: &mut ZonePreference, now: u64) -> ZoneRank {
-    preference.review_outcomes(at(now));
+    preference.review_failing_zones(at(now));
     preference.ranks(SERVICE, 7).of(ZoneNumber(0))
 }
 
@@ -128,60 +128,64 @@
 fn three_openings_in_a_row_that_are_overdue_lose_a_zone_for_a_while() {
     let mut two = preference();
     openings(&mut two, 0, 2);
-    assert_eq!(own_rank(&mut two, 10_500), ZoneRank::First);
+    assert_eq!(own_rank(&mut two, 10_500), ZoneRank::Preferred);
     let mut three = preference();
     openings(&mut three, 0, 3);
     assert_eq!(
         own_rank(&mut three, 10_100),
-        ZoneRank::First,
+        ZoneRank::Preferred,
         "not overdue yet"
     );
-    assert_eq!(own_rank(&mut three, 10_200), ZoneRank::Losing);
-    assert_eq!(own_rank(&mut three, 12_100), ZoneRank::First, "tried again");
+    assert_eq!(own_rank(&mut three, 10_200), ZoneRank::Failing);
+    assert_eq!(
+        own_rank(&mut three, 12_100),
+        ZoneRank::Preferred,
+        "tried again"
+    );
 }
 
 #[test]
 fn openings_are_overdue_sooner_where_they_usually_complete_soon() {
     let mut preference = preference();
-    preference.opened(at(9_000), 1, ZoneNumber(0), Duration::from_millis(4));
+    preference.record_opened(at(9_000), 1, ZoneNumber(0), Duration::from_millis(4));
     openings(&mut preference, 0, 3);
-    assert_eq!(own_rank(&mut preference, 10_050), ZoneRank::Losing);
+    assert_eq!(own_rank(&mut preference, 10_050), ZoneRank::Failing);
 }
 
 #[test]
 fn an_opening_that_completes_clears_its_zone() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
-    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Losing);
+    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Failing);
     let last = flow(3).hash();
-    preference.opened(at(10_310), last, ZoneNumber(0), Duration::from_millis(280));
-    assert_eq!(own_rank(&mut preference, 10_320), ZoneRank::First);
+    preference.record_opened(at(10_310), last, ZoneNumber(0), Duration::from_millis(280));
+    assert_eq!(own_rank(&mut preference, 10_320), ZoneRank::Preferred);
 }
 
 #[test]
 fn a_process_that_stood_still_blames_no_zone() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
-    preference.stalled();
-    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::First);
+    preference.reset_after_stall();
+    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Preferred);
 }
 
 #[test]
 fn what_is_known_of_a_service_outlives_a_renumbering_of_zones() {
     let mut preference = preference();
     openings(&mut preference, 0, 1);
-    let few = ZoneCapacity::of(1.0, 100.0);
-    preference.placed(at(10_100), SERVICE, 7, ZoneNumber(0), few);
-    let share = preference.shares(SERVICE).largest();
+    let few = ZoneCapacity::new(1.0, 100.0);
+    preference.record_placement(at(10_100), SERVICE, 7, ZoneNumber(0), few);
+    let share = preference.spill_shares(SERVICE).largest();
     assert!(share > 0.9);
     preference.adopt(&table(&["clare", "cork", "kerry"], 20));
     assert_eq!(preference.own(), Some(ZoneNumber(1)));
-    assert_eq!(preference.shares(SERVICE).largest(), share);
+    assert_eq!(preference.spill_shares(SERVICE).largest(), share);
     preference.adopt(&table(&["clare", "kerry"], 30));
     let ranks = preference.ranks(SERVICE, 7);
     assert_eq!(
         ranks.of(ZoneNumber(0)),
-        ZoneRank::Second,
+        ZoneRank::Fallback,
         "no instance in the own zone"
     );
 }
@@ -199,7 +203,7 @@
                     after: Duration::from_millis(2),
                 },
             };
-            preference.sampled(at(now), ZoneNumber(0), &sample);
+            preference.record_sample(at(now), ZoneNumber(0), &sample);
         }
     };
     turned_away(&mut preference, 10_000);
@@ -210,5 +214,9 @@
     for window in 1..60 {
         preference.review(at(10_000 + window * 250));
     }
-    assert_eq!(preference.shares(SERVICE).largest(), 0.0, "it comes back");
+    assert_eq!(
+        preference.spill_shares(SERVICE).largest(),
+        0.0,
+        "it comes back"
+    );
 }
--- a/crates/bellyoke-node/src/packet/counters.rs
+++ b/crates/bellyoke-node/src/packet/counters.rs
@@ -174,7 +174,7 @@
         Self {
             service: service.to_owned(),
             priority: u32::from(class.priority),
-            may_repeat: u32::from(class.may_repeat),
+            may_repeat: u32::from(class.may_retry),
         }
     }
 }
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -54,7 +54,7 @@
                     change.shares.for_queue,
                     milliseconds(change.own_delay),
                     milliseconds(change.other_delay),
-                    milliseconds(change.crossing),
+                    milliseconds(change.crossing_delay),
                 ),
             );
         }
