--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -1,17 +1,18 @@
-//! Admission of new flows while a service's instances are overloaded.
+//! Admission control for new flows while the instances of a service are overloaded.
 //!
-//! An overloaded instance queues what it can and turns away the rest, whoever that is. A node that refuses the
-//! right openings instead leaves the instances what matters: the lowest priority is refused first, and within a
-//! priority what may be repeated before what may not. A refusal is an answer to an opening of which nothing was
-//! sent on, so that nothing of it has run.
+//! An overloaded instance fills its queue and rejects everything beyond it, regardless of
+//! priority. Refusing openings at the node preserves the more important requests: lower priorities
+//! are refused first, and within a priority requests that may be retried are refused before those
+//! that may not. Nothing of a refused opening was forwarded, so no part of its request has run.
 //!
-//! No rate is set by hand. [`service`] learns from the answers to requests that most instances queue and some
-//! turn requests away, and then gives out openings at the rate that is served, as Breakwater (Cho et al., OSDI
-//! 2020) does with credits: a little more while little is lost, less in the measure of what is lost. The classes
-//! take from it in their order, as in DAGOR (Zhou et al., `SoCC` 2018).
+//! The admitted rate isn't configured. [`service`] detects overload from the outcomes of requests
+//! (most instances queue, and some reject requests) and then admits openings at the rate at which
+//! requests are served, similar to the credits of Breakwater (Cho et al., OSDI 2020): the rate
+//! grows slightly while few requests are lost and shrinks in proportion to the excess loss. Classes
+//! draw on it in order of priority, as in DAGOR (Zhou et al., `SoCC` 2018).
 //!
-//! Each node decides for its own openings, from what it sees itself. Without answers there is no overload, and
-//! nothing is refused.
+//! Each node decides about its own openings from its own observations. As long as no answers are
+//! observed, no overload is detected and nothing is refused.
 
 pub mod budget;
 pub mod queueing;
@@ -28,19 +29,21 @@
 use service::ServiceAdmission;
 use std::time::Duration;
 
-/// Flows whose verdict is remembered, 16 bytes each: more than a node opens while a client sends copies.
-const VERDICT_PLACES: usize = 1_024;
+/// Number of flows whose admission decision is cached, 16 bytes each. Exceeds the number of flows
+/// that a node opens while a client sends copies of one opening.
+const DECISION_CACHE_SIZE: usize = 1_024;
 
-/// How long the copies of an opening share its verdict: clients give up after 1.4 s.
-const VERDICT_LIFETIME: Duration = Duration::from_millis(1_500);
+/// How long copies of an opening share its decision. Clients give up after 1.4 s.
+const DECISION_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// How admission decides.
+/// Settings of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Whether anything is refused for overload.
+    /// Whether openings are refused because of overload.
     pub enabled: bool,
-    /// Share of the requests that instances may turn away before less is admitted. With none, instances would
-    /// idle between two requests; of what is turned away with such odds three times, one in 250 is lost.
+    /// Share of requests that may be lost before the admitted rate shrinks. At zero, instances would
+    /// be idle between requests. If each of three tries is rejected with a probability of 0.16, one
+    /// request in 250 fails.
     pub lost_share: f32,
 }
 
@@ -53,7 +56,8 @@
     }
 }
 
-/// Which requests are refused before which. The order is that of admission: the least goes first.
+/// Class of requests that are admitted or refused together. Classes order by admission: the
+/// smallest is admitted first.
 ///
 /// ```
 /// use bellyoke_core::cookie::admission::RequestClass;
@@ -62,19 +66,19 @@
 /// let class = |priority, kind| RequestClass::of(&RouteTerms { priority, kind, ..RouteTerms::default() });
 /// let order = class(1, RequestKind::NonIdempotent);
 /// let lookup = class(1, RequestKind::Idempotent);
-/// assert!(order < lookup, "what can't be repeated is admitted first");
+/// assert!(order < lookup, "requests that can't be retried are admitted first");
 /// assert!(lookup < class(2, RequestKind::NonIdempotent), "0 is the highest priority");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestClass {
-    /// Rank of the requests; 0 goes first.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u8,
-    /// Whether they may be sent again once they may have run.
+    /// Whether a request may be sent again after it may have run.
     pub may_retry: bool,
 }
 
 impl RequestClass {
-    /// The class of a route's requests.
+    /// Returns the class of a route's requests.
     #[must_use]
     pub const fn of(terms: &RouteTerms) -> Self {
         Self {
@@ -84,22 +88,22 @@
     }
 }
 
-/// What is believed of a service's load.
+/// Begin or end of overload of a service, with the figures behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionChange {
     /// Name of the service.
     pub service: String,
-    /// Whether its instances are overloaded from now on, or no longer.
+    /// Whether the service is now considered overloaded.
     pub overloaded: bool,
-    /// Openings a second that came to this node of late.
+    /// Openings per second that recently arrived at this node.
     pub offered: f32,
-    /// Requests a second that were answered of late.
+    /// Requests per second that were recently answered.
     pub served: f32,
-    /// Openings a second that this node admits while overload lasts.
+    /// Openings per second that this node admits during overload.
     pub budget: f32,
-    /// Share of the requests that was lost of late.
+    /// Share of requests that was recently lost.
     pub lost_share: f32,
-    /// The instances that were sampled of late.
+    /// Recently sampled instances and how many of them queue.
     pub queues: QueueingCount,
 }
 
@@ -108,13 +112,13 @@
 /// ```
 /// use bellyoke_core::cookie::admission::{AdmissionController, AdmissionSettings};
 ///
-/// let gate = AdmissionController::new(AdmissionSettings::default());
-/// assert_eq!(gate.admitted_shares().count(), 0, "nothing is known of any service");
+/// let controller = AdmissionController::new(AdmissionSettings::default());
+/// assert_eq!(controller.admitted_shares().count(), 0, "no service has been seen");
 /// ```
 #[derive(Debug)]
 pub struct AdmissionController {
     settings: AdmissionSettings,
-    /// By service number, with the name that the number had.
+    /// Indexed by service number, with the name of the service.
     services: Vec<(String, ServiceAdmission)>,
     configuration_version: u64,
     refused: SeenTable,
@@ -122,19 +126,20 @@
 }
 
 impl AdmissionController {
-    /// A gate that knows of no load.
+    /// Creates a controller without load statistics.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
             services: Vec::new(),
             configuration_version: 0,
-            refused: SeenTable::new(VERDICT_PLACES),
-            admitted: SeenTable::new(VERDICT_PLACES),
+            refused: SeenTable::new(DECISION_CACHE_SIZE),
+            admitted: SeenTable::new(DECISION_CACHE_SIZE),
         }
     }
 
-    /// Whether the opening of a flow of `service` is admitted. `attempt` counts the copies sent before it.
+    /// Returns whether to admit an opening of a flow of `service`. `attempt` is the number of copies
+    /// that the client sent before this one.
     pub fn admits(
         &mut self,
         now: Timestamp,
@@ -148,25 +153,25 @@
             return true;
         }
         let key = packet.flow.hash() | 1;
-        if let Some(verdict) = self.earlier_verdict(now, key, attempt) {
-            return verdict;
+        if let Some(decision) = self.earlier_decision(now, key, attempt) {
+            return decision;
         }
         let settings = self.settings;
-        let Some(gate) = self.service_mut(table, service) else {
+        let Some(service) = self.service_mut(table, service) else {
             return true;
         };
         let class = RequestClass::of(terms);
-        let admitted = gate.admit(now, &settings, packet.flow.service, class);
-        let verdicts = if admitted {
+        let admitted = service.admit(now, &settings, packet.flow.service, class);
+        let decisions = if admitted {
             &mut self.admitted
         } else {
             &mut self.refused
         };
-        verdicts.note(now, key);
+        decisions.note(now, key);
         admitted
     }
 
-    /// Takes what became of a request.
+    /// Records the outcome of a request.
     pub fn record_answer(
         &mut self,
         now: Timestamp,
@@ -174,12 +179,12 @@
         sample: &AnswerSample,
     ) {
         let settings = self.settings;
-        if let Some(gate) = self.service_mut(table, sample.service) {
-            gate.record_answer(now, &settings, sample);
+        if let Some(service) = self.service_mut(table, sample.service) {
+            service.record_answer(now, &settings, sample);
         }
     }
 
-    /// Takes the instances at which openings came to nothing for `waited`.
+    /// Records that openings sent to the instances in `failed` were still incomplete after `waited`.
     pub fn record_failed_openings(
         &mut self,
         now: Timestamp,
@@ -204,30 +209,30 @@
         }
     }
 
-    /// What changed in the belief about services since the last call.
+    /// Ends windows that are due and returns the changes since the last call.
     pub fn review(&mut self, now: Timestamp) -> Vec<AdmissionChange> {
         let mut changes = Vec::new();
-        for (name, gate) in &mut self.services {
-            gate.roll_window(now, &self.settings);
-            changes.extend(gate.take_change(name));
+        for (name, service) in &mut self.services {
+            service.roll_window(now, &self.settings);
+            changes.extend(service.take_change(name));
         }
         changes
     }
 
-    /// The share of the openings that is admitted, by service and class, for those that came of late.
+    /// Returns the share of recent openings that is admitted, by service and class.
     pub fn admitted_shares(&self) -> impl Iterator<Item = (&str, RequestClass, f32)> {
         let services = self.services.iter();
-        services.flat_map(|(name, gate)| {
-            let shares = gate.admitted_shares();
+        services.flat_map(|(name, service)| {
+            let shares = service.admitted_shares();
             shares.map(|(class, share)| (&name[..], class, share))
         })
     }
 
-    /// What was decided on an earlier copy of the same opening. A copy whose predecessors this node didn't
-    /// see is admitted: another node may have sent one on.
-    fn earlier_verdict(&self, now: Timestamp, key: u64, attempt: u32) -> Option<bool> {
+    /// Returns the decision on an earlier copy of the same opening. Repeated copies whose first one
+    /// this node didn't see are admitted: another node may have forwarded it.
+    fn earlier_decision(&self, now: Timestamp, key: u64, attempt: u32) -> Option<bool> {
         let is_recent =
-            |at: Option<Timestamp>| at.is_some_and(|at| now.since(at) < VERDICT_LIFETIME);
+            |at: Option<Timestamp>| at.is_some_and(|at| now.since(at) < DECISION_LIFETIME);
         if is_recent(self.admitted.seen_at(key)) {
             return Some(true);
         }
@@ -244,21 +249,21 @@
     ) -> Option<&mut ServiceAdmission> {
         self.adopt(table);
         let index = usize::try_from(service.0).ok()?;
-        self.services.get_mut(index).map(|(_, gate)| gate)
+        self.services.get_mut(index).map(|(_, service)| service)
     }
 
-    /// Numbers the services as `table` does; what is known of them goes by their names.
+    /// Renumbers the services as in `table`. Load statistics are carried over by service name.
     fn adopt(&mut self, table: &ForwardingTable) {
         if self.configuration_version == table.configuration_version() {
             return;
         }
         self.configuration_version = table.configuration_version();
-        let mut held = std::mem::take(&mut self.services);
+        let mut former = std::mem::take(&mut self.services);
         let renumbered = table.services().iter().map(|name| {
-            let index = held.iter().position(|(known, _)| known == name);
+            let index = former.iter().position(|(known, _)| known == name);
             index.map_or_else(
                 || (name.clone(), ServiceAdmission::default()),
-                |index| held.swap_remove(index),
+                |index| former.swap_remove(index),
             )
         });
         self.services = renumbered.collect();
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -1,24 +1,24 @@
-//! How many openings a second are admitted while a service is overloaded.
+//! The rate of openings that is admitted while a service is overloaded.
 
 use crate::cookie::answers::AnswerFate;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Most by which the budget shrinks at once.
+/// Maximum relative decrease of the budget in one adjustment.
 const MAXIMUM_SHRINK: f32 = 0.2;
 
-/// How long it takes until answers show that the budget has shrunk: a full queue drains in about 170 ms, and an
-/// answer takes as long again. Requests can't be told apart by when they were asked: what is turned away comes
-/// back sooner than what is answered.
+/// Delay until answers reflect a decrease of the budget: a full queue drains in about 170 ms, and
+/// an answer takes as long again. Answers can't be attributed to the time of their requests,
+/// because rejections come back sooner than answers.
 const SETTLE_TIME: Duration = Duration::from_millis(350);
 
-/// Part by which the budget grows at once where no request was queued for; less by as many as were.
-const GROWTH: f32 = 0.3;
+/// Maximum relative increase of the budget in one adjustment, reached if no request was queued.
+const MAXIMUM_GROWTH: f32 = 0.3;
 
-/// Windows in a row in which everything offered fits, after which overload is over.
-const CALM_WINDOWS: u32 = 2;
+/// Number of consecutive windows whose offered rate fits the budget after which overload is over.
+const FITTING_WINDOWS_TO_END: u32 = 2;
 
-/// Openings a second, by what became of requests.
+/// Budget of openings per second, adjusted by the outcomes of requests.
 ///
 /// ```
 /// use bellyoke_core::cookie::admission::budget::OpeningBudget;
@@ -26,39 +26,39 @@
 ///
 /// let mut budget = OpeningBudget::new(Timestamp::ZERO, 100.0);
 /// budget.adjust(Timestamp::ZERO, 0.2, 1.0);
-/// assert_eq!(budget.per_second(), 80.0, "a fifth too much was lost");
+/// assert_eq!(budget.per_second(), 80.0, "the loss was a fifth above the allowance");
 /// budget.adjust(Timestamp::ZERO, 0.0, 1.0);
-/// assert_eq!(budget.per_second(), 80.0, "all requests were queued for");
+/// assert_eq!(budget.per_second(), 80.0, "all requests were queued");
 /// budget.adjust(Timestamp::ZERO, 0.0, 0.0);
-/// assert!(budget.per_second() > 80.0, "instances idle");
+/// assert!(budget.per_second() > 80.0, "no request was queued");
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct OpeningBudget {
     per_second: f32,
-    /// Windows in a row in which all fitted.
-    calm_windows: u32,
+    /// Number of consecutive windows whose offered rate fitted the budget.
+    fitting_windows: u32,
     shrunk_at: Timestamp,
 }
 
 impl OpeningBudget {
-    /// A budget that begins at `now`.
+    /// Creates a budget at `now`.
     #[must_use]
     pub const fn new(now: Timestamp, per_second: f32) -> Self {
         Self {
             per_second,
-            calm_windows: 0,
+            fitting_windows: 0,
             shrunk_at: now,
         }
     }
 
-    /// Openings a second.
+    /// Returns the number of openings per second.
     #[must_use]
     pub const fn per_second(&self) -> f32 {
         self.per_second
     }
 
-    /// Whether what became of a request shows what the budget does: not before queues have drained, nor if it was
-    /// given up that was asked before.
+    /// Returns whether the outcome of a request reflects the current budget. Answers do once queues
+    /// had time to drain after the last decrease; an unanswered request does if it was sent after it.
     #[must_use]
     pub fn is_reflected_in(&self, now: Timestamp, fate: &AnswerFate) -> bool {
         match *fate {
@@ -69,21 +69,21 @@
         }
     }
 
-    /// Shrinks by the share of requests that was lost beyond what is allowed, or grows by the share that was not
-    /// queued for.
+    /// Decreases the budget by the share of lost requests above the allowance (`excess`), or increases
+    /// it in proportion to the share of requests that were not queued.
     pub fn adjust(&mut self, now: Timestamp, excess: f32, queued_share: f32) {
         if excess > 0.0 {
             self.per_second *= 1.0 - excess.min(MAXIMUM_SHRINK);
             self.shrunk_at = now;
         } else {
-            self.per_second *= 1.0 + GROWTH * (1.0 - queued_share);
+            self.per_second *= 1.0 + MAXIMUM_GROWTH * (1.0 - queued_share);
         }
     }
 
-    /// Takes what was offered in a window, and returns whether overload is over.
+    /// Records the rate offered in a window and returns whether overload is over.
     pub fn record_offered_rate(&mut self, offered: f32) -> bool {
         let fits = offered <= self.per_second;
-        self.calm_windows = if fits { self.calm_windows + 1 } else { 0 };
-        self.calm_windows >= CALM_WINDOWS
+        self.fitting_windows = if fits { self.fitting_windows + 1 } else { 0 };
+        self.fitting_windows >= FITTING_WINDOWS_TO_END
     }
 }
--- a/crates/bellyoke-core/src/cookie/admission/queueing.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -1,85 +1,91 @@
-//! Whether instances queue, as the time of their answers tells.
+//! Detection of request queues at instances from the response times of their answers.
 
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long what an instance last did speaks for it.
+/// How long the last sample of an instance counts.
 const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
 
-/// Instances whose last sample is kept, 40 bytes each.
+/// Maximum number of instances whose last sample is stored, 40 bytes each.
 const MAXIMUM_SAMPLED: usize = 128;
 
-/// Fewer instances tell nothing of a service.
-const LEAST_SAMPLED: usize = 10;
+/// Number of sampled instances below which no conclusion is drawn for the service.
+const MINIMUM_SAMPLED: usize = 10;
 
-/// Share of the sampled instances that are most of them. In overload nine of ten queue; at 0.7 of what instances
-/// bear, with a fifth of them slow, one of two.
-const MOST: f32 = 0.8;
+/// Share of sampled instances that must queue for a service to become overloaded. In overload 90 %
+/// of them queue; at 70 % of capacity with a fifth of the instances slow, half of them do.
+const OVERLOADED_SHARE_THRESHOLD: f32 = 0.8;
 
-/// The same while overload lasts: queues that the budget keeps short go on being overload.
-const MOST_STILL: f32 = 0.5;
+/// Share of sampled instances that must queue for a service to stay overloaded. Lower, because the
+/// budget keeps queues short while overload lasts.
+const STILL_OVERLOADED_SHARE_THRESHOLD: f32 = 0.5;
 
-/// How long an instance that queued may be turning requests away.
-const TURNING_AWAY: Duration = Duration::from_secs(2);
+/// How long after queueing an instance may still be rejecting requests.
+const REJECTION_PERIOD: Duration = Duration::from_secs(2);
 
-/// An instance queues if an answer took so many times as long as in calm. Of answers without a queue one in
-/// ten does, where the time of work scatters by half.
+/// Multiple of the baseline response time from which an answer counts as queued. If processing
+/// times vary by half of their mean, one in ten answers without a queue exceeds it.
 const QUEUED_FACTOR: f32 = 2.0;
 
-/// Step of the calm time of a priority towards a sample, as a part of it: the few samples between the begin of a
-/// burst and its discovery move it by a tenth.
-const CALM_STEP: f32 = 0.01;
+/// Relative step of a baseline towards a sample. The few samples between the start of a burst and
+/// its detection move the baseline by a tenth.
+const BASELINE_STEP: f32 = 0.01;
 
-/// The same for the first sample; a later one moves it by so much divided by their number.
-const FIRST_STEP: f32 = 0.5;
+/// Relative step at the first sample; divided by the number of samples at later ones.
+const INITIAL_BASELINE_STEP: f32 = 0.5;
 
-/// Samples from which the calm time of a priority is known.
-const LEAST_CALM: u32 = 20;
+/// Number of samples from which a baseline is used.
+const MINIMUM_BASELINE_SAMPLES: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
 struct InstanceSample {
     cookie: Cookie,
     at: Timestamp,
     queues: bool,
-    /// When it was last seen to queue.
+    /// When the instance was last observed to queue.
     queued_at: Option<Timestamp>,
 }
 
-/// How long answers take in calm, seconds, and from how many samples that is known.
+/// Response time of a priority without overload, and the number of samples behind it.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     seconds: f32,
     samples: u32,
 }
 
-/// Instances by whether they queue.
+/// Number of sampled instances and of those that queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueingCount {
-    /// Instances of which something was seen of late.
+    /// Instances with a recent sample.
     pub sampled: usize,
-    /// How many of them queue, or don't answer.
+    /// How many of them queue or don't answer.
     pub queueing: usize,
 }
 
 impl QueueingCount {
-    /// Whether most instances queue; `is_overloaded` tells whether they did before.
+    /// Returns whether most instances queue. The threshold is lower if the service is already
+    /// overloaded.
     #[must_use]
     pub fn is_widespread(&self, is_overloaded: bool) -> bool {
-        let most = if is_overloaded { MOST_STILL } else { MOST };
-        self.sampled >= LEAST_SAMPLED && self.queueing as f32 >= self.sampled as f32 * most
+        let threshold = if is_overloaded {
+            STILL_OVERLOADED_SHARE_THRESHOLD
+        } else {
+            OVERLOADED_SHARE_THRESHOLD
+        };
+        self.sampled >= MINIMUM_SAMPLED && self.queueing as f32 >= self.sampled as f32 * threshold
     }
 }
 
-/// What the answers of a service's instances tell of their queues.
+/// Detects which instances of a service queue, from the response times of their answers.
 ///
 /// ```
 /// use bellyoke_core::cookie::admission::queueing::QueueDetector;
 /// use std::time::Duration;
 ///
 /// let mut detector = QueueDetector::default();
-/// assert!(!detector.is_long(0, Duration::from_secs(9)), "nothing is known of calm");
+/// assert!(!detector.is_long(0, Duration::from_secs(9)), "there is no baseline yet");
 /// for _ in 0..20 {
 ///     detector.learn_baseline(0, Duration::from_millis(40));
 /// }
@@ -89,12 +95,12 @@
 #[derive(Debug, Default)]
 pub struct QueueDetector {
     sampled: Vec<InstanceSample>,
-    /// By priority.
-    calm: BTreeMap<u8, Baseline>,
+    /// Response times without overload, by priority.
+    baselines: BTreeMap<u8, Baseline>,
 }
 
 impl QueueDetector {
-    /// Notes whether an instance queues.
+    /// Records whether an instance queues.
     pub fn record(&mut self, now: Timestamp, cookie: Cookie, queues: bool) {
         let new = InstanceSample {
             cookie,
@@ -103,37 +109,38 @@
             queued_at: queues.then_some(now),
         };
         let has_room = self.sampled.len() < MAXIMUM_SAMPLED;
-        let held = self.sampled.iter_mut().find(|held| held.cookie == cookie);
-        match held {
-            Some(held) => {
-                let queued_at = new.queued_at.or(held.queued_at);
-                *held = InstanceSample { queued_at, ..new };
+        let known = self.sampled.iter_mut().find(|known| known.cookie == cookie);
+        match known {
+            Some(known) => {
+                let queued_at = new.queued_at.or(known.queued_at);
+                *known = InstanceSample { queued_at, ..new };
             }
             None if has_room => self.sampled.push(new),
             None => {}
         }
     }
 
-    /// Forgets what is too old to tell anything of an instance.
+    /// Removes outdated samples.
     pub fn expire(&mut self, now: Timestamp) {
-        let is_recent = |sample: &InstanceSample| now.since(sample.at) < TURNING_AWAY;
+        let is_recent = |sample: &InstanceSample| now.since(sample.at) < REJECTION_PERIOD;
         self.sampled.retain(is_recent);
     }
 
-    /// Whether an instance was seen to queue of late, so that a quick short answer of it isn't an error.
+    /// Returns whether the instance queued recently, in which case a fast short answer is a rejection
+    /// rather than an error.
     #[must_use]
     pub fn has_queued(&self, now: Timestamp, cookie: Cookie) -> bool {
         let mut queued = self.sampled.iter().filter(|sample| sample.cookie == cookie);
         let queued_at = queued.next().and_then(|sample| sample.queued_at);
-        queued_at.is_some_and(|at| now.since(at) < TURNING_AWAY)
+        queued_at.is_some_and(|at| now.since(at) < REJECTION_PERIOD)
     }
 
-    /// Forgets all instances; how long answers take in calm stays known.
+    /// Removes all instances; the baselines are kept.
     pub fn forget_instances(&mut self) {
         self.sampled.clear();
     }
 
-    /// The instances of which something was seen of late, and how many of them queue.
+    /// Counts the recently sampled instances and those of them that queue.
     #[must_use]
     pub fn count(&self, now: Timestamp) -> QueueingCount {
         let sampled = self.sampled.iter();
@@ -149,30 +156,31 @@
         }
     }
 
-    /// Whether an answer to a request of this priority took so long that the request has waited in a queue.
+    /// Returns whether the response time of a request of this priority shows that it was queued.
     #[must_use]
     pub fn is_long(&self, priority: u8, after: Duration) -> bool {
-        let calm = self.calm.get(&priority);
-        let calm = calm.filter(|calm| calm.samples >= LEAST_CALM);
-        calm.is_some_and(|calm| after.as_secs_f32() > calm.seconds * QUEUED_FACTOR)
+        let baseline = self.baselines.get(&priority);
+        let baseline = baseline.filter(|baseline| baseline.samples >= MINIMUM_BASELINE_SAMPLES);
+        baseline.is_some_and(|baseline| after.as_secs_f32() > baseline.seconds * QUEUED_FACTOR)
     }
 
-    /// Moves the calm time of a priority towards the median of its answers; what is long moves it half as much.
+    /// Moves the baseline of a priority towards the median of its response times. Response times that
+    /// indicate a queue have half the weight.
     pub fn learn_baseline(&mut self, priority: u8, after: Duration) {
         let is_long = self.is_long(priority, after);
         let seconds = after.as_secs_f32();
-        let calm = self.calm.entry(priority).or_insert(Baseline {
+        let baseline = self.baselines.entry(priority).or_insert(Baseline {
             seconds,
             samples: 0,
         });
-        calm.samples = calm.samples.saturating_add(1);
-        let step = CALM_STEP.max(FIRST_STEP / calm.samples as f32);
+        baseline.samples = baseline.samples.saturating_add(1);
+        let step = BASELINE_STEP.max(INITIAL_BASELINE_STEP / baseline.samples as f32);
         let step = if is_long { step / 2.0 } else { step };
-        let factor = if seconds > calm.seconds {
+        let factor = if seconds > baseline.seconds {
             1.0 + step
         } else {
             1.0 - step
         };
-        calm.seconds *= factor;
+        baseline.seconds *= factor;
     }
 }
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -1,13 +1,15 @@
-//! What a node knows of the load of one service, and how much of it is admitted.
+//! Load of one service as observed by a node, and the share of its openings that is admitted.
 //!
-//! Openings and answers are counted in windows. Overload has two signs, and takes both: most of the instances
-//! that were sampled of late queue, and more requests than allowed are lost. Slow instances alone lose nothing;
-//! failing ones don't queue; a few that do both aren't most.
+//! Openings and answers are counted in windows. Overload requires two conditions: most of the
+//! recently sampled instances queue, and more requests are lost than allowed. Slow instances alone
+//! lose no requests, failing instances don't queue, and a few instances that do both are no
+//! majority.
 //!
-//! While overload lasts a budget of openings a second is given out, from the rate that was served when it began.
-//! After each window it shrinks in the measure of what was lost beyond what is allowed, or grows by a little. It is
-//! a rate, not a share: refused clients come back, which raises what is offered but not what is admitted, and once
-//! what is offered fits the budget nothing is refused.
+//! During overload a budget limits the openings per second. It starts at the rate that was served
+//! when overload was detected. After each window it shrinks by the loss above the allowance or
+//! grows slightly. The budget is a rate rather than a share: refused clients retry, which raises
+//! the offered rate but not the admitted one. Once the offered rate fits the budget, nothing is
+//! refused.
 
 use super::budget::OpeningBudget;
 use super::queueing::{QueueDetector, QueueingCount};
@@ -17,40 +19,42 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Time over which openings and answers are counted. An answer from a full queue takes about 200 ms, so that
-/// a shorter window would act again before it saw what came of it.
+/// Interval over which openings and answers are counted. Answers from a full queue take about
+/// 200 ms; with a shorter window the budget would be adjusted again before an adjustment has shown
+/// its effect.
 const WINDOW: Duration = Duration::from_millis(250);
 
-/// Weight of the last window in the rates.
-const WINDOW_WEIGHT: f32 = 0.5;
+/// Weight of the last window in the moving averages.
+const LAST_WINDOW_WEIGHT: f32 = 0.5;
 
-/// After how many windows without a packet nothing is known any more.
-const FORGET_WINDOWS: u128 = 8;
+/// Number of windows without a packet after which the load statistics are discarded.
+const STALE_WINDOWS: u128 = 8;
 
-/// Samples without which a window says nothing of what is lost.
-const LEAST_SAMPLES: u32 = 8;
+/// Minimum number of samples in a window for an estimate of the loss.
+const MINIMUM_SAMPLES: u32 = 8;
 
-/// Least part of what is offered that the first budget admits: rates of a node that itself stood still for a
-/// moment say nothing.
-const LEAST_FIRST_PART: f32 = 0.25;
+/// Minimum share of the offered rate that the initial budget admits. The rates that a node has
+/// measured are meaningless if the node itself was stalled.
+const MINIMUM_INITIAL_SHARE: f32 = 0.25;
 
-/// Part of the openings of a service below which a route isn't refused. Operators check by single flows
-/// which routes are in force, and take a refusal for the lack of the route; so few cost nothing.
-const LEAST_ROUTE_PART: f32 = 0.05;
+/// Share of a service's openings below which a route is never refused. Operators check with single
+/// flows whether a route is in force and would take a refusal for a missing route. Admitting so few
+/// flows costs nothing.
+const MINIMUM_REFUSABLE_ROUTE_SHARE: f32 = 0.05;
 
-/// Routes whose part is counted; further ones are admitted.
+/// Maximum number of routes that are measured. Openings of further ones are admitted.
 const MAXIMUM_ROUTES: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
 struct ClassMeter {
     class: RequestClass,
-    /// Openings in this window.
+    /// Openings in the current window.
     count: u32,
-    /// Openings a second.
+    /// Openings per second, averaged.
     rate: f32,
-    /// Part that is admitted.
+    /// Share that is admitted.
     share: f32,
-    /// What is owed to the next opening; it is admitted from one on.
+    /// Accumulated share; an opening is admitted when it reaches one.
     credit: f32,
 }
 
@@ -61,36 +65,36 @@
     rate: f32,
 }
 
-/// The load of one service, as one traffic thread sees it.
+/// Load of one service as observed by one traffic thread.
 #[derive(Debug, Default)]
 pub struct ServiceAdmission {
-    began: Timestamp,
-    /// In the order of admission.
+    window_started_at: Timestamp,
+    /// In order of admission.
     classes: Vec<ClassMeter>,
     routes: Vec<RouteMeter>,
-    /// Openings a second in the last window alone.
+    /// Openings per second in the last window.
     offered_last: f32,
-    /// Requests that were answered in this window.
+    /// Requests that were answered in the current window.
     served: u32,
     served_rate: f32,
-    /// The same in the last window alone.
+    /// Requests per second that were answered in the last window.
     served_last: f32,
-    /// Requests that were answered and lost since the last judgement.
+    /// Requests that were answered and lost since the budget was last reviewed.
     answered: u32,
     lost: u32,
-    /// How many of them were queued for.
+    /// How many of them were queued.
     queued: u32,
     lost_share: f32,
     queue_detector: QueueDetector,
-    /// What they told at the end of the last window.
+    /// Sampled and queueing instances at the end of the last window.
     queues: QueueingCount,
-    /// What is admitted; none unless the service is overloaded.
+    /// Admitted rate; `None` unless the service is overloaded.
     budget: Option<OpeningBudget>,
     change: Option<bool>,
 }
 
 impl ServiceAdmission {
-    /// Counts an opening, and returns whether it is admitted.
+    /// Counts an opening and returns whether it is admitted.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -99,10 +103,10 @@
         class: RequestClass,
     ) -> bool {
         self.roll_window(now, settings);
-        let is_refusable = self.count_route(route);
+        let may_refuse = self.count_route(route);
         let meter = self.meter(class);
         meter.count += 1;
-        if meter.share >= 1.0 || !is_refusable {
+        if meter.share >= 1.0 || !may_refuse {
             return true;
         }
         meter.credit += meter.share;
@@ -113,7 +117,7 @@
         admitted
     }
 
-    /// Takes what became of a request.
+    /// Records the outcome of a request.
     pub fn record_answer(
         &mut self,
         now: Timestamp,
@@ -129,7 +133,8 @@
                 }
                 Some(queues)
             }
-            // One that turns away at once is known to queue by its answers; an error of another is no sign of load.
+            // An instance that rejects requests because its queue is full also has slow answers. A fast
+            // short answer of another instance is an error and no sign of load.
             AnswerFate::Short { after } => {
                 let queues = self.queue_detector.is_long(sample.priority, after);
                 if !queues && !self.queue_detector.has_queued(now, sample.cookie) {
@@ -137,7 +142,8 @@
                 }
                 queues.then_some(true)
             }
-            // Who waits for long at an instance that queues waits in its queue. Another one may have died.
+            // A request that waits for long at an instance with a queue waits in that queue. An instance
+            // without a queue may have died.
             AnswerFate::Unanswered { .. } if self.queue_detector.has_queued(now, sample.cookie) => {
                 Some(true)
             }
@@ -164,14 +170,14 @@
         }
     }
 
-    /// Begins a new window if the last one is over.
+    /// Starts a new window if the current one is over.
     pub fn roll_window(&mut self, now: Timestamp, settings: &AdmissionSettings) {
-        let elapsed = now.since(self.began);
+        let elapsed = now.since(self.window_started_at);
         if elapsed < WINDOW {
             return;
         }
-        self.began = now;
-        if elapsed.as_millis() >= WINDOW.as_millis() * FORGET_WINDOWS {
+        self.window_started_at = now;
+        if elapsed.as_millis() >= WINDOW.as_millis() * STALE_WINDOWS {
             self.reset_load();
             return;
         }
@@ -182,7 +188,7 @@
         self.distribute_budget();
     }
 
-    /// The change since the last call, if there is one.
+    /// Returns the change since the last call, if there is one.
     pub fn take_change(&mut self, service: &str) -> Option<AdmissionChange> {
         let overloaded = self.change.take()?;
         Some(AdmissionChange {
@@ -196,14 +202,14 @@
         })
     }
 
-    /// The share of the openings that is admitted by class.
+    /// Returns the admitted share of openings by class.
     pub fn admitted_shares(&self) -> impl Iterator<Item = (RequestClass, f32)> {
         self.classes.iter().map(|meter| (meter.class, meter.share))
     }
 
-    /// Folds the counts of a window into the rates.
+    /// Adds the counts of a window to the moving averages.
     fn count_window(&mut self, seconds: f32) {
-        let blend = |rate: &mut f32, new: f32| *rate += (new - *rate) * WINDOW_WEIGHT;
+        let blend = |rate: &mut f32, new: f32| *rate += (new - *rate) * LAST_WINDOW_WEIGHT;
         let offered: u32 = self.classes.iter().map(|meter| meter.count).sum();
         self.offered_last = offered as f32 / seconds;
         for meter in &mut self.classes {
@@ -214,8 +220,8 @@
             blend(&mut route.rate, route.count as f32 / seconds);
             route.count = 0;
         }
-        let least = 0.05;
-        self.routes.retain(|route| route.rate > least);
+        let minimum_rate = 0.05;
+        self.routes.retain(|route| route.rate > minimum_rate);
         self.served_last = self.served as f32 / seconds;
         blend(&mut self.served_rate, self.served_last);
         self.served = 0;
@@ -223,30 +229,30 @@
 
     fn update_budget(&mut self, now: Timestamp, settings: &AdmissionSettings) {
         let samples = self.answered + self.lost;
-        let is_enough = samples >= LEAST_SAMPLES;
-        if is_enough {
+        let has_enough_samples = samples >= MINIMUM_SAMPLES;
+        if has_enough_samples {
             self.lost_share = self.lost as f32 / samples as f32;
         }
         let queued_share = self.queued as f32 / samples.max(1) as f32;
-        if is_enough || self.budget.is_none() {
+        if has_enough_samples || self.budget.is_none() {
             self.answered = 0;
             self.lost = 0;
             self.queued = 0;
         }
-        // Losses without queues have another cause, which isn't mended by admitting less.
+        // Losses without queues have a cause other than load; admitting less doesn't reduce them.
         let is_widespread = self.queues.is_widespread(self.budget.is_some());
         let lost_share = if is_widespread { self.lost_share } else { 0.0 };
         let excess = lost_share - settings.lost_share;
         let (offered, offered_last) = (self.offered(), self.offered_last);
         let Some(budget) = &mut self.budget else {
-            if is_enough && excess > 0.0 {
-                let first = self.served_last.max(offered * LEAST_FIRST_PART);
-                self.budget = Some(OpeningBudget::new(now, first));
+            if has_enough_samples && excess > 0.0 {
+                let initial = self.served_last.max(offered * MINIMUM_INITIAL_SHARE);
+                self.budget = Some(OpeningBudget::new(now, initial));
                 self.change = Some(true);
             }
             return;
         };
-        if is_enough {
+        if has_enough_samples {
             budget.adjust(now, excess, queued_share);
         }
         if budget.record_offered_rate(offered_last) {
@@ -255,19 +261,19 @@
         }
     }
 
-    /// Gives the budget to the classes in their order. If all that was offered in the last window fits, nothing
-    /// is refused in the next.
+    /// Distributes the budget over the classes in order. If everything offered in the last window fits
+    /// the budget, nothing is refused in the next one.
     fn distribute_budget(&mut self) {
         let budget = self.budget.as_ref().map(OpeningBudget::per_second);
         let budget = budget.filter(|budget| self.offered_last > *budget);
-        let mut left = budget.unwrap_or(f32::INFINITY);
+        let mut remaining = budget.unwrap_or(f32::INFINITY);
         for meter in &mut self.classes {
-            meter.share = if meter.rate <= left {
+            meter.share = if meter.rate <= remaining {
                 1.0
             } else {
-                left / meter.rate
+                remaining / meter.rate
             };
-            left = (left - meter.rate).max(0.0);
+            remaining = (remaining - meter.rate).max(0.0);
         }
     }
 
@@ -289,7 +295,7 @@
         self.classes.iter().map(|meter| meter.rate).sum()
     }
 
-    /// Counts an opening of a route, and returns whether it may be refused.
+    /// Counts an opening of a route and returns whether it may be refused.
     fn count_route(&mut self, address: SocketAddrV4) -> bool {
         let offered = self.offered();
         let found = self
@@ -298,7 +304,7 @@
             .find(|route| route.address == address);
         if let Some(route) = found {
             route.count += 1;
-            return route.rate >= offered * LEAST_ROUTE_PART;
+            return route.rate >= offered * MINIMUM_REFUSABLE_ROUTE_SHARE;
         }
         if self.routes.len() < MAXIMUM_ROUTES {
             self.routes.push(RouteMeter {
--- a/crates/bellyoke-core/src/cookie/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/capacity.rs
@@ -1,7 +1,8 @@
-//! What a node's machine can bear, in few levels, and in which zone it stands.
+//! Capacity of a node's machine, as one of a few classes, and the zone of a node.
 //!
-//! Duties for the whole cluster go to the largest machines first. Nodes tell each other a class
-//! instead of figures, so that machines that are about alike share duties by chance.
+//! Duties for the whole cluster are assigned to the largest machines first. Nodes announce a class
+//! rather than exact figures, so that duties are distributed at random among machines of similar
+//! size.
 
 use crate::cookie::stall::STALL_THRESHOLD;
 use crate::time::Timestamp;
@@ -9,45 +10,46 @@
 use std::time::Duration;
 use twox_hash::XxHash3_64;
 
-/// Cores of a machine of the first class above the least.
+/// Processor cores of a machine of the first class above the smallest.
 const UNIT_CORES: f64 = 0.125;
 
-/// Memory of such a machine, MB. A node takes a few.
+/// Memory of such a machine, MB. A node process takes a few.
 const UNIT_MEMORY_MB: f64 = 64.0;
 
-/// What the link of such a machine carries, Mbit/s. A snapshot of 100 kB takes 64 ms on it.
+/// Link rate of such a machine, Mbit/s. A snapshot of 100 kB takes 64 ms on it.
 const UNIT_LINK_MBPS: f64 = 12.5;
 
-/// So often a unit is doubled: all that has sixteen cores or more is alike.
+/// Maximum number of doublings of a unit. Machines with sixteen cores or more are in one class.
 const HIGHEST_LEVEL: u8 = 7;
 
-/// Keeps the numbers of zones apart from other hashes of names.
-const ZONE_SEED: u64 = 0x7a6f_6e65_0000_0001;
+/// Seed of zone keys; keeps them independent of other hashes of names.
+const ZONE_KEY_SEED: u64 = 0x7a6f_6e65_0000_0001;
 
-/// How late a tick of the control thread may be: ticks come every 100 ms, and one that is later than
-/// that again shows a thread that waits for its processor.
-const LATE_TICK: Duration = Duration::from_millis(200);
+/// Interval between two ticks of the control thread above which the second one is late. Ticks are
+/// due every 100 ms; a delay by another 100 ms means that the thread waited for its processor.
+const LATE_TICK_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// So many late ticks without [`CALM`] between them make a node busy. One alone is nothing.
-const LATE_TICKS: u32 = 3;
+/// Number of late ticks, with less than [`BUSY_PERIOD`] between them, that make a node busy. A
+/// single late tick is insignificant.
+const BUSY_LATE_TICKS: u32 = 3;
 
-/// A node that was on time for so long isn't busy any more. As long as a claim counts, so that a
-/// duty doesn't go to and fro.
-const CALM: Duration = Duration::from_secs(5);
+/// Time without late ticks after which a node isn't busy any more. Equals the lifetime of a claim,
+/// so that a duty doesn't alternate between nodes.
+const BUSY_PERIOD: Duration = Duration::from_secs(5);
 
-/// What a machine has, as far as that is told.
+/// Resources of a machine, as far as known.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineCapacity {
-    /// Processor time, cores.
+    /// Processor cores; may be fractional.
     pub cores: Option<f64>,
     /// Memory, MB.
     pub memory_mb: Option<f64>,
-    /// What its link carries, Mbit/s.
+    /// Rate of its link, Mbit/s.
     pub link_mbps: Option<f64>,
 }
 
 impl MachineCapacity {
-    /// The class, by the scarcest of what the machine has. What isn't told counts as little.
+    /// Returns the class of the scarcest resource. Unknown resources count as smallest.
     ///
     /// ```
     /// use bellyoke_core::cookie::capacity::{CapacityClass, MachineCapacity};
@@ -57,8 +59,8 @@
     ///     memory_mb: Some(512.0),
     ///     link_mbps: Some(200.0),
     /// };
-    /// let thin = MachineCapacity { link_mbps: Some(10.0), ..large };
-    /// assert!(large.class() > thin.class());
+    /// let slow_link = MachineCapacity { link_mbps: Some(10.0), ..large };
+    /// assert!(large.class() > slow_link.class());
     /// assert_eq!(MachineCapacity::default().class(), CapacityClass::SMALLEST);
     /// ```
     #[must_use]
@@ -73,18 +75,18 @@
     }
 }
 
-/// How often a unit must be doubled to be more than an amount; none of what is less than a unit.
+/// Returns the level of an amount: zero below `unit`, one from `unit` on, and one more per doubling.
 fn level(amount: Option<f64>, unit: f64) -> u8 {
     let mut level = 0;
-    let mut reached = unit;
-    while level < HIGHEST_LEVEL && amount.is_some_and(|amount| amount >= reached) {
+    let mut threshold = unit;
+    while level < HIGHEST_LEVEL && amount.is_some_and(|amount| amount >= threshold) {
         level += 1;
-        reached *= 2.0;
+        threshold *= 2.0;
     }
     level
 }
 
-/// How much a machine can bear: each class twice as much as the one below.
+/// Capacity class of a machine. Each class has twice the capacity of the one below.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct CapacityClass(u8);
 
@@ -95,22 +97,22 @@
 }
 
 impl CapacityClass {
-    /// How many times as much as the least of machines.
+    /// Returns the weight as a multiple of that of the smallest class.
     #[must_use]
     pub fn relative_weight(self) -> f64 {
         f64::from(self.weight()) / f64::from(Self::SMALLEST.weight())
     }
 
-    /// Too busy for more at the moment, whatever the machine has.
+    /// Temporarily too busy for further duties, whatever the capacity of the machine.
     pub const BUSY: Self = Self(0);
 
-    /// Less than a unit of something, or not told.
+    /// Some resource is below its unit, or is unknown.
     pub const SMALLEST: Self = Self(1);
 
-    /// The largest.
+    /// The largest class.
     pub const LARGEST: Self = Self(Self::SMALLEST.0 + HIGHEST_LEVEL);
 
-    /// The class of a number; larger ones are the largest.
+    /// Returns the class with this number; numbers above the largest class are clamped to it.
     #[must_use]
     pub const fn new(number: u8) -> Self {
         if number > Self::LARGEST.0 {
@@ -120,27 +122,28 @@
         }
     }
 
-    /// Its number.
+    /// Returns the number of the class.
     #[must_use]
     pub const fn number(self) -> u8 {
         self.0
     }
 
-    /// Its share of what is spread over machines by what they can bear.
+    /// Returns the relative share of work that is distributed by capacity.
     #[must_use]
     pub const fn weight(self) -> u32 {
         1 << Self::new(self.0).0
     }
 }
 
-/// Key of a zone, from its name, as nodes tell it each other. Two zones with one key count as one.
+/// Key of a zone in messages between nodes, derived from its name. Zones whose keys collide are
+/// treated as one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize,
 )]
 pub struct ZoneKey(pub u16);
 
 impl ZoneKey {
-    /// The key of a zone; zero where none is told.
+    /// Returns the key of a zone; zero for an empty name.
     ///
     /// ```
     /// use bellyoke_core::cookie::capacity::ZoneKey;
@@ -153,22 +156,23 @@
         if name.is_empty() {
             return Self::default();
         }
-        let hash = XxHash3_64::oneshot_with_seed(ZONE_SEED, name.as_bytes());
+        let hash = XxHash3_64::oneshot_with_seed(ZONE_KEY_SEED, name.as_bytes());
         let [low, high, ..] = hash.to_le_bytes();
         Self(u16::from_le_bytes([low, high]))
     }
 }
 
-/// Where a node stands, and how much its machine can bear.
+/// Zone of a node and capacity class of its machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct NodePlace {
-    /// Its zone.
+    /// Key of the zone.
     pub zone: ZoneKey,
-    /// Its class.
+    /// Capacity class of the machine.
     pub class: CapacityClass,
 }
 
-/// Whether a node is too busy for duties that others can take: its own ticks tell.
+/// Detects from the delays of a node's own ticks that it is too busy for duties that other nodes
+/// can take.
 ///
 /// ```
 /// use bellyoke_core::cookie::capacity::BusyDetector;
@@ -189,27 +193,32 @@
 }
 
 impl BusyDetector {
-    /// A tick. One so late that the process stood still counts as many.
+    /// Records a tick. A delay so long that the process was stalled counts as several late ticks.
     pub fn tick(&mut self, now: Timestamp) {
         let gap = self.last_tick_at.replace(now).map(|last| now.since(last));
-        let Some(gap) = gap.filter(|gap| *gap > LATE_TICK) else {
+        let Some(gap) = gap.filter(|gap| *gap > LATE_TICK_THRESHOLD) else {
             return;
         };
         if !self.was_late_recently(now) {
             self.late_ticks = 0;
         }
         self.last_late_at = Some(now);
-        let count = if gap > STALL_THRESHOLD { LATE_TICKS } else { 1 };
+        let count = if gap > STALL_THRESHOLD {
+            BUSY_LATE_TICKS
+        } else {
+            1
+        };
         self.late_ticks = self.late_ticks.saturating_add(count);
     }
 
-    /// Whether several ticks of late were late.
+    /// Returns whether several recent ticks were late.
     #[must_use]
     pub fn is_busy(&self, now: Timestamp) -> bool {
-        self.late_ticks >= LATE_TICKS && self.was_late_recently(now)
+        self.late_ticks >= BUSY_LATE_TICKS && self.was_late_recently(now)
     }
 
     fn was_late_recently(&self, now: Timestamp) -> bool {
-        self.last_late_at.is_some_and(|late| now.since(late) < CALM)
+        self.last_late_at
+            .is_some_and(|late| now.since(late) < BUSY_PERIOD)
     }
 }
--- a/crates/bellyoke-core/src/cookie/link/losses.rs
+++ b/crates/bellyoke-core/src/cookie/link/losses.rs
@@ -1,27 +1,29 @@
-//! Noticing from what senders repeat that data was lost.
+//! Detection of lost data from what senders repeat.
 //!
-//! A sender that misses an acknowledgement falls silent, since its window is full, and after its time-out
-//! sends the oldest data again. Once that is acknowledged it repeats the rest of the window, most of which
-//! had arrived. So only data that comes again *after a pause of its flow* was lost.
+//! A sender that misses an acknowledgement stops sending, because its window is full, and repeats
+//! the oldest data after its retransmission timeout. Once that is acknowledged, it repeats the rest
+//! of the window, most of which had arrived. Therefore only data that is repeated *after a pause of
+//! its flow* counts as lost.
 
 use super::OutgoingPacket;
 use crate::cookie::seen::{SeenTable, data_key};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Data packets and flows that are remembered. Powers of two; what takes another one's place
-/// costs only the notice of a loss.
-const DATA_PLACES: usize = 2_048;
-const FLOW_PLACES: usize = 512;
+/// Sizes of the tables of data packets and flows. Both are powers of two. An entry that is
+/// overwritten by another one only means that a loss isn't detected.
+const DATA_TABLE_SIZE: usize = 2_048;
+const FLOW_TABLE_SIZE: usize = 512;
 
-/// Data that comes again sooner is a copy of the network's, or was held back here for long: senders
-/// wait 200 ms for an acknowledgement.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(150);
+/// Minimum time after which repeated data counts as lost. Data that is repeated sooner was
+/// duplicated by the network or delayed in this node's queue: senders wait 200 ms for an
+/// acknowledgement.
+const MINIMUM_REPEAT_DELAY: Duration = Duration::from_millis(150);
 
-/// How long a flow has been silent before its sender's time-out, at least.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum pause of a flow before its sender's retransmission timeout.
+const MINIMUM_FLOW_PAUSE: Duration = Duration::from_millis(100);
 
-/// What was sent last, and which flows were heard.
+/// Recently sent data, and flows from which packets were recently received.
 #[derive(Debug)]
 pub struct LossDetector {
     data: SeenTable,
@@ -31,26 +33,27 @@
 impl Default for LossDetector {
     fn default() -> Self {
         Self {
-            data: SeenTable::new(DATA_PLACES),
-            flows: SeenTable::new(FLOW_PLACES),
+            data: SeenTable::new(DATA_TABLE_SIZE),
+            flows: SeenTable::new(FLOW_TABLE_SIZE),
         }
     }
 }
 
 impl LossDetector {
-    /// A data packet has come from its sender. Returns whether it tells that what was sent before
-    /// got lost.
+    /// Records a data packet that was received from its sender. Returns whether it repeats data that
+    /// was lost after it had been sent.
     pub fn record_received(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
-        let paused = self.flows.seen_at(flow);
+        let last_received_at = self.flows.seen_at(flow);
         self.flows.note(now, flow);
-        let sent = self.data.seen_at(key_of(packet));
-        let longer =
-            |since: Option<Timestamp>, least| since.is_some_and(|at| now.since(at) >= least);
-        longer(paused, SHORTEST_PAUSE) && longer(sent, SHORTEST_TIMEOUT)
+        let last_sent_at = self.data.seen_at(key_of(packet));
+        let has_passed =
+            |since: Option<Timestamp>, minimum| since.is_some_and(|at| now.since(at) >= minimum);
+        has_passed(last_received_at, MINIMUM_FLOW_PAUSE)
+            && has_passed(last_sent_at, MINIMUM_REPEAT_DELAY)
     }
 
-    /// A data packet is sent. Returns whether it is new, as far as is remembered.
+    /// Records a data packet that is sent. Returns whether its data is new, as far as recorded.
     pub fn record_sent(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let key = key_of(packet);
         let is_new = self.data.seen_at(key).is_none();
--- a/crates/bellyoke-core/src/cookie/link/mod.rs
+++ b/crates/bellyoke-core/src/cookie/link/mod.rs
@@ -1,12 +1,12 @@
-//! The node's own link, as far as a sender can see it: pacing of bulk data.
+//! Pacing of bulk data on the node's own link.
 //!
-//! Senders of bulk data put a whole window on the wire at once. A node on a thin link would send it on
-//! as fast, and its link drops what its short queue doesn't hold; the sender then waits for its
-//! time-out, sends the window again, and most of it is dropped again. Nobody tells a node how wide its
-//! link is, but data that comes a second time was lost: [`rate`] learns from that, [`sent`] remembers
-//! what was sent, and [`LinkPacer`] spreads bulk data over time at the learned rate, with a bounded
-//! queue. Nothing is paced until data was lost. Short packets (openings, acknowledgements, short
-//! requests) never wait.
+//! Senders of bulk data send a whole window at once. A node on a low-bandwidth link would forward
+//! it as fast, and the link drops what exceeds its short queue. The sender then waits for its
+//! retransmission timeout and sends the window again, most of which is dropped again. A node
+//! isn't configured with the rate of its link, but data that arrives a second time was lost:
+//! [`losses`] detects such losses, [`rate`] estimates the link rate from them, and [`LinkPacer`]
+//! spreads bulk data over time at this rate, with a bounded queue. Nothing is paced before losses
+//! occur. Short packets (openings, acknowledgements, short requests) are never delayed.
 
 pub mod losses;
 pub mod rate;
@@ -17,24 +17,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Packets of fewer bytes are never held back, and their loss tells nothing of the link.
+/// Minimum length of bulk packets, bytes. Shorter packets are never delayed, and their loss is no
+/// evidence about the link.
 pub const BULK_MINIMUM_BYTES: usize = 1_000;
 
-/// What may be sent at once after a pause, bytes: some full packets.
-const BURST_ALLOWANCE: f32 = 5_000.0;
+/// Data that may be sent at once after a pause, bytes: a few full packets.
+const BURST_ALLOWANCE_BYTES: f32 = 5_000.0;
 
-/// Most packets that wait. Each sender has a window of packets under way, so that these are a few
-/// windows.
+/// Capacity of the queue. Each sender has up to a window of packets in flight, so the queue holds
+/// a few windows.
 pub const MAXIMUM_QUEUED_PACKETS: usize = 256;
 
-/// A packet that is to be sent.
+/// A packet to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutgoingPacket {
     /// Hash of its flow.
     pub flow_hash: u64,
-    /// Sequence number of its first byte of data; none without data.
+    /// Sequence number of its first data byte; `None` without data.
     pub data_sequence: Option<u32>,
-    /// Its bytes on the link.
+    /// Length on the link, bytes.
     pub length: usize,
 }
 
@@ -44,16 +45,16 @@
     }
 }
 
-/// When a packet goes.
+/// When a packet is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// At once.
+    /// Immediately.
     Now,
-    /// The host hands it to [`LinkPacer::enqueue`].
+    /// Later; the caller passes it to [`LinkPacer::enqueue`].
     Enqueue,
-    /// Not at all: the same data waits already.
+    /// Never: the same data is already queued.
     Duplicate,
-    /// Not at all: too much waits.
+    /// Never: the queue is full.
     QueueFull,
 }
 
@@ -63,7 +64,7 @@
     payload: Payload,
 }
 
-/// Paces the packets of one sender. `Payload` is what the host needs to send a packet that was held.
+/// Paces the packets of one sender. `Payload` is what the caller needs to send a queued packet.
 ///
 /// ```
 /// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
@@ -73,14 +74,14 @@
 /// let bulk = |sequence| OutgoingPacket { flow_hash: 7, data_sequence: Some(sequence), length: 1_200 };
 /// let mut pacer = LinkPacer::default();
 /// for sequence in 0..16 {
-///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendDecision::Now, "nothing was lost yet");
+///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendDecision::Now, "no loss so far");
 /// }
-/// // The sender repeats what was lost: from now on a window is spread.
+/// // The sender repeats lost data; from then on a window is spread over time.
 /// for (milliseconds, sequence) in [(200, 12), (400, 13), (600, 14), (800, 15)] {
 ///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendDecision::Now);
 /// }
-/// let held = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendDecision::Enqueue);
-/// assert!(held.count() > 8);
+/// let queued = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendDecision::Enqueue);
+/// assert!(queued.count() > 8);
 /// # pacer.enqueue(bulk(20), ());
 /// ```
 #[derive(Debug)]
@@ -88,7 +89,7 @@
     rate: LinkRate,
     losses: LossDetector,
     queue: VecDeque<QueuedPacket<Payload>>,
-    /// When the link will have carried all that was sent, if it carries the learned rate.
+    /// When the link will have transmitted everything that was sent, at the estimated rate.
     clear_at: Timestamp,
 }
 
@@ -104,7 +105,7 @@
 }
 
 impl<Payload> LinkPacer<Payload> {
-    /// Whether a packet may be sent at `now`. If so it counts as sent.
+    /// Returns whether a packet may be sent at `now`, in which case it is recorded as sent.
     pub fn offer(&mut self, now: Timestamp, packet: &OutgoingPacket) -> SendDecision {
         if !packet.is_bulk() {
             self.count(now, packet);
@@ -128,54 +129,54 @@
         SendDecision::Enqueue
     }
 
-    /// Keeps a packet that goes later.
+    /// Queues a packet for later.
     pub fn enqueue(&mut self, packet: OutgoingPacket, payload: Payload) {
         self.queue.push_back(QueuedPacket { packet, payload });
     }
 
-    /// The next packet that may be sent at `now`. It counts as sent.
+    /// Returns the next packet that may be sent at `now` and records it as sent.
     pub fn next_due(&mut self, now: Timestamp) -> Option<Payload> {
         if !self.has_room(now) {
             return None;
         }
-        let held = self.queue.pop_front()?;
-        self.count(now, &held.packet);
-        Some(held.payload)
+        let queued = self.queue.pop_front()?;
+        self.count(now, &queued.packet);
+        Some(queued.payload)
     }
 
-    /// When the next packet that waits may be sent; none if none waits.
+    /// Returns when the next queued packet may be sent; `None` if the queue is empty.
     #[must_use]
     pub fn next_due_at(&self) -> Option<Timestamp> {
         self.queue.front()?;
-        // Once pacing has ended, all that waits goes at once.
+        // Once pacing has ended, all queued packets are due at once.
         let due = |allowance| self.clear_at.before(allowance);
         Some(self.allowance().map_or(Timestamp::ZERO, due))
     }
 
-    /// Packets that wait.
+    /// Returns the number of queued packets.
     #[must_use]
     pub fn queued_packets(&self) -> usize {
         self.queue.len()
     }
 
-    /// The learned rate, bytes a second; none while nothing is paced.
+    /// Returns the estimated link rate, bytes per second; `None` while nothing is paced.
     #[must_use]
     pub fn bytes_per_second(&self) -> Option<f32> {
         self.rate.bytes_per_second()
     }
 
     fn is_queued(&self, packet: &OutgoingPacket) -> bool {
-        let same = |held: &QueuedPacket<Payload>| {
-            held.packet.flow_hash == packet.flow_hash
-                && held.packet.data_sequence == packet.data_sequence
+        let same = |queued: &QueuedPacket<Payload>| {
+            queued.packet.flow_hash == packet.flow_hash
+                && queued.packet.data_sequence == packet.data_sequence
         };
         self.queue.iter().any(same)
     }
 
-    /// How far ahead of the link packets may be sent; none while nothing is paced.
+    /// Returns how far ahead of the link packets may be sent; `None` while nothing is paced.
     fn allowance(&self) -> Option<Duration> {
         let rate = self.rate.bytes_per_second()?;
-        Some(Duration::from_secs_f32(BURST_ALLOWANCE / rate))
+        Some(Duration::from_secs_f32(BURST_ALLOWANCE_BYTES / rate))
     }
 
     fn has_room(&self, now: Timestamp) -> bool {
--- a/crates/bellyoke-core/src/cookie/link/rate.rs
+++ b/crates/bellyoke-core/src/cookie/link/rate.rs
@@ -1,68 +1,71 @@
-//! The rate that the node's own link carries, learned from what was lost.
+//! Estimation of the rate of the node's own link from losses.
 //!
-//! Additive increase would take long on links of which nothing is known, so increase and decrease are both
-//! multiplicative. The first rate is that of the busiest moment before the losses. A rate that is not used
-//! isn't tried either: it grows only while packets are held back for it, or when nothing was lost for long.
+//! With additive increase, convergence would take long on a link of unknown rate, so increase and
+//! decrease are both multiplicative. The initial rate is that of the busiest interval before the
+//! losses. A rate that isn't used isn't verified either, so the rate grows only while packets are
+//! delayed because of it, or after a long time without losses.
 //!
-//! Losses need not be the link's: a network may lose packets at random, whatever is sent. So pacing is on
-//! trial: where it doesn't make losses rarer, it ends, and isn't tried again for a while.
+//! Losses may have causes other than the link: a network may drop packets at random regardless of
+//! the rate. Pacing is therefore on trial. If it doesn't reduce the losses, it ends and isn't tried
+//! again for a while.
 
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Span over which a burst is measured.
+/// Interval over which the size of a burst is measured.
 const BURST_WINDOW: Duration = Duration::from_millis(50);
 
-/// What is left of the busiest moment after each further window.
+/// Decay of the largest burst in each further window.
 const BURST_DECAY: f32 = 0.95;
 
-/// The first rate spreads the busiest moment over so long: half of a sender's time-out.
-const FIRST_SPREAD: Duration = Duration::from_millis(100);
+/// Interval over which the initial rate spreads the largest burst: half of a sender's
+/// retransmission timeout.
+const INITIAL_SPREAD: Duration = Duration::from_millis(100);
 
-/// Losses before anything is paced: fewer say little of how often they come.
-const LOSSES_TO_PACE: f32 = 3.0;
+/// Number of losses before pacing begins. Fewer are too few to estimate the loss ratio.
+const MINIMUM_LOSSES_TO_PACE: f32 = 3.0;
 
-/// Share of packets that must have been lost. A link that is too thin for a burst loses more.
-const LEAST_SHARE: f32 = 0.04;
+/// Loss ratio below which nothing is paced. A link that is too slow for a burst loses more.
+const MINIMUM_LOSS_RATIO: f32 = 0.04;
 
-/// Factor by which a loss lowers the rate.
-const DECREASE: f32 = 0.8;
+/// Factor by which a loss decreases the rate.
+const DECREASE_FACTOR: f32 = 0.8;
 
-/// Shortest time between two decreases: what was lost together counts once.
+/// Minimum time between two decreases. Packets that are lost together count as one loss.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Factor by which the rate grows in each step.
-const INCREASE: f32 = 1.02;
+const INCREASE_FACTOR: f32 = 1.02;
 
-/// Time of a step.
+/// Interval between two increases.
 const INCREASE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After so long without a loss the rate grows though nothing is held back.
-const QUIET: Duration = Duration::from_secs(5);
+/// Time without a loss after which the rate grows even if no packet is delayed.
+const LOSS_FREE_PERIOD: Duration = Duration::from_secs(5);
 
-/// Most steps that are made up for after a pause.
-const MOST_STEPS: u32 = 50;
+/// Maximum number of steps that are made up for after a pause.
+const MAXIMUM_STEPS: u32 = 50;
 
-/// The lowest rate, bytes a second.
-const LOWEST: f32 = 60_000.0;
+/// Lower bound of the rate.
+const MINIMUM_BYTES_PER_SECOND: f32 = 60_000.0;
 
-/// Pacing ends when the rate is so many times that of the busiest moment.
-const RELEASE: f32 = 4.0;
+/// Multiple of the initial rate at which pacing ends.
+const END_RATE_FACTOR: f32 = 4.0;
 
-/// Losses after which pacing is judged.
-const LOSSES_TO_JUDGE: f32 = 6.0;
+/// Number of losses after which the effect of pacing is evaluated.
+const LOSSES_TO_EVALUATE: f32 = 6.0;
 
-/// Pacing ends unless it brings the share of lost packets below this part of what it was.
-const LEAST_GAIN: f32 = 0.6;
+/// Pacing ends unless it reduces the loss ratio below this fraction of its former value.
+const MAXIMUM_REMAINING_LOSS: f32 = 0.6;
 
-/// How long pacing that brought nothing isn't tried again; doubles with each time in a row.
-const HOLD_OFF: Duration = Duration::from_secs(10);
+/// Time until ineffective pacing is tried again. Doubles with each consecutive failure.
+const RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// Most doublings.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum number of doublings of [`RETRY_DELAY`].
+const MAXIMUM_DOUBLINGS: u32 = 3;
 
-/// Losses for each new packet, the latest counting most. Repeated packets are left out, since a loss has many
-/// of them sent again.
+/// Losses per new packet, weighted towards recent ones. Repeated packets aren't counted, because
+/// one loss causes many of them.
 #[derive(Clone, Copy, Debug, Default)]
 struct LossRatio {
     packets: f32,
@@ -70,7 +73,7 @@
 }
 
 impl LossRatio {
-    /// Packets after which both counts are halved.
+    /// Number of packets after which both counts are halved.
     const HALVING_PACKETS: f32 = 400.0;
 
     fn record_sent(&mut self) {
@@ -86,40 +89,40 @@
     }
 }
 
-/// Pacing under way.
+/// State of active pacing.
 #[derive(Clone, Copy, Debug)]
 struct Pacing {
     bytes_per_second: f32,
-    /// The rate at which it ends.
+    /// Rate at which pacing ends.
     end_at_bytes_per_second: f32,
-    /// Share of packets that were lost before.
+    /// Loss ratio before pacing.
     ratio_before: f32,
     increased_at: Timestamp,
 }
 
-/// What the link carries, as far as is known.
+/// Estimate of the rate of the link.
 #[derive(Debug, Default)]
 pub struct LinkRate {
-    /// None while nothing is paced.
+    /// `None` while nothing is paced.
     pacing: Option<Pacing>,
-    /// Since pacing began or ended.
+    /// Loss ratio since pacing began or ended.
     losses: LossRatio,
     last_loss_at: Timestamp,
     retry_at: Timestamp,
-    /// Trials in a row that brought nothing.
+    /// Number of consecutive trials of pacing that didn't reduce losses.
     failed_trials: u32,
     was_delayed: bool,
     burst: BurstMeter,
 }
 
 impl LinkRate {
-    /// The learned rate, bytes a second; none while nothing is paced.
+    /// Returns the estimated rate, bytes per second; `None` while nothing is paced.
     #[must_use]
     pub fn bytes_per_second(&self) -> Option<f32> {
         Some(self.pacing?.bytes_per_second)
     }
 
-    /// A data packet of so many bytes is sent, one that was not sent before if it is new.
+    /// Records that a data packet of `length` bytes is sent. `is_new` is false for repeated data.
     pub fn record_sent(&mut self, now: Timestamp, length: usize, is_new: bool) {
         self.burst.record_sent(now, length);
         if is_new {
@@ -128,7 +131,7 @@
         self.increase_rate(now);
     }
 
-    /// Data that was sent got lost.
+    /// Records that data was lost after it had been sent.
     pub fn record_loss(&mut self, now: Timestamp) {
         if now.since(self.last_loss_at) < DECREASE_INTERVAL {
             return;
@@ -141,21 +144,22 @@
         }
     }
 
-    /// A packet was held back for the rate.
+    /// Records that a packet was delayed because of the rate.
     pub const fn record_delayed(&mut self) {
         self.was_delayed = true;
     }
 
     fn begin_pacing(&mut self, now: Timestamp) {
-        let rare = self.losses.losses < LOSSES_TO_PACE || self.losses.ratio() < LEAST_SHARE;
-        if rare || now < self.retry_at {
+        let is_rare =
+            self.losses.losses < MINIMUM_LOSSES_TO_PACE || self.losses.ratio() < MINIMUM_LOSS_RATIO;
+        if is_rare || now < self.retry_at {
             return;
         }
-        let rate = self.burst.busiest_bytes() / FIRST_SPREAD.as_secs_f32();
-        let rate = rate.max(LOWEST);
+        let rate = self.burst.busiest_bytes() / INITIAL_SPREAD.as_secs_f32();
+        let rate = rate.max(MINIMUM_BYTES_PER_SECOND);
         self.pacing = Some(Pacing {
             bytes_per_second: rate,
-            end_at_bytes_per_second: rate * RELEASE,
+            end_at_bytes_per_second: rate * END_RATE_FACTOR,
             ratio_before: self.losses.ratio(),
             increased_at: now,
         });
@@ -163,19 +167,20 @@
     }
 
     fn decrease_rate(&mut self, now: Timestamp, mut pacing: Pacing) {
-        let judged = self.losses.losses >= LOSSES_TO_JUDGE;
-        if judged && self.losses.ratio() > pacing.ratio_before * LEAST_GAIN {
+        let can_evaluate = self.losses.losses >= LOSSES_TO_EVALUATE;
+        if can_evaluate && self.losses.ratio() > pacing.ratio_before * MAXIMUM_REMAINING_LOSS {
             self.abandon_pacing(now);
             return;
         }
-        pacing.bytes_per_second = (pacing.bytes_per_second * DECREASE).max(LOWEST);
+        pacing.bytes_per_second =
+            (pacing.bytes_per_second * DECREASE_FACTOR).max(MINIMUM_BYTES_PER_SECOND);
         self.pacing = Some(pacing);
     }
 
-    /// Pacing makes losses no rarer: they aren't the link's.
+    /// Ends pacing that hasn't reduced losses, which therefore aren't caused by the link.
     fn abandon_pacing(&mut self, now: Timestamp) {
-        let doublings = self.failed_trials.min(MOST_DOUBLINGS);
-        self.retry_at = now.after(HOLD_OFF * (1 << doublings));
+        let doublings = self.failed_trials.min(MAXIMUM_DOUBLINGS);
+        self.retry_at = now.after(RETRY_DELAY * (1 << doublings));
         self.failed_trials += 1;
         self.end_pacing();
     }
@@ -184,8 +189,8 @@
         let Some(mut pacing) = self.pacing else {
             return;
         };
-        let passed = now.since(pacing.increased_at);
-        if passed < INCREASE_INTERVAL {
+        let elapsed = now.since(pacing.increased_at);
+        if elapsed < INCREASE_INTERVAL {
             return;
         }
         let steps = match (
@@ -193,11 +198,11 @@
             now.since(self.last_loss_at),
         ) {
             (true, _) => 1,
-            (false, quiet) if quiet >= QUIET => elapsed_steps(passed),
+            (false, loss_free) if loss_free >= LOSS_FREE_PERIOD => elapsed_steps(elapsed),
             (false, _) => 0,
         };
         pacing.increased_at = now;
-        pacing.bytes_per_second *= INCREASE.powi(steps);
+        pacing.bytes_per_second *= INCREASE_FACTOR.powi(steps);
         self.pacing = Some(pacing);
         if pacing.bytes_per_second >= pacing.end_at_bytes_per_second {
             self.failed_trials = 0;
@@ -211,13 +216,15 @@
     }
 }
 
-fn elapsed_steps(passed: Duration) -> i32 {
-    let steps = passed.as_millis() / INCREASE_INTERVAL.as_millis();
-    let steps = u32::try_from(steps).unwrap_or(MOST_STEPS).min(MOST_STEPS);
+fn elapsed_steps(elapsed: Duration) -> i32 {
+    let steps = elapsed.as_millis() / INCREASE_INTERVAL.as_millis();
+    let steps = u32::try_from(steps)
+        .unwrap_or(MAXIMUM_STEPS)
+        .min(MAXIMUM_STEPS);
     i32::try_from(steps).unwrap_or_default()
 }
 
-/// Bytes sent in the busiest of the last moments.
+/// Number of bytes sent in the busiest recent window.
 #[derive(Debug, Default)]
 struct BurstMeter {
     window_start: Timestamp,
