--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -1,13 +1,15 @@
-//! Which zone goes first for a new flow.
+//! Choice of the zone for a new flow.
 //!
-//! A flow that stays in its node's own zone is answered sooner, and its bytes cost less. So the own zone goes
-//! first, and a share of the openings goes elsewhere: as much as its part in what instances can take is
-//! smaller than its part in the traffic, and, step by step, as long as its instances answer later than it
-//! costs to cross. Shares change little at a time, so nodes that decide apart don't swing together.
+//! Flows that stay in their node's own zone are answered sooner, and their traffic costs less. The
+//! own zone is therefore preferred, and a share of the openings spills to other zones: if the own
+//! zone has a smaller part of the capacity than of the traffic, and, in steps, while its instances
+//! answer later than a flow to another zone would be answered. Shares change in small steps, so
+//! that nodes that decide independently don't oscillate together.
 //!
-//! What is known of zones is observed: the time from an opening to the next packet of its flow tells the
-//! distance, that from a request to its first acknowledgement work and queue, and openings that come to nothing
-//! a zone that loses. Nothing here has a clock or a socket.
+//! All inputs are observed by the node: the time from an opening to the next packet of its flow
+//! gives the delay to a zone, the time from a request to its first acknowledgement gives processing
+//! and queueing time, and incomplete openings show that a zone is failing. This module has neither
+//! a clock nor a socket.
 
 use crate::cookie::answers::AnswerSample;
 use crate::cookie::placement::mix;
@@ -29,31 +31,31 @@
 use share::{ServiceSpill, ZoneView};
 use utilization::TrafficEstimate;
 
-/// Time between two changes of a share. Long enough that some dozen requests of a node of a busy service
-/// are answered in it, short against the seconds that a surge lasts.
+/// Interval between two adjustments of a share. A node of a busy service sees a few dozen answers in
+/// it, and it is short compared with the seconds that a surge lasts.
 pub const ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How a zone ranks for one opening. The order is that of preference.
+/// Rank of a zone for one opening, in ascending order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneRank {
-    /// Openings in it come to nothing.
+    /// Openings to it don't complete.
     Failing,
-    /// Only if the first has nothing as suitable.
+    /// Used only if the preferred zones have no instance of equal suitability.
     Fallback,
-    /// It is tried first.
+    /// Tried first.
     Preferred,
 }
 
-/// How all zones rank for one opening.
+/// Ranks of all zones for one opening.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneRanks<'preference> {
     preference: &'preference ZonePreference,
-    /// Whether the opening is sent to other zones.
+    /// Whether the opening is sent to another zone.
     is_spilled: bool,
 }
 
 impl ZoneRanks<'_> {
-    /// The rank of one zone.
+    /// Returns the rank of a zone.
     #[must_use]
     pub fn of(&self, zone: ZoneNumber) -> ZoneRank {
         let Some(own) = self.preference.own else {
@@ -70,31 +72,31 @@
     }
 }
 
-/// Openings by the zone that they were sent to.
+/// Number of openings by the zone that they were sent to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZonePlacements {
-    /// The node's own zone.
+    /// To the node's own zone.
     pub own: u64,
-    /// Other zones, or any while the own one isn't known.
+    /// To other zones, or to any zone while the own one is unknown.
     pub other: u64,
 }
 
-/// Shares that changed notably.
+/// Notable change of the spill shares of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillChange {
     /// The service.
     pub service: ServiceNumber,
     /// Shares of its openings that are sent to other zones.
     pub shares: SpillShares,
-    /// From request to answer in the own zone of late, if that is known.
+    /// Recent mean time from request to answer in the own zone, if known.
     pub own_delay: Option<Duration>,
-    /// The same in other zones.
+    /// Recent mean time from request to answer in other zones, if known.
     pub other_delay: Option<Duration>,
-    /// How much later flows open in other zones, if that is known.
+    /// How much longer flows take to open in other zones, if known.
     pub crossing_delay: Option<Duration>,
 }
 
-/// One traffic thread's choice of zones.
+/// Choice of zones of one traffic thread.
 ///
 /// ```
 /// use bellyoke_core::cookie::locality::{ZonePreference, ZoneRank};
@@ -102,28 +104,28 @@
 ///
 /// let unknown = ZonePreference::new("");
 /// let ranks = unknown.ranks(ServiceNumber(0), 7);
-/// assert_eq!(ranks.of(ZoneNumber(0)), ZoneRank::Fallback, "all zones are alike");
+/// assert_eq!(ranks.of(ZoneNumber(0)), ZoneRank::Fallback, "no zone is preferred");
 /// ```
 #[derive(Clone, Debug)]
 pub struct ZonePreference {
-    /// Name of the node's own zone; empty if all zones are alike.
+    /// Name of the node's own zone; empty if no zone is preferred.
     own_name: String,
     own: Option<ZoneNumber>,
     zones: Vec<String>,
     services: Vec<ServiceSpill>,
-    /// From an opening to the next packet of its flow, by zone.
+    /// Time from an opening to the next packet of its flow, by zone.
     opening_delays: Vec<DelayMean>,
     outcomes: OpeningOutcomes,
     traffic: TrafficEstimate,
     node_count: f32,
-    /// Revisions of the table whose numbers are used.
+    /// Revisions of the table whose zone and service numbers are in use.
     adopted: Option<(Revision, Revision)>,
     placements: ZonePlacements,
     next_adjustment_at: Timestamp,
 }
 
 impl ZonePreference {
-    /// Prefers the zone of this name. With an empty one all zones are alike.
+    /// Creates a preference for the zone of this name, or for no zone if the name is empty.
     #[must_use]
     pub fn new(own_name: &str) -> Self {
         Self {
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Takes over the numbers of a table's zones and services. What is known of those that are still there
-    /// is kept.
+    /// Adopts the zone and service numbers of a table. Statistics of services that it still contains
+    /// are kept, and those of zones unless the list of zones has changed.
     pub fn adopt(&mut self, table: &ForwardingTable) {
         let revisions = (table.configuration_revision(), table.directory_revision());
         if self.own_name.is_empty() || self.adopted == Some(revisions) {
@@ -162,18 +164,19 @@
         }
     }
 
-    /// How many nodes there are about; zero if that isn't known.
+    /// Sets the approximate number of nodes; zero if unknown.
     pub fn set_node_count(&mut self, nodes: u64) {
         self.node_count = nodes as f32;
     }
 
-    /// The node's own zone; none if no instance stands in it.
+    /// Returns the node's own zone; `None` if it has no instances.
     #[must_use]
     pub const fn own(&self) -> Option<ZoneNumber> {
         self.own
     }
 
-    /// How the zones rank for an opening of a service. All copies of it have the same draw.
+    /// Returns the ranks of the zones for an opening of a service. They are the same for all copies of
+    /// an opening.
     #[must_use]
     pub fn ranks(&self, service: ServiceNumber, flow_hash: u64) -> ZoneRanks<'_> {
         ZoneRanks {
@@ -182,20 +185,21 @@
         }
     }
 
-    /// Openings so far.
+    /// Returns the number of openings so far.
     #[must_use]
     pub const fn placements(&self) -> ZonePlacements {
         self.placements
     }
 
-    /// Shares of a service's openings that are sent to other zones.
+    /// Returns the shares of a service's openings that are sent to other zones.
     #[must_use]
     pub fn spill_shares(&self, service: ServiceNumber) -> SpillShares {
         let service = self.services.get(service.0 as usize);
         service.map_or_else(SpillShares::default, ServiceSpill::shares)
     }
 
-    /// An opening of a service was sent to a zone; `capacity` could have taken it.
+    /// Records that an opening of a service is sent to a zone. `capacity` counts the instances that it
+    /// could have been sent to.
     pub fn record_placement(
         &mut self,
         now: Timestamp,
@@ -217,7 +221,7 @@
         }
     }
 
-    /// An opening in a zone completed after so long.
+    /// Records that an opening to a zone has completed after `after`.
     pub fn record_opened(
         &mut self,
         now: Timestamp,
@@ -226,12 +230,12 @@
         after: Duration,
     ) {
         self.outcomes.record_opened(now, flow_hash, zone, after);
-        if let Some(distance) = self.opening_delays.get_mut(usize::from(zone.0)) {
-            distance.add(now, after);
+        if let Some(delay) = self.opening_delays.get_mut(usize::from(zone.0)) {
+            delay.add(now, after);
         }
     }
 
-    /// What became of a request in a zone.
+    /// Records the outcome of a request in a zone.
     pub fn record_sample(&mut self, now: Timestamp, zone: ZoneNumber, sample: &AnswerSample) {
         let is_own = self.own == Some(zone);
         if let Some(service) = self.services.get_mut(sample.service.0 as usize) {
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Adapts the shares, once a window, and returns those that changed notably.
+    /// Adjusts the shares once per [`ADJUSTMENT_INTERVAL`] and returns notable changes.
     pub fn review(&mut self, now: Timestamp) -> Vec<SpillChange> {
         let mut changes = Vec::new();
         let Some(own) = self.own else {
@@ -268,21 +272,23 @@
         changes
     }
 
-    /// Judges which zones lose. Asked before each opening, since a zone that has gone fails all of them.
+    /// Determines which zones are failing. Called before each opening, because all openings to a failed
+    /// zone are lost.
     pub fn review_failing_zones(&mut self, now: Timestamp) {
         let opening_delays = &self.opening_delays;
-        let usual = |zone: ZoneNumber| opening_delays.get(usize::from(zone.0))?.last_known();
-        self.outcomes.review(now, usual);
+        let typical_delay =
+            |zone: ZoneNumber| opening_delays.get(usize::from(zone.0))?.last_known();
+        self.outcomes.review(now, typical_delay);
     }
 
-    /// The process stood still: openings under way prove nothing.
+    /// Discards pending openings after the process was stalled: they are no evidence against a zone.
     pub fn reset_after_stall(&mut self) {
         self.outcomes.reset_after_stall();
     }
 
     fn view(&self, own: ZoneNumber) -> ZoneView {
         let own_opening_delay = self.opening_delays.get(usize::from(own.0));
-        let own_opening_delay = own_opening_delay.and_then(|distance| distance.last_known());
+        let own_opening_delay = own_opening_delay.and_then(|delay| delay.last_known());
         ZoneView {
             zones: self.zones.len(),
             crossing_delay: self.crossing_delay(own, own_opening_delay),
@@ -290,8 +296,8 @@
         }
     }
 
-    /// How much later flows open in other zones than in the own one: about twice the distance. Known once
-    /// some have opened there.
+    /// Returns how much longer flows take to open in other zones than in the own one, which is about
+    /// twice the one-way delay. Known once some have opened there.
     fn crossing_delay(
         &self,
         own: ZoneNumber,
@@ -299,9 +305,7 @@
     ) -> Option<Duration> {
         let others = self.opening_delays.iter().enumerate();
         let others = others.filter(|(index, _)| *index != usize::from(own.0));
-        let nearest = others
-            .filter_map(|(_, distance)| distance.last_known())
-            .min()?;
+        let nearest = others.filter_map(|(_, delay)| delay.last_known()).min()?;
         Some(nearest.saturating_sub(own_opening_delay?))
     }
 
@@ -316,14 +320,14 @@
     }
 }
 
-/// A number from 0 to 1 of a flow, independent of how it ranks instances.
+/// Maps a flow to a number from 0 to 1, independent of the ranking of instances.
 fn draw(flow_hash: u64) -> f32 {
     const DRAW_SALT: u64 = 0xd1b5_4a32_d192_ed03;
     const STEPS: u64 = 1 << 16;
     (mix(flow_hash ^ DRAW_SALT) % STEPS) as f32 / STEPS as f32
 }
 
-/// The largest of some loads, in their means; 1 if nothing is loaded.
+/// Returns the ratio of the largest load to the mean load; 1 if there is no load.
 pub fn imbalance(loads: impl Iterator<Item = f32>) -> f32 {
     let (mut largest, mut sum, mut count) = (0.0_f32, 0.0, 0.0);
     for load in loads {
--- a/crates/bellyoke-core/src/cookie/locality/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/locality/capacity.rs
@@ -1,33 +1,33 @@
-//! How much of what instances can take stands in the own zone.
+//! Part of a service's capacity that is located in the own zone.
 
 use crate::cookie::placement::Suitability;
 use crate::cookie::table::{Candidate, ZoneNumber};
 
-/// Requests that the most suitable instances of a service work on at once.
+/// Number of requests that the most suitable instances of a service process in parallel.
 ///
 /// ```
 /// use bellyoke_core::cookie::locality::ZoneCapacity;
 ///
 /// let even = ZoneCapacity::new(80.0, 240.0);
-/// assert_eq!(even.spill_share(3), 0.0, "a third of the instances for a third of the traffic");
+/// assert_eq!(even.spill_share(3), 0.0, "a third of the capacity for a third of the traffic");
 /// let few = ZoneCapacity::new(4.0, 164.0);
-/// assert!(few.spill_share(3) > 0.85, "a fortieth of them");
+/// assert!(few.spill_share(3) > 0.85, "a fortieth of the capacity");
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
     own: f32,
     all: f32,
-    /// Of the instances counted.
+    /// Suitability of the counted instances.
     suitability: Option<Suitability>,
 }
 
-/// How much more than its part in the traffic a zone keeps, for each unit of its part in what instances can
-/// take. Below this the difference is left alone: an even cluster whose instances are being replaced, a sixth
-/// at a time, stays as it is. Envoy's overprovisioning factor has the same value.
-const OVERPROVISIONING: f32 = 1.4;
+/// Traffic that a zone keeps, as a multiple of its part of the capacity. Smaller differences are
+/// ignored: an even cluster that replaces a sixth of its instances at a time doesn't spill. Envoy's
+/// overprovisioning factor has the same value.
+const OVERPROVISIONING_FACTOR: f32 = 1.4;
 
 impl ZoneCapacity {
-    /// So many requests in the own zone, and in all.
+    /// Creates a capacity of `own` parallel requests in the own zone and `all` in all zones.
     #[must_use]
     pub const fn new(own: f32, all: f32) -> Self {
         Self {
@@ -37,12 +37,12 @@
         }
     }
 
-    /// What the own zone's instances work on at once.
+    /// Returns the number of requests that the own zone's instances process in parallel.
     pub(super) const fn own_slots(&self) -> f32 {
         self.own
     }
 
-    /// Counts a candidate. Only the most suitable count.
+    /// Counts a candidate. Instances less suitable than the best ones so far are ignored.
     pub fn add(
         &mut self,
         candidate: &Candidate,
@@ -66,15 +66,15 @@
         }
     }
 
-    /// The share of openings that has to go elsewhere, so that the own zone's instances get no more than
-    /// [`OVERPROVISIONING`] times what others get, if the traffic of all `zones` is alike.
+    /// Returns the share of openings that must spill so that the own zone's instances get at most
+    /// [`OVERPROVISIONING_FACTOR`] times the traffic of others, if all `zones` have equal traffic.
     #[must_use]
     pub fn spill_share(&self, zones: usize) -> f32 {
         if self.all <= 0.0 {
             return 0.0;
         }
         let part = self.own / self.all;
-        let kept = OVERPROVISIONING * part * zones as f32;
+        let kept = OVERPROVISIONING_FACTOR * part * zones as f32;
         (1.0 - kept).max(0.0)
     }
 }
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -1,50 +1,52 @@
-//! How long flows take, by what clients' packets tell.
+//! Response times and failed requests in the own zone and in others, as observed from client packets.
 
 use crate::cookie::answers::AnswerFate;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time after which what was seen weighs half as much. A node sees some dozen requests a second.
+/// Half-life of the statistics. A node sees a few dozen requests per second.
 const HALF_LIFE_SECONDS: f32 = 1.0;
 
-/// The same for openings, where there are so many that a surge shows in less than a second.
+/// Half-life for openings where they are frequent enough for a surge to show within a second.
 const SHORT_HALF_LIFE_SECONDS: f32 = 0.25;
 
-/// Openings (decayed) by which a rate is known to a fifth.
-const LEAST_OF_LATE: f32 = 25.0;
+/// Number of openings (decayed) from which their rate is accurate to a fifth.
+const MINIMUM_RECENT_OPENINGS: f32 = 25.0;
 
-/// The mean of fewer of them (decayed) tells nothing: times of work differ by half of their mean, so that of
-/// so many is known to a sixth.
-const LEAST_WEIGHT: f32 = 8.0;
+/// Number of samples (decayed) from which a mean is used. Processing times vary by half of their
+/// mean, so that the mean of so many samples is accurate to a sixth.
+const MINIMUM_MEAN_WEIGHT: f32 = 8.0;
 
-/// How much longer than usual the own zone must take before that is a queue. The mean of a window strays
-/// by a sixth; with two slots an instance, twice the usual is a load of 0.7.
-const QUEUE_FACTOR: f32 = 1.75;
+/// Multiple of the baseline from which the response time in the own zone shows a queue worth
+/// avoiding. The mean of a window varies by a sixth. With two slots per instance, twice the
+/// baseline corresponds to a load of 0.7.
+const NOTABLE_QUEUE_FACTOR: f32 = 1.75;
 
-/// The same for a wait that is just to be seen.
-const WAIT_FACTOR: f32 = 1.3;
+/// Multiple of the baseline from which a queue is barely detectable.
+const DETECTABLE_QUEUE_FACTOR: f32 = 1.3;
 
-/// What one request counts at most, in usual times. Two slots and eight that wait take as long.
-const LONGEST_FACTOR: f32 = 5.0;
+/// Upper bound of the response time of one request, as a multiple of the baseline: the time that an
+/// instance with two slots and eight queued requests takes.
+const MAXIMUM_DELAY_FACTOR: f32 = 5.0;
 
-/// How far the usual time follows a shorter one in a window, and a longer one. A queue that lasts for minutes
-/// isn't usual yet.
-const USUAL_FALL: f32 = 0.05;
-const USUAL_RISE: f32 = 0.0005;
+/// Relative steps per window of the baseline towards a shorter and towards a longer response time.
+/// With so small a rise, a queue that lasts for minutes doesn't become the baseline.
+const BASELINE_FALL: f32 = 0.05;
+const BASELINE_RISE: f32 = 0.0005;
 
-/// Fewer requests (decayed) without an answer say nothing, and a smaller share of them neither: single
-/// instances that are full or fail.
-const LEAST_REFUSED: f32 = 3.0;
-const NOTABLE_REFUSED: f32 = 0.1;
+/// Number (decayed) and share of requests without an answer below which they are ignored. Fewer are
+/// caused by single instances that are full or failing.
+const MINIMUM_FAILED: f32 = 3.0;
+const NOTABLE_FAILED_SHARE: f32 = 0.1;
 
-/// A decaying mean of times.
+/// Exponentially decaying mean of durations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DelayMean {
-    /// Seconds, weighted.
+    /// Weighted sum, seconds.
     sum: f32,
     weight: f32,
     updated_at: Timestamp,
-    /// The mean when it last told something.
+    /// The mean when it was last backed by enough samples.
     last: Option<Duration>,
 }
 
@@ -54,17 +56,17 @@
         self.sum = self.sum * remaining + delay.as_secs_f32();
         self.weight = self.weight * remaining + 1.0;
         self.updated_at = now;
-        if self.weight >= LEAST_WEIGHT || self.last.is_none() {
+        if self.weight >= MINIMUM_MEAN_WEIGHT || self.last.is_none() {
             self.last = Some(self.mean());
         }
     }
 
-    /// The mean, if enough was seen of late.
+    /// Returns the mean if there are enough recent samples.
     pub(super) fn recent(&self, now: Timestamp) -> Option<Duration> {
-        (self.weight_at(now) >= LEAST_WEIGHT).then(|| self.mean())
+        (self.weight_at(now) >= MINIMUM_MEAN_WEIGHT).then(|| self.mean())
     }
 
-    /// The mean when it last told something.
+    /// Returns the mean when it was last backed by enough samples.
     pub(super) const fn last_known(&self) -> Option<Duration> {
         self.last
     }
@@ -78,7 +80,7 @@
     }
 }
 
-/// How often something happens, decaying.
+/// Exponentially decaying count of events.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCount {
     count: f32,
@@ -91,55 +93,61 @@
         self.updated_at = now;
     }
 
-    /// How often in a second; none if it was counted less than `least` times (decayed).
-    fn per_second(&self, now: Timestamp, half_life_seconds: f32, least: f32) -> Option<f32> {
+    /// Returns the events per second; `None` if the decayed count is below `minimum_count`.
+    fn per_second(
+        &self,
+        now: Timestamp,
+        half_life_seconds: f32,
+        minimum_count: f32,
+    ) -> Option<f32> {
         let count = self.count * remaining_after(now, self.updated_at, half_life_seconds);
-        (count >= least).then(|| count * std::f32::consts::LN_2 / half_life_seconds)
+        (count >= minimum_count).then(|| count * std::f32::consts::LN_2 / half_life_seconds)
     }
 }
 
-/// What became of requests in some zones.
+/// Outcomes of requests in some zones.
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerStatistics {
     delay: DelayMean,
-    /// Requests that got no answer of theirs, decaying.
-    rejected: f32,
-    rejected_at: Timestamp,
+    /// Decaying number of requests that got no regular answer.
+    failed: f32,
+    failed_at: Timestamp,
 }
 
 impl AnswerStatistics {
-    /// `longest` bounds what one request counts: a packet that was lost tells nothing of a queue.
-    fn add(&mut self, now: Timestamp, fate: &AnswerFate, longest: Duration) {
+    /// Records an outcome. `maximum_delay` bounds the response time that is counted: lost packets don't
+    /// indicate a queue.
+    fn add(&mut self, now: Timestamp, fate: &AnswerFate, maximum_delay: Duration) {
         match fate {
-            AnswerFate::Answered { after, .. } => self.delay.add(now, (*after).min(longest)),
+            AnswerFate::Answered { after, .. } => self.delay.add(now, (*after).min(maximum_delay)),
             AnswerFate::Short { .. } | AnswerFate::Unanswered { .. } => {
-                self.rejected = self.rejected * remaining(now, self.rejected_at) + 1.0;
-                self.rejected_at = now;
+                self.failed = self.failed * remaining(now, self.failed_at) + 1.0;
+                self.failed_at = now;
             }
         }
     }
 
-    /// Requests, decaying.
+    /// Returns the decayed number of requests.
     fn weight_at(&self, now: Timestamp) -> f32 {
-        self.delay.weight_at(now) + self.rejected * remaining(now, self.rejected_at)
+        self.delay.weight_at(now) + self.failed * remaining(now, self.failed_at)
     }
 
-    /// The share of requests that got no answer of theirs, if that is notable.
-    fn rejected_share(&self, now: Timestamp) -> Option<f32> {
-        let rejected = self.rejected * remaining(now, self.rejected_at);
-        let share = rejected / (rejected + self.delay.weight_at(now));
-        (rejected >= LEAST_REFUSED && share >= NOTABLE_REFUSED).then_some(share)
+    /// Returns the share of requests that got no regular answer, if it is notable.
+    fn failed_share(&self, now: Timestamp) -> Option<f32> {
+        let failed = self.failed * remaining(now, self.failed_at);
+        let share = failed / (failed + self.delay.weight_at(now));
+        (failed >= MINIMUM_FAILED && share >= NOTABLE_FAILED_SHARE).then_some(share)
     }
 }
 
-/// What became of requests in the own zone and in others.
+/// Outcomes of a service's requests in the own zone and in other zones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServiceDelays {
     own: AnswerStatistics,
     others: AnswerStatistics,
-    /// What the own zone usually takes, seconds.
+    /// Response time of the own zone without a queue, seconds.
     baseline: Option<f32>,
-    /// Flows opened, over a long time and over a short one.
+    /// Opened flows, with the long and the short half-life.
     openings: DecayingCount,
     recent_openings: DecayingCount,
 }
@@ -151,93 +159,94 @@
         } else {
             &mut self.others
         };
-        let longest = self.baseline.map_or(Duration::MAX, |usual| {
-            Duration::from_secs_f32(usual * LONGEST_FACTOR)
+        let maximum_delay = self.baseline.map_or(Duration::MAX, |baseline| {
+            Duration::from_secs_f32(baseline * MAXIMUM_DELAY_FACTOR)
         });
-        answers.add(now, fate, longest);
+        answers.add(now, fate, maximum_delay);
     }
 
-    /// From request to answer in the own zone, if enough was seen of late.
+    /// Returns the mean time from request to answer in the own zone, if there are enough recent samples.
     pub(super) fn own(&self, now: Timestamp) -> Option<Duration> {
         self.own.delay.recent(now)
     }
 
-    /// The same in other zones.
+    /// Returns the mean time from request to answer in other zones, if there are enough recent samples.
     pub(super) fn others(&self, now: Timestamp) -> Option<Duration> {
         self.others.delay.recent(now)
     }
 
-    /// What the own zone usually takes, if that is known.
+    /// Returns the response time of the own zone without a queue, if known.
     pub(super) fn baseline(&self) -> Option<Duration> {
         self.baseline.map(Duration::from_secs_f32)
     }
 
-    /// A flow was opened, in whatever zone.
+    /// Records that a flow was opened in any zone.
     pub(super) fn record_opened(&mut self, now: Timestamp) {
         self.openings.count(now, HALF_LIFE_SECONDS);
         self.recent_openings.count(now, SHORT_HALF_LIFE_SECONDS);
     }
 
-    /// Requests a second, in whatever zones: answers lag behind while more and more wait, and openings are
-    /// fewer where flows are long.
+    /// Returns the requests per second to all zones, as the larger of two estimates: answers lag behind
+    /// while queues grow, and openings are fewer than requests if flows are long.
     pub(super) fn request_rate(&self, now: Timestamp) -> f32 {
         let answers = self.own.weight_at(now) + self.others.weight_at(now);
         let answers = answers * std::f32::consts::LN_2 / HALF_LIFE_SECONDS;
-        let of_late = self.recent_openings;
-        let openings = of_late.per_second(now, SHORT_HALF_LIFE_SECONDS, LEAST_OF_LATE);
+        let recent = self.recent_openings;
+        let openings = recent.per_second(now, SHORT_HALF_LIFE_SECONDS, MINIMUM_RECENT_OPENINGS);
         let openings = openings.or_else(|| self.openings.per_second(now, HALF_LIFE_SECONDS, 0.0));
         answers.max(openings.unwrap_or_default())
     }
 
-    /// Whether requests wait notably in the own zone.
+    /// Returns whether requests in the own zone detectably queue.
     pub(super) fn is_queueing(&self, now: Timestamp) -> bool {
         let own = self.own(now).map(|own| own.as_secs_f32());
         let both = own.zip(self.baseline);
-        both.is_some_and(|(own, usual)| own > usual * WAIT_FACTOR)
+        both.is_some_and(|(own, baseline)| own > baseline * DETECTABLE_QUEUE_FACTOR)
     }
 
-    /// Learns what the own zone usually takes, once a window. It isn't more than what others take that stand
-    /// so much further away: a zone that has been full ever since takes what it takes for usual.
+    /// Updates the baseline of the own zone once per window. The baseline doesn't exceed the response
+    /// time of other zones less the crossing delay: a zone that has been full from the start would
+    /// otherwise take its queueing for normal.
     pub(super) fn learn_baseline(&mut self, now: Timestamp, crossing: Option<Duration>) {
         let Some(own) = self.own(now) else {
             return;
         };
-        let usual = self.baseline.get_or_insert(own.as_secs_f32());
+        let baseline = self.baseline.get_or_insert(own.as_secs_f32());
         let as_others = self.others.delay.recent(now).zip(crossing);
         let as_others = as_others.map(|(others, crossing)| others.saturating_sub(crossing));
-        let seen = own.min(as_others.unwrap_or(own)).as_secs_f32();
-        let follow = if seen < *usual {
-            USUAL_FALL
+        let observed = own.min(as_others.unwrap_or(own)).as_secs_f32();
+        let step = if observed < *baseline {
+            BASELINE_FALL
         } else {
-            USUAL_RISE
+            BASELINE_RISE
         };
-        *usual += (seen - *usual) * follow;
+        *baseline += (observed - *baseline) * step;
     }
 
-    /// How much longer than usual the own zone takes, if that is notable.
+    /// Returns by how much the response time of the own zone exceeds the baseline, if that is notable.
     pub(super) fn own_queueing_delay(&self, now: Timestamp) -> Option<Duration> {
         let own = self.own(now)?.as_secs_f32();
-        let usual = self.baseline?;
-        (own > usual * QUEUE_FACTOR).then(|| Duration::from_secs_f32(own - usual))
+        let baseline = self.baseline?;
+        (own > baseline * NOTABLE_QUEUE_FACTOR).then(|| Duration::from_secs_f32(own - baseline))
     }
 
-    /// The share of requests that the own zone turns away, if that is notable.
-    pub(super) fn own_rejected(&self, now: Timestamp) -> Option<f32> {
-        self.own.rejected_share(now)
+    /// Returns the share of requests without a regular answer in the own zone, if it is notable.
+    pub(super) fn own_failed_share(&self, now: Timestamp) -> Option<f32> {
+        self.own.failed_share(now)
     }
 
-    /// Whether other zones do no better than the own one: then it is no use to go there.
+    /// Returns whether other zones perform no better than the own one, so that spilling is of no use.
     pub(super) fn others_are_no_better(&self, now: Timestamp) -> bool {
-        let rejected = self.others.rejected_share(now);
-        if rejected.is_some() || self.own_rejected(now).is_some() {
-            return rejected >= self.own_rejected(now);
+        let failed = self.others.failed_share(now);
+        if failed.is_some() || self.own_failed_share(now).is_some() {
+            return failed >= self.own_failed_share(now);
         }
         let both = self.others(now).zip(self.own(now));
         both.is_some_and(|(others, own)| others >= own)
     }
 }
 
-/// What is left of a count made at `at`.
+/// Returns the remaining fraction of a count that was last updated at `at`.
 fn remaining(now: Timestamp, at: Timestamp) -> f32 {
     remaining_after(now, at, HALF_LIFE_SECONDS)
 }
--- a/crates/bellyoke-core/src/cookie/locality/outcomes.rs
+++ b/crates/bellyoke-core/src/cookie/locality/outcomes.rs
@@ -1,28 +1,30 @@
-//! In which zones openings come to nothing.
+//! Detection of zones in which openings don't complete.
 //!
-//! A zone that has gone fails each opening, and clients whose tries are refused at once have used them up within
-//! milliseconds. So a zone loses as soon as a few openings in a row are overdue, long before each is given up.
+//! Every opening to a failed zone is lost, and clients that are refused at once use up their tries
+//! within milliseconds. A zone is therefore considered failing as soon as a few consecutive
+//! openings are overdue, long before each of them is given up.
 
 use crate::cookie::table::ZoneNumber;
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Openings in a row that don't complete in a zone that loses. Where a fifth of the instances is dead, as many are
-/// overdue in a row once in a hundred times.
-const LOSING_RUN: usize = 3;
+/// Number of consecutive overdue openings from which a zone is failing. If a fifth of the instances
+/// is dead, this occurs by chance in 1 % of the cases.
+const FAILING_RUN: usize = 3;
 
-/// How long an opening that didn't complete speaks against its zone; then the zone is tried again.
-const MEMORY: Duration = Duration::from_secs(2);
+/// How long an incomplete opening counts against its zone. After that the zone is tried again.
+const PENDING_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Openings remembered that haven't completed.
+/// Maximum number of incomplete openings that are stored.
 const MAXIMUM_PENDING: usize = 64;
 
-/// An opening is overdue after so many times what openings in its zone usually take.
-const PATIENCE_FACTOR: u32 = 4;
+/// Multiple of the typical opening time of a zone after which an opening is overdue.
+const OVERDUE_FACTOR: u32 = 4;
 
-/// Bounds of that: a wait for the processor, and what clients take for lost.
-const PATIENCE_BOUNDS: (Duration, Duration) =
+/// Bounds of the time after which an opening is overdue: the delay of a wait for the processor, and
+/// the time after which clients consider an opening lost.
+const OVERDUE_TIMEOUT_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(20), Duration::from_millis(150));
 
 #[derive(Clone, Copy, Debug)]
@@ -34,12 +36,12 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneOutcome {
-    /// When the last opening that completed was sent.
-    completed: Timestamp,
+    /// When the latest opening that completed was sent.
+    completed_sent_at: Timestamp,
     is_failing: bool,
 }
 
-/// What came of openings, by zone.
+/// Completed and pending openings by zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OpeningOutcomes {
     pending: VecDeque<PendingOpening>,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// An opening is sent to a zone.
+    /// Records that an opening is sent to a zone.
     pub(super) fn record_opening(&mut self, now: Timestamp, flow_hash: u64, zone: ZoneNumber) {
         if self.pending.len() >= MAXIMUM_PENDING {
             self.pending.pop_front();
@@ -66,7 +68,7 @@
         });
     }
 
-    /// An opening in a zone completed after so long.
+    /// Records that an opening to a zone has completed after `after`.
     pub(super) fn record_opened(
         &mut self,
         now: Timestamp,
@@ -77,11 +79,11 @@
         self.pending
             .retain(|opening| opening.flow_hash != flow_hash);
         if let Some(outcome) = self.zones.get_mut(usize::from(zone.0)) {
-            outcome.completed = outcome.completed.max(now.before(after));
+            outcome.completed_sent_at = outcome.completed_sent_at.max(now.before(after));
         }
     }
 
-    /// The process stood still: openings under way prove nothing.
+    /// Discards pending openings after the process was stalled: they are no evidence against a zone.
     pub(super) fn reset_after_stall(&mut self) {
         self.pending.clear();
     }
@@ -91,30 +93,32 @@
         outcome.is_some_and(|outcome| outcome.is_failing)
     }
 
-    /// Judges all zones; `usual` tells how long openings in one take.
+    /// Determines which zones are failing; `typical_delay` returns the opening time of a zone.
     pub(super) fn review(
         &mut self,
         now: Timestamp,
-        usual: impl Fn(ZoneNumber) -> Option<Duration>,
+        typical_delay: impl Fn(ZoneNumber) -> Option<Duration>,
     ) {
-        let is_old = |opening: &PendingOpening| now.since(opening.sent_at) >= MEMORY;
+        let is_old = |opening: &PendingOpening| now.since(opening.sent_at) >= PENDING_LIFETIME;
         while self.pending.front().is_some_and(is_old) {
             self.pending.pop_front();
         }
         for (number, outcome) in self.zones.iter_mut().enumerate() {
             let zone = ZoneNumber(u16::try_from(number).unwrap_or(u16::MAX));
-            let timeout = overdue_timeout(usual(zone));
+            let timeout = overdue_timeout(typical_delay(zone));
             let overdue = self.pending.iter().filter(|opening| {
                 opening.zone == zone
-                    && opening.sent_at > outcome.completed
+                    && opening.sent_at > outcome.completed_sent_at
                     && now.since(opening.sent_at) >= timeout
             });
-            outcome.is_failing = overdue.count() >= LOSING_RUN;
+            outcome.is_failing = overdue.count() >= FAILING_RUN;
         }
     }
 }
 
-fn overdue_timeout(usual: Option<Duration>) -> Duration {
-    let (least, most) = PATIENCE_BOUNDS;
-    usual.map_or(most, |usual| (usual * PATIENCE_FACTOR).clamp(least, most))
+fn overdue_timeout(typical_delay: Option<Duration>) -> Duration {
+    let (minimum, maximum) = OVERDUE_TIMEOUT_BOUNDS;
+    typical_delay.map_or(maximum, |delay| {
+        (delay * OVERDUE_FACTOR).clamp(minimum, maximum)
+    })
 }
--- a/crates/bellyoke-core/src/cookie/locality/utilization.rs
+++ b/crates/bellyoke-core/src/cookie/locality/utilization.rs
@@ -1,98 +1,102 @@
-//! How busy the own zone would be with all of its traffic.
+//! Estimation of the utilization of the own zone if it handled all of its traffic.
 //!
-//! By Little's law a zone works on as many requests at once as come in a second, times the seconds that
-//! each takes. A node sees its own part of them, and doesn't know how many nodes share the zone's
-//! traffic: it takes the zones for alike, and corrects that by what happens.
+//! By Little's law the number of requests in service is the arrival rate times the service time.
+//! A node sees only its own part of the zone's requests and doesn't know how many nodes share them.
+//! It assumes that all zones have equally many nodes and corrects the estimate by observation.
 
 use std::time::Duration;
 
-/// The part of its slots up to which a zone is filled before openings go elsewhere. With two slots an
-/// instance, requests wait as long as they take at 0.7.
-const LEAST_TARGET: f32 = 0.7;
+/// Utilization up to which the own zone is filled before openings spill to other zones. At 0.7, with
+/// two slots per instance, requests queue for as long as they take to be processed.
+const MINIMUM_TARGET_UTILIZATION: f32 = 0.7;
 
-/// The same where other zones are very far.
-const LARGEST_TARGET: f32 = 0.95;
+/// Target utilization if other zones are very far.
+const MAXIMUM_TARGET_UTILIZATION: f32 = 0.95;
 
-/// Factors to the correction in a window: if openings went elsewhere and requests didn't wait, if they
-/// waited though none went, and else, back to 1 in half a minute.
+/// Changes of the correction per window: a factor if openings spilled although requests didn't
+/// queue, a factor if requests queued although nothing spilled, and the relative step of its return
+/// to 1, which takes half a minute.
 const CORRECTION_FALL: f32 = 0.975;
 const CORRECTION_RISE: f32 = 1.05;
 const CORRECTION_RETURN: f32 = 0.01;
 
-/// Bounds of the correction: zones with so many times fewer or more nodes than the mean.
+/// Bounds of the correction, for zones with correspondingly fewer or more nodes than the mean.
 const CORRECTION_BOUNDS: (f32, f32) = (0.05, 4.0);
 
-/// What requests to a service need.
+/// Demand for a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
-    /// Requests a second that this node sees, wherever they go.
+    /// Requests per second that this node sees, to all zones.
     pub(super) rate: f32,
-    /// What one takes without a queue.
+    /// Processing time of a request without a queue.
     pub(super) work: Duration,
-    /// What the own zone's instances work on at once.
+    /// Number of requests that the own zone's instances process in parallel.
     pub(super) slots: f32,
 }
 
-/// This node's part in its zone's traffic.
+/// Estimate of the total traffic of the own zone from that of this node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TrafficEstimate {
-    /// Nodes that the zone would have if all zones had as many; none if that isn't known.
-    nodes: Option<f32>,
+    /// Number of nodes per zone if all zones have equally many; `None` if unknown.
+    nodes_per_zone: Option<f32>,
     correction: f32,
 }
 
 impl Default for TrafficEstimate {
     fn default() -> Self {
         Self {
-            nodes: None,
+            nodes_per_zone: None,
             correction: 1.0,
         }
     }
 }
 
 impl TrafficEstimate {
-    /// How many nodes and zones there are.
+    /// Sets the number of nodes and of zones.
     pub(super) fn set_counts(&mut self, nodes: f32, zones: usize) {
         let is_known = nodes > 1.0 && zones > 0;
-        self.nodes = is_known.then(|| nodes / zones as f32);
+        self.nodes_per_zone = is_known.then(|| nodes / zones as f32);
     }
 
-    /// The share of openings that has to go elsewhere so that requests in the own zone don't wait for
-    /// longer than it takes to cross.
-    pub(super) fn spill_share(&self, demand: &Demand, crossing: Option<Duration>) -> f32 {
-        let Some(nodes) = self.nodes else {
+    /// Returns the share of openings that must spill so that requests in the own zone don't queue for
+    /// longer than the crossing delay.
+    pub(super) fn spill_share(&self, demand: &Demand, crossing_delay: Option<Duration>) -> f32 {
+        let Some(nodes_per_zone) = self.nodes_per_zone else {
             return 0.0;
         };
         if demand.slots <= 0.0 {
             return 0.0;
         }
-        let busy = demand.rate * demand.work.as_secs_f32() * nodes * self.correction;
+        let busy = demand.rate * demand.work.as_secs_f32() * nodes_per_zone * self.correction;
         let utilization = busy / demand.slots;
-        let target = target_utilization(demand.work, crossing.unwrap_or_default());
+        let target = target_utilization(demand.work, crossing_delay.unwrap_or_default());
         (1.0 - target / utilization.max(target)).max(0.0)
     }
 
-    /// Learns from a window of one service: whether openings went elsewhere, and whether requests waited.
+    /// Updates the correction after a window of one service: whether openings spilled because of load,
+    /// and whether requests queued.
     pub(super) fn learn(&mut self, spilled: bool, queued: bool) {
-        let (least, largest) = CORRECTION_BOUNDS;
+        let (minimum, maximum) = CORRECTION_BOUNDS;
         let factor = match (spilled, queued) {
             (true, false) => CORRECTION_FALL,
             (false, true) => CORRECTION_RISE,
             _ => 1.0,
         };
-        self.correction = (self.correction * factor).clamp(least, largest);
+        self.correction = (self.correction * factor).clamp(minimum, maximum);
     }
 
-    /// What was learned is forgotten slowly.
+    /// Moves the correction slowly back to 1.
     pub(super) fn decay_correction(&mut self) {
         self.correction += (1.0 - self.correction) * CORRECTION_RETURN;
     }
 }
 
-/// The utilization at which requests wait as long as it takes to cross. With two slots, requests that take
-/// `work` wait for `work` times u² / (1 - u²).
-fn target_utilization(work: Duration, crossing: Duration) -> f32 {
-    let (work, crossing) = (work.as_secs_f32(), crossing.as_secs_f32());
-    let both = (work + crossing).max(f32::MIN_POSITIVE);
-    (crossing / both).sqrt().clamp(LEAST_TARGET, LARGEST_TARGET)
+/// Returns the utilization at which the queueing time equals the crossing delay. With two slots,
+/// requests that take `work` queue for `work` times u² / (1 - u²).
+fn target_utilization(work: Duration, crossing_delay: Duration) -> f32 {
+    let (work, crossing_delay) = (work.as_secs_f32(), crossing_delay.as_secs_f32());
+    let both = (work + crossing_delay).max(f32::MIN_POSITIVE);
+    (crossing_delay / both)
+        .sqrt()
+        .clamp(MINIMUM_TARGET_UTILIZATION, MAXIMUM_TARGET_UTILIZATION)
 }
