--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -1,8 +1,9 @@
-//! What an event costs the control thread, by the number of instances.
+//! Cost of events to the control thread, by the number of instances.
 //!
-//! `cargo bench -p bellyoke-core --bench control` prints microseconds an event, medians. The events are those
-//! whose number grows with the cluster's trouble: a change of one instance and the table built after it, a tick,
-//! a question about an instance, a doubt of this node's own, and the snapshot for a node that has just started.
+//! `cargo bench -p bellyoke-core --bench control` prints the median in microseconds per event. The
+//! events are those whose number grows when a cluster has failures: a change of one instance and
+//! the table that is built after it, a tick, a probe request from a peer, a suspicion of this
+//! node's own, and the snapshot for a node that has just started.
 
 use bellyoke_core::cookie::coordinator::Coordinator;
 use bellyoke_core::cookie::exchange::{
@@ -20,60 +21,60 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-/// Instances in all.
-const SIZES: [u32; 4] = [300, 3_000, 10_000, 20_000];
-/// Events of a kind that are timed; their median counts.
+/// Numbers of instances.
+const INSTANCE_COUNTS: [u32; 4] = [300, 3_000, 10_000, 20_000];
+/// Timed events of each kind, of which the median is printed.
 const RUNS: u32 = 41;
 /// The first revision after those of the list.
-const LISTED: u64 = 1_000_000;
+const FIRST_REVISION_AFTER_LIST: u64 = 1_000_000;
 
 fn main() {
-    print!("{:<32}", "us an event, instances:");
-    for size in SIZES {
+    print!("{:<32}", "us per event, instances:");
+    for size in INSTANCE_COUNTS {
         print!("{size:>10}");
     }
     println!();
     row("change of one instance", |node, number| {
-        let record = record(number % 300, LISTED + u64::from(number));
+        let record = record(number % 300, FIRST_REVISION_AFTER_LIST + u64::from(number));
         let update = Update::Changes {
-            at: Revision::new(LISTED + u64::from(number)),
+            at: Revision::new(FIRST_REVISION_AFTER_LIST + u64::from(number)),
             events: vec![InstanceEvent::Put(record)],
         };
-        black_box(node.instances(time(number), update));
+        black_box(node.instances(time_of(number), update));
     });
     row("table after a change", |node, _| {
         black_box(node.replica().table());
     });
     row("tick", |node, number| {
-        black_box(node.tick(time(number)));
+        black_box(node.tick(time_of(number)));
     });
-    row("question of a peer", |node, number| {
+    row("probe request of a peer", |node, number| {
         let question = Question {
             cookies: vec![cookie(number).bits()],
         };
         let peer = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7_000);
-        black_box(node.datagram(time(number), peer, PeerDatagram::Question(question)));
+        black_box(node.datagram(time_of(number), peer, PeerDatagram::Question(question)));
     });
-    row("doubt and its probe", |node, number| {
-        node.doubt(time(number), &[cookie(number)]);
-        black_box(node.next_probe(time(number), &[]));
+    row("suspicion and its probe", |node, number| {
+        node.doubt(time_of(number), &[cookie(number)]);
+        black_box(node.next_probe(time_of(number), &[]));
     });
     print!("{:<32}", "bytes of a snapshot");
-    for size in SIZES {
-        let snapshot = node(size).replica().snapshot(time(1));
+    for size in INSTANCE_COUNTS {
+        let snapshot = node(size).replica().snapshot(time_of(1));
         let bytes = encode_snapshot(&snapshot, &PeerKey::default()).unwrap();
         print!("{:>10}", bytes.len());
     }
     println!();
     row("snapshot for a new node", |node, number| {
-        let snapshot = node.replica().snapshot(time(number));
+        let snapshot = node.replica().snapshot(time_of(number));
         black_box(encode_snapshot(&snapshot, &PeerKey::default()).unwrap());
     });
 }
 
 fn row(what: &str, event: impl Fn(&mut Coordinator, u32)) {
     print!("{what:<32}");
-    for size in SIZES {
+    for size in INSTANCE_COUNTS {
         let mut node = node(size);
         let mut runs: Vec<Duration> = (1..=RUNS)
             .map(|number| {
@@ -89,22 +90,22 @@
     println!();
 }
 
-/// A node that knows so many instances, four fifths of them of one service.
+/// Returns a node that has this many instances, four fifths of them of one service.
 fn node(instances: u32) -> Coordinator {
     let own_address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 0), 7_000);
     let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
     let mut node = Coordinator::new(Replica::new(Duration::from_secs(70)), exchange);
     let items = (0..instances).map(|number| record(number, u64::from(number)));
     let list = Update::Whole {
-        at: Revision::new(LISTED),
+        at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: items.collect(),
     };
-    node.instances(time(0), list);
+    node.instances(time_of(0), list);
     let configuration = Update::Whole {
-        at: Revision::new(LISTED),
+        at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: vec![configuration()],
     };
-    node.configurations(time(0), configuration);
+    node.configurations(time_of(0), configuration);
     node
 }
 
@@ -114,7 +115,7 @@
         weight: 1,
     });
     Configuration {
-        revision: Revision::new(LISTED),
+        revision: Revision::new(FIRST_REVISION_AFTER_LIST),
         version: 1,
         routes: vec![Route {
             address: SocketAddrV4::new(Ipv4Addr::new(192, 0, 2, 1), 443),
@@ -154,7 +155,7 @@
     }
 }
 
-/// A tenth of a second an event, after the start of a daemon's clock.
-fn time(number: u32) -> Timestamp {
+/// Returns the time of an event: 100 ms apart, after the start of the process's clock.
+fn time_of(number: u32) -> Timestamp {
     Timestamp::from_micros(1_000_000_000 + u64::from(number) * 100_000)
 }
--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -228,7 +228,7 @@
         })
     }
 
-    /// Returns the decision on an earlier copy of the same opening. Repeated copies whose first one
+    /// Returns the decision on an earlier copy of the same opening. Later copies whose first one
     /// this node didn't see are admitted: another node may have forwarded it.
     fn earlier_decision(&self, now: Timestamp, key: u64, attempt: u32) -> Option<bool> {
         let is_recent =
--- a/crates/bellyoke-core/src/cookie/link/losses.rs
+++ b/crates/bellyoke-core/src/cookie/link/losses.rs
@@ -1,8 +1,8 @@
-//! Detection of lost data from what senders repeat.
+//! Detection of lost data from retransmissions.
 //!
-//! A sender that misses an acknowledgement stops sending, because its window is full, and repeats
-//! the oldest data after its retransmission timeout. Once that is acknowledged, it repeats the rest
-//! of the window, most of which had arrived. Therefore only data that is repeated *after a pause of
+//! A sender that misses an acknowledgement stops sending, because its window is full, and retransmits
+//! the oldest data after its retransmission timeout. Once that is acknowledged, it retransmits the rest
+//! of the window, most of which had arrived. Therefore only data that is retransmitted *after a pause of
 //! its flow* counts as lost.
 
 use super::OutgoingPacket;
@@ -15,10 +15,10 @@
 const DATA_TABLE_SIZE: usize = 2_048;
 const FLOW_TABLE_SIZE: usize = 512;
 
-/// Minimum time after which repeated data counts as lost. Data that is repeated sooner was
+/// Minimum time after which retransmitted data counts as lost. Data that arrives again sooner was
 /// duplicated by the network or delayed in this node's queue: senders wait 200 ms for an
 /// acknowledgement.
-const MINIMUM_REPEAT_DELAY: Duration = Duration::from_millis(150);
+const MINIMUM_RETRANSMISSION_DELAY: Duration = Duration::from_millis(150);
 
 /// Minimum pause of a flow before its sender's retransmission timeout.
 const MINIMUM_FLOW_PAUSE: Duration = Duration::from_millis(100);
@@ -40,7 +40,7 @@
 }
 
 impl LossDetector {
-    /// Records a data packet that was received from its sender. Returns whether it repeats data that
+    /// Records a data packet that was received from its sender. Returns whether it retransmits data that
     /// was lost after it had been sent.
     pub fn record_received(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
@@ -50,7 +50,7 @@
         let has_passed =
             |since: Option<Timestamp>, minimum| since.is_some_and(|at| now.since(at) >= minimum);
         has_passed(last_received_at, MINIMUM_FLOW_PAUSE)
-            && has_passed(last_sent_at, MINIMUM_REPEAT_DELAY)
+            && has_passed(last_sent_at, MINIMUM_RETRANSMISSION_DELAY)
     }
 
     /// Records a data packet that is sent. Returns whether its data is new, as far as recorded.
--- a/crates/bellyoke-core/src/cookie/link/mod.rs
+++ b/crates/bellyoke-core/src/cookie/link/mod.rs
@@ -76,7 +76,7 @@
 /// for sequence in 0..16 {
 ///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendDecision::Now, "no loss so far");
 /// }
-/// // The sender repeats lost data; from then on a window is spread over time.
+/// // The sender retransmits lost data; from then on a window is spread over time.
 /// for (milliseconds, sequence) in [(200, 12), (400, 13), (600, 14), (800, 15)] {
 ///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendDecision::Now);
 /// }
--- a/crates/bellyoke-core/src/cookie/link/rate.rs
+++ b/crates/bellyoke-core/src/cookie/link/rate.rs
@@ -64,7 +64,7 @@
 /// Maximum number of doublings of [`RETRY_DELAY`].
 const MAXIMUM_DOUBLINGS: u32 = 3;
 
-/// Losses per new packet, weighted towards recent ones. Repeated packets aren't counted, because
+/// Losses per new packet, weighted towards recent ones. Retransmissions aren't counted, because
 /// one loss causes many of them.
 #[derive(Clone, Copy, Debug, Default)]
 struct LossRatio {
@@ -122,7 +122,7 @@
         Some(self.pacing?.bytes_per_second)
     }
 
-    /// Records that a data packet of `length` bytes is sent. `is_new` is false for repeated data.
+    /// Records that a data packet of `length` bytes is sent. `is_new` is false for retransmissions.
     pub fn record_sent(&mut self, now: Timestamp, length: usize, is_new: bool) {
         self.burst.record_sent(now, length);
         if is_new {
--- a/crates/bellyoke-core/src/cookie/locality/outcomes.rs
+++ b/crates/bellyoke-core/src/cookie/locality/outcomes.rs
@@ -116,9 +116,9 @@
     }
 }
 
-fn overdue_timeout(typical_delay: Option<Duration>) -> Duration {
+fn overdue_timeout(typical: Option<Duration>) -> Duration {
     let (minimum, maximum) = OVERDUE_TIMEOUT_BOUNDS;
-    typical_delay.map_or(maximum, |delay| {
-        (delay * OVERDUE_FACTOR).clamp(minimum, maximum)
+    typical.map_or(maximum, |typical| {
+        (typical * OVERDUE_FACTOR).clamp(minimum, maximum)
     })
 }
--- a/crates/bellyoke-core/tests/cookie/admission.rs
+++ b/crates/bellyoke-core/tests/cookie/admission.rs
@@ -1,5 +1,8 @@
-//! Admission by priority: what callers get while instances are overloaded, and that nobody is refused
-//! while they have room.
+//! Admission by priority: during overload the more important requests are served, and nothing is
+//! refused while instances have capacity.
+//!
+//! Clients, nodes and targets (the instances) are simulated. Without admission control, an
+//! overloaded target rejects requests regardless of their priority.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, record};
 use bellyoke_core::cookie::admission::AdmissionSettings;
@@ -23,13 +26,13 @@
 const NODES: usize = 10;
 const TARGETS: u64 = 24;
 const SLOTS: usize = 2;
-const QUEUE: usize = 8;
-/// Requests a second that all targets bear: two of nine take 52 ms, the others 40 ms.
+const QUEUE_CAPACITY: usize = 8;
+/// Requests per second that all targets can serve: two of nine take 52 ms, the others 40 ms.
 const CAPACITY: f64 = TARGETS as f64 * SLOTS as f64 / 0.0427;
-const AIM: u64 = 500_000;
+const LATENCY_TARGET_MICROSECONDS: u64 = 500_000;
 const TRIES: u32 = 3;
 
-/// Kinds of requests, by the last byte of their route's address.
+/// Kinds of requests, by the last byte of the address of their route.
 const ORDER: u8 = 1;
 const LOOKUP: u8 = 2;
 const CHECK: u8 = 3;
@@ -72,27 +75,27 @@
     replica.table()
 }
 
-/// What became of the requests of one kind.
+/// Outcomes of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     sent: u32,
-    in_aim: u32,
+    on_time: u32,
     late: u32,
     refused_tries: u32,
-    /// When an opening was last refused, microseconds.
+    /// Time of the last refused opening, microseconds.
     last_refusal: u64,
 }
 
 impl Outcome {
     fn served(&self) -> f64 {
-        f64::from(self.in_aim + self.late) / f64::from(self.sent.max(1))
+        f64::from(self.on_time + self.late) / f64::from(self.sent.max(1))
     }
 }
 
 #[derive(Clone, Copy)]
 struct Request {
     kind: u8,
-    began: u64,
+    started_at: u64,
     tries: u32,
 }
 
@@ -120,37 +123,37 @@
     queue: VecDeque<usize>,
 }
 
-/// What happens, besides the load.
+/// Load and faults of a simulation.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     enabled: bool,
-    /// Requests a second at a time, microseconds, as a part of what targets bear.
+    /// Offered load at a time in microseconds, as a fraction of the capacity.
     load: fn(u64) -> f64,
-    /// Factor to the time of work at a target.
-    slowness: fn(u64, u64) -> f64,
-    /// Whether a target fails a request at once.
+    /// Factor to the processing time of a target at a time.
+    slowdown: fn(u64, u64) -> f64,
+    /// Whether a target fails every request at once.
     fails: fn(u64) -> bool,
-    /// The node that a flow's hash leads to, of [`NODES`].
+    /// Maps a random number to the node that receives a flow, of [`NODES`].
     node: fn(f64) -> usize,
     until: u64,
 }
 
-const CALM: Play = Play {
+const NORMAL_LOAD: Scenario = Scenario {
     enabled: true,
     load: |_| 0.7,
-    slowness: |_, _| 1.0,
+    slowdown: |_, _| 1.0,
     fails: |_| false,
     node: any_node,
     until: 10_000_000,
 };
 
-fn any_node(drawn: f64) -> usize {
-    (drawn * NODES as f64) as usize
+fn any_node(random: f64) -> usize {
+    (random * NODES as f64) as usize
 }
 
 /// Clients, nodes and targets in virtual time.
-struct World {
-    play: Play,
+struct Simulation {
+    scenario: Scenario,
     table: ForwardingTable,
     nodes: Vec<Forwarder>,
     targets: BTreeMap<u64, Target>,
@@ -161,20 +164,20 @@
     outcomes: BTreeMap<u8, Outcome>,
 }
 
-impl World {
-    fn run(play: Play, seed: u64) -> BTreeMap<u8, Outcome> {
-        Self::played(play, seed, u64::MAX).outcomes
+impl Simulation {
+    fn run(scenario: Scenario, seed: u64) -> BTreeMap<u8, Outcome> {
+        Self::run_until(scenario, seed, u64::MAX).outcomes
     }
 
-    /// The world as it is at `stop`, with all that is under way.
-    fn played(play: Play, seed: u64, stop: u64) -> Self {
+    /// Simulates up to `stop` and returns the state at that time.
+    fn run_until(scenario: Scenario, seed: u64, stop: u64) -> Self {
         let settings = AdmissionSettings {
-            enabled: play.enabled,
+            enabled: scenario.enabled,
             ..AdmissionSettings::default()
         };
         let forwarder = || Forwarder::new(HealthSettings::default()).with_admission(settings);
-        let mut world = Self {
-            play,
+        let mut simulation = Self {
+            scenario,
             table: table(),
             nodes: (0..NODES).map(|_| forwarder()).collect(),
             targets: (1..=TARGETS).map(|id| (id, Target::default())).collect(),
@@ -184,15 +187,15 @@
             random: StdRng::seed_from_u64(seed),
             outcomes: BTreeMap::new(),
         };
-        world.schedule(0, Event::Arrival);
-        world.schedule(0, Event::Review);
-        while let Some(Reverse((now, number))) = world.events.pop() {
+        simulation.schedule(0, Event::Arrival);
+        simulation.schedule(0, Event::Review);
+        while let Some(Reverse((now, number))) = simulation.events.pop() {
             if now >= stop {
                 break;
             }
-            world.handle(now, world.scheduled[number]);
+            simulation.handle(now, simulation.scheduled[number]);
         }
-        world
+        simulation
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
@@ -204,7 +207,7 @@
         match event {
             Event::Arrival => self.arrive(now),
             Event::Try(request) => self.open(now, request),
-            Event::Data(flow) => self.ask(now, flow),
+            Event::Data(flow) => self.send_request(now, flow),
             Event::Finish(flow) => self.finish(now, flow),
             Event::Answer(flow, bytes) => self.answer(now, flow, bytes),
             Event::Review => self.review(now),
@@ -216,7 +219,7 @@
             node.review(Timestamp::from_micros(now), &self.table);
             node.review_admission(Timestamp::from_micros(now));
         }
-        if now < self.play.until {
+        if now < self.scenario.until {
             self.schedule(now + 100_000, Event::Review);
         }
     }
@@ -230,13 +233,13 @@
         self.outcomes.entry(kind).or_default().sent += 1;
         let request = Request {
             kind,
-            began: now,
+            started_at: now,
             tries: 0,
         };
         self.open(now, request);
-        let rate = CAPACITY * (self.play.load)(now);
+        let rate = CAPACITY * (self.scenario.load)(now);
         let pause = -self.random.random::<f64>().max(1e-9).ln() / rate * 1e6;
-        if now < self.play.until {
+        if now < self.scenario.until {
             self.schedule(now + pause as u64, Event::Arrival);
         }
     }
@@ -248,7 +251,7 @@
             client: SocketAddrV4::new(client, u16::try_from(1_024 + number % 60_000).unwrap()),
             service: address(request.kind),
         };
-        let node = (self.play.node)(self.random.random());
+        let node = (self.scenario.node)(self.random.random());
         let packet = packet(tuple, PacketRole::Opening { attempt: 0 });
         let decision =
             self.nodes[node].decide(Timestamp::from_micros(now), &self.table, &packet, false);
@@ -267,14 +270,14 @@
                 let outcome = self.outcomes.entry(request.kind).or_default();
                 outcome.refused_tries += 1;
                 outcome.last_refusal = now;
-                self.again(now, request);
+                self.retry(now, request);
             }
             other => panic!("{other:?}"),
         }
     }
 
-    /// The client tries once more on a new flow, if it may.
-    fn again(&mut self, now: u64, request: Request) {
+    /// Retries on a new flow unless all tries are used up.
+    fn retry(&mut self, now: u64, request: Request) {
         let tries = request.tries + 1;
         if tries < TRIES {
             let pause = self.random.random_range(40_000..120_000);
@@ -282,7 +285,7 @@
         }
     }
 
-    fn ask(&mut self, now: u64, number: usize) {
+    fn send_request(&mut self, now: u64, number: usize) {
         let flow = &self.flows[number];
         let data = FlowPacket {
             cookie: Some(flow.cookie),
@@ -293,36 +296,36 @@
         self.nodes[flow.node].decide(Timestamp::from_micros(now), &self.table, &data, false);
         let id = flow.target;
         let target = self.targets.get_mut(&id).unwrap();
-        if (self.play.fails)(id) {
+        if (self.scenario.fails)(id) {
             self.schedule(now + 2_000, Event::Answer(number, 140));
         } else if target.busy < SLOTS {
             target.busy += 1;
-            self.start(now, number);
-        } else if target.queue.len() < QUEUE {
+            self.process(now, number);
+        } else if target.queue.len() < QUEUE_CAPACITY {
             target.queue.push_back(number);
         } else {
             self.schedule(now + 2_000, Event::Answer(number, 140));
         }
     }
 
-    fn start(&mut self, now: u64, number: usize) {
+    fn process(&mut self, now: u64, number: usize) {
         let flow = &self.flows[number];
         let mean = if flow.request.kind == ORDER {
             52e3
         } else {
             40e3
         };
-        let slowness = (self.play.slowness)(flow.target, now);
-        // A mean of one, and a scatter of about a half.
+        let slowdown = (self.scenario.slowdown)(flow.target, now);
+        // The factor has a mean of one and varies by about a half.
         let scatter: f64 = (0..4).map(|_| self.random.random::<f64>()).sum::<f64>() / 2.0;
-        let work = mean * slowness * scatter;
+        let work = mean * slowdown * scatter;
         self.schedule(now + work as u64, Event::Finish(number));
     }
 
     fn finish(&mut self, now: u64, number: usize) {
         let target = self.targets.get_mut(&self.flows[number].target).unwrap();
         match target.queue.pop_front() {
-            Some(next) => self.start(now, next),
+            Some(next) => self.process(now, next),
             None => target.busy -= 1,
         }
         self.schedule(now + 1_000, Event::Answer(number, 2_000));
@@ -340,9 +343,9 @@
         self.nodes[flow.node].decide(Timestamp::from_micros(now), &self.table, &end, false);
         let outcome = self.outcomes.entry(request.kind).or_default();
         if bytes < 200 {
-            self.again(now, request);
-        } else if now - request.began <= AIM {
-            outcome.in_aim += 1;
+            self.retry(now, request);
+        } else if now - request.started_at <= LATENCY_TARGET_MICROSECONDS {
+            outcome.on_time += 1;
         } else {
             outcome.late += 1;
         }
@@ -365,7 +368,7 @@
     let mut total = Outcome::default();
     for outcome in outcomes.values() {
         total.sent += outcome.sent;
-        total.in_aim += outcome.in_aim;
+        total.on_time += outcome.on_time;
         total.late += outcome.late;
         total.refused_tries += outcome.refused_tries;
         total.last_refusal = total.last_refusal.max(outcome.last_refusal);
@@ -373,7 +376,7 @@
     total
 }
 
-/// Calm, six seconds of a load, calm.
+/// Light load, except for a burst from 3 s to 9 s.
 fn burst(now: u64, load: f64) -> f64 {
     if (3_000_000..9_000_000).contains(&now) {
         load
@@ -382,132 +385,139 @@
     }
 }
 
-const SIX_TIMES: Play = Play {
+const BURST_OF_120_PERCENT: Scenario = Scenario {
     load: |now| burst(now, 1.2),
     until: 12_000_000,
-    ..CALM
+    ..NORMAL_LOAD
 };
 
-const TWELVE_TIMES: Play = Play {
+const BURST_OF_240_PERCENT: Scenario = Scenario {
     load: |now| burst(now, 2.4),
-    ..SIX_TIMES
+    ..BURST_OF_120_PERCENT
 };
 
-const fn without(play: Play) -> Play {
-    Play {
+const fn disabled(scenario: Scenario) -> Scenario {
+    Scenario {
         enabled: false,
-        ..play
+        ..scenario
     }
 }
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 #[test]
-fn at_a_fifth_too_much_orders_are_served_and_nothing_idles() {
+fn at_120_percent_load_orders_are_served_and_capacity_is_used() {
     for seed in SEEDS {
-        let held = World::run(SIX_TIMES, seed);
-        let free = World::run(without(SIX_TIMES), seed);
+        let with = Simulation::run(BURST_OF_120_PERCENT, seed);
+        let without = Simulation::run(disabled(BURST_OF_120_PERCENT), seed);
         println!(
-            "seed {seed}: orders {:.4} of all {:.4}, without {:.4} {:.4}",
-            held[&ORDER].served(),
-            total(&held).served(),
-            free[&ORDER].served(),
-            total(&free).served()
+            "seed {seed}: orders {:.4} of all {:.4}, without admission control {:.4} {:.4}",
+            with[&ORDER].served(),
+            total(&with).served(),
+            without[&ORDER].served(),
+            total(&without).served()
+        );
+        assert!(with[&ORDER].served() > 0.985, "{seed}: {:?}", with[&ORDER]);
+        let (with, without) = (total(&with).served(), total(&without).served());
+        assert!(
+            with > without - 0.06,
+            "{seed}: {with} of all, {without} without admission control"
         );
-        assert!(held[&ORDER].served() > 0.985, "{seed}: {:?}", held[&ORDER]);
-        let (held, free) = (total(&held).served(), total(&free).served());
-        assert!(held > free - 0.06, "{seed}: {held} of all, without {free}");
     }
 }
 
 #[test]
-fn at_more_than_twice_what_is_borne_orders_go_first() {
+fn at_240_percent_load_orders_are_preferred() {
     for seed in SEEDS {
-        let held = World::run(TWELVE_TIMES, seed);
-        let free = World::run(without(TWELVE_TIMES), seed);
+        let with = Simulation::run(BURST_OF_240_PERCENT, seed);
+        let without = Simulation::run(disabled(BURST_OF_240_PERCENT), seed);
         println!(
-            "seed {seed}: orders {:.4} of all {:.4}, without {:.4} {:.4}",
-            held[&ORDER].served(),
-            total(&held).served(),
-            free[&ORDER].served(),
-            total(&free).served()
+            "seed {seed}: orders {:.4} of all {:.4}, without admission control {:.4} {:.4}",
+            with[&ORDER].served(),
+            total(&with).served(),
+            without[&ORDER].served(),
+            total(&without).served()
+        );
+        assert!(with[&ORDER].served() > 0.95, "{seed}: {:?}", with[&ORDER]);
+        assert!(
+            without[&ORDER].served() < 0.9,
+            "{seed}: {:?}",
+            without[&ORDER]
         );
-        assert!(held[&ORDER].served() > 0.95, "{seed}: {:?}", held[&ORDER]);
-        assert!(free[&ORDER].served() < 0.9, "{seed}: {:?}", free[&ORDER]);
     }
 }
 
 #[test]
-fn a_second_after_a_burst_nothing_is_refused() {
+fn nothing_is_refused_from_a_second_after_a_burst() {
     for seed in SEEDS {
-        let held = total(&World::run(TWELVE_TIMES, seed));
-        assert!(held.refused_tries > 0);
-        assert!(held.last_refusal < 10_000_000, "{seed}: {held:?}");
+        let with = total(&Simulation::run(BURST_OF_240_PERCENT, seed));
+        assert!(with.refused_tries > 0);
+        assert!(with.last_refusal < 10_000_000, "{seed}: {with:?}");
     }
 }
 
 #[test]
-fn nobody_is_refused_while_instances_have_room() {
-    let plays = [
-        ("calm", CALM),
+fn nothing_is_refused_while_instances_have_capacity() {
+    let scenarios = [
+        ("normal load", NORMAL_LOAD),
         (
-            "a fifth slow",
-            Play {
-                slowness: |id, _| if id % 5 == 0 { 4.0 } else { 1.0 },
-                ..CALM
+            "a fifth of the targets slow",
+            Scenario {
+                slowdown: |id, _| if id % 5 == 0 { 4.0 } else { 1.0 },
+                ..NORMAL_LOAD
             },
         ),
         (
-            "a fifth failing",
-            Play {
+            "a fifth of the targets failing",
+            Scenario {
                 fails: |id| id % 5 == 0,
-                ..CALM
+                ..NORMAL_LOAD
             },
         ),
         (
-            "a release, each cold for 2 s",
-            Play {
-                slowness: |id, now| {
+            "a rollout, each target cold for 2 s",
+            Scenario {
+                slowdown: |id, now| {
                     let started = 2_000_000 + id * 250_000;
                     let is_cold = (started..started + 2_000_000).contains(&now);
                     if is_cold { 1.6 } else { 1.0 }
                 },
-                ..CALM
+                ..NORMAL_LOAD
             },
         ),
         (
-            "most at one node",
-            Play {
-                node: |drawn| if drawn < 0.6 { 0 } else { any_node(drawn) },
-                ..CALM
+            "most flows at one node",
+            Scenario {
+                node: |random| if random < 0.6 { 0 } else { any_node(random) },
+                ..NORMAL_LOAD
             },
         ),
         (
             "few requests",
-            Play {
+            Scenario {
                 load: |_| 0.02,
-                ..CALM
+                ..NORMAL_LOAD
             },
         ),
     ];
-    for (name, play) in plays {
+    for (name, scenario) in scenarios {
         for seed in SEEDS {
-            let held = total(&World::run(play, seed));
-            assert_eq!(held.refused_tries, 0, "{name}, {seed}: {held:?}");
+            let with = total(&Simulation::run(scenario, seed));
+            assert_eq!(with.refused_tries, 0, "{name}, {seed}: {with:?}");
         }
     }
 }
 
-/// A node in the middle of a burst, and the decisions on openings of one route.
+/// A node in the middle of a burst, to which single openings are offered.
 struct Overloaded {
-    world: World,
+    simulation: Simulation,
     opened: u32,
 }
 
 impl Overloaded {
     fn new() -> Self {
         Self {
-            world: World::played(TWELVE_TIMES, 1, 6_000_000),
+            simulation: Simulation::run_until(BURST_OF_240_PERCENT, 1, 6_000_000),
             opened: 0,
         }
     }
@@ -524,7 +534,7 @@
     fn open(&mut self, flow: FlowTuple, attempt: u32, after: u64) -> Decision {
         let opening = packet(flow, PacketRole::Opening { attempt });
         let now = Timestamp::from_micros(6_000_000 + after);
-        self.world.nodes[0].decide(now, &self.world.table, &opening, false)
+        self.simulation.nodes[0].decide(now, &self.simulation.table, &opening, false)
     }
 }
 
@@ -533,36 +543,40 @@
 }
 
 #[test]
-fn copies_of_an_opening_share_its_verdict() {
+fn copies_of_an_opening_share_its_decision() {
     let mut node = Overloaded::new();
-    let mut verdicts = [0, 0];
+    let mut decisions = [0, 0];
     for kind in [ORDER, LOOKUP].into_iter().cycle().take(100) {
         let flow = node.new_flow(kind);
         let first = is_placed(node.open(flow, 0, 0));
-        verdicts[usize::from(first)] += 1;
-        assert_eq!(is_placed(node.open(flow, 0, 1_000)), first, "the network's");
+        decisions[usize::from(first)] += 1;
+        assert_eq!(
+            is_placed(node.open(flow, 0, 1_000)),
+            first,
+            "duplicated by the network"
+        );
         assert_eq!(is_placed(node.open(flow, 1, 200_000)), first);
         assert_eq!(is_placed(node.open(flow, 2, 600_000)), first);
     }
-    assert!(verdicts[0] > 20 && verdicts[1] > 20, "{verdicts:?}");
+    assert!(decisions[0] > 20 && decisions[1] > 20, "{decisions:?}");
 }
 
 #[test]
-fn a_copy_of_an_opening_that_another_node_had_is_admitted() {
+fn a_later_copy_of_an_opening_seen_by_another_node_is_admitted() {
     let mut node = Overloaded::new();
     for attempt in [1, 2] {
         for _ in 0..50 {
             let flow = node.new_flow(LOOKUP);
             assert!(
                 is_placed(node.open(flow, attempt, 0)),
-                "it may have been sent on"
+                "the other node may have forwarded it"
             );
         }
     }
 }
 
 #[test]
-fn a_route_with_hardly_a_flow_is_not_refused() {
+fn a_route_with_very_few_flows_is_not_refused() {
     let mut node = Overloaded::new();
     for _ in 0..20 {
         let flow = node.new_flow(CHECK);
--- a/crates/bellyoke-core/tests/cookie/link.rs
+++ b/crates/bellyoke-core/tests/cookie/link.rs
@@ -1,5 +1,5 @@
-//! Pacing at the node's own link, against a link with a rate and a short queue, and senders with a
-//! window that repeat what is not acknowledged.
+//! Pacing on a simulated link with a limited rate and a short queue, with senders that have a window
+//! and retransmit unacknowledged data.
 
 use crate::support::at;
 use bellyoke_core::cookie::link::{
@@ -10,48 +10,48 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-const LENGTH: usize = 1_239;
+const PACKET_BYTES: usize = 1_239;
 const WINDOW: u32 = 16;
-const FIRST_TIMEOUT: u64 = 200;
-const LONGEST_TIMEOUT: u64 = 1_600;
+const INITIAL_TIMEOUT: u64 = 200;
+const MAXIMUM_TIMEOUT: u64 = 1_600;
 
-/// An upload of 80 kB.
+/// Packets of an upload of 80 kB.
 const PACKETS: u32 = 67;
 
 fn bulk(flow: u64, sequence: u32) -> OutgoingPacket {
     OutgoingPacket {
         flow_hash: flow.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         data_sequence: Some(sequence),
-        length: LENGTH,
+        length: PACKET_BYTES,
     }
 }
 
-/// The link of the node.
-struct ThinLink {
+/// Simulated link of the node.
+struct SimulatedLink {
     bytes_per_millisecond: f64,
-    longest_wait: f64,
-    /// Share that is lost anyhow.
+    maximum_wait: f64,
+    /// Share of packets that is lost regardless of the load.
     loss: f64,
     free_at: f64,
 }
 
-impl ThinLink {
-    fn new(megabits: f64, longest_wait: f64, loss: f64) -> Self {
+impl SimulatedLink {
+    fn new(megabits: f64, maximum_wait: f64, loss: f64) -> Self {
         Self {
             bytes_per_millisecond: megabits * 125.0,
-            longest_wait,
+            maximum_wait,
             loss,
             free_at: 0.0,
         }
     }
 
-    /// When the packet arrives, milliseconds.
+    /// Returns when the packet arrives, milliseconds; `None` if it is lost.
     fn send(&mut self, now: u64, random: &mut ChaCha8Rng) -> Option<u64> {
         let waits = (self.free_at - now as f64).max(0.0);
-        if waits > self.longest_wait {
+        if waits > self.maximum_wait {
             return None;
         }
-        self.free_at = now as f64 + waits + LENGTH as f64 / self.bytes_per_millisecond;
+        self.free_at = now as f64 + waits + PACKET_BYTES as f64 / self.bytes_per_millisecond;
         let lost = random.random_bool(self.loss);
         (!lost).then_some(self.free_at as u64 + 2)
     }
@@ -76,21 +76,21 @@
             next: 0,
             acknowledged: 0,
             received: BTreeSet::new(),
-            timeout: FIRST_TIMEOUT,
-            expires: started + FIRST_TIMEOUT,
+            timeout: INITIAL_TIMEOUT,
+            expires: started + INITIAL_TIMEOUT,
         }
     }
 
-    /// What it puts on the wire now.
-    fn packets(&mut self, now: u64) -> Vec<u32> {
+    /// Returns the packets that are sent at `now`.
+    fn packets_to_send(&mut self, now: u64) -> Vec<u32> {
         if now >= self.expires {
-            self.timeout = (self.timeout * 2).min(LONGEST_TIMEOUT);
+            self.timeout = (self.timeout * 2).min(MAXIMUM_TIMEOUT);
             self.expires = now + self.timeout;
             self.next = self.acknowledged + 1;
             return vec![self.acknowledged];
         }
-        // After a time-out only the first is sent until it is acknowledged.
-        if self.timeout > FIRST_TIMEOUT {
+        // After a timeout only the first packet is sent until it is acknowledged.
+        if self.timeout > INITIAL_TIMEOUT {
             return Vec::new();
         }
         let end = (self.acknowledged + WINDOW).min(PACKETS);
@@ -99,29 +99,29 @@
         sent
     }
 
-    fn arrives(&mut self, now: u64, sequence: u32) {
+    fn receive(&mut self, now: u64, sequence: u32) {
         self.received.insert(sequence);
         let before = self.acknowledged;
         while self.received.contains(&self.acknowledged) {
             self.acknowledged += 1;
         }
         if self.acknowledged > before {
-            if self.timeout > FIRST_TIMEOUT {
+            if self.timeout > INITIAL_TIMEOUT {
                 self.next = self.acknowledged;
             }
             self.next = self.next.max(self.acknowledged);
-            self.timeout = FIRST_TIMEOUT;
-            self.expires = now + FIRST_TIMEOUT;
+            self.timeout = INITIAL_TIMEOUT;
+            self.expires = now + INITIAL_TIMEOUT;
         }
     }
 }
 
-/// How a run went.
+/// Result of a simulation.
 struct Outcome {
-    /// Time of each upload, milliseconds.
+    /// Duration of each upload, milliseconds.
     times: Vec<u64>,
-    /// Packets that were held back.
-    held: u64,
+    /// Number of packets that were queued by the pacer.
+    queued: u64,
     pacer: LinkPacer<(u64, u32)>,
 }
 
@@ -131,15 +131,15 @@
     }
 }
 
-/// Plays uploads that start at some times, with pacing or without, for a minute.
-fn play(mut link: ThinLink, starts: &[u64], paced: bool, seed: u64) -> Outcome {
+/// Simulates uploads that start at the given times, with pacing or without.
+fn simulate(mut link: SimulatedLink, starts: &[u64], paced: bool, seed: u64) -> Outcome {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut pacer = LinkPacer::default();
     let mut uploads: BTreeMap<u64, Upload> = BTreeMap::new();
     let mut arrivals: BTreeMap<u64, Vec<(u64, u32)>> = BTreeMap::new();
     let mut outcome = Outcome {
         times: Vec::new(),
-        held: 0,
+        queued: 0,
         pacer: LinkPacer::default(),
     };
     for now in 0..90_000 {
@@ -148,46 +148,46 @@
         }
         for (flow, sequence) in arrivals.remove(&now).unwrap_or_default() {
             if let Some(upload) = uploads.get_mut(&flow) {
-                upload.arrives(now, sequence);
+                upload.receive(now, sequence);
                 if upload.acknowledged == PACKETS {
                     outcome.times.push(now - upload.started);
                     uploads.remove(&flow);
                 }
             }
         }
-        let mut goes = Vec::new();
-        while let Some(held) = pacer.next_due(at(now)) {
-            goes.push(held);
+        let mut sent = Vec::new();
+        while let Some(queued) = pacer.next_due(at(now)) {
+            sent.push(queued);
         }
         for upload in uploads.values_mut() {
-            for sequence in upload.packets(now) {
+            for sequence in upload.packets_to_send(now) {
                 let packet = bulk(upload.flow, sequence);
                 let verdict = match paced {
                     true => pacer.offer(at(now), &packet),
                     false => SendDecision::Now,
                 };
                 match verdict {
-                    SendDecision::Now => goes.push((upload.flow, sequence)),
+                    SendDecision::Now => sent.push((upload.flow, sequence)),
                     SendDecision::Enqueue => {
-                        outcome.held += 1;
+                        outcome.queued += 1;
                         pacer.enqueue(packet, (upload.flow, sequence));
                     }
                     SendDecision::Duplicate | SendDecision::QueueFull => {}
                 }
             }
         }
-        for (flow, sequence) in goes {
+        for (flow, sequence) in sent {
             if let Some(arrives) = link.send(now, &mut random) {
                 arrivals.entry(arrives).or_default().push((flow, sequence));
             }
         }
     }
-    assert_eq!(outcome.times.len(), starts.len(), "all uploads end");
+    assert_eq!(outcome.times.len(), starts.len(), "all uploads complete");
     outcome.pacer = pacer;
     outcome
 }
 
-/// Random starts at a mean distance, for a minute.
+/// Returns random start times within a minute, with a mean distance.
 fn starts(mean_distance: f64, seed: u64) -> Vec<u64> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut starts = Vec::new();
@@ -199,63 +199,67 @@
     starts
 }
 
-/// An upload takes 265 ms of a link of 2.5 Mbit/s.
+/// Without pacing, windows overflow the short queue of a slow link and are retransmitted. On a link
+/// of 2.5 Mbit/s an upload takes 265 ms.
 #[test]
-fn uploads_on_a_thin_link_are_paced_at_its_rate() {
+fn uploads_on_a_slow_link_are_paced_at_its_rate() {
     for seed in 0..4 {
-        let thin = || ThinLink::new(2.5, 45.0, 0.0);
+        let slow_link = || SimulatedLink::new(2.5, 45.0, 0.0);
         let starts = starts(1_650.0, seed);
-        let without = play(thin(), &starts, false, seed).mean();
-        let with = play(thin(), &starts, true, seed).mean();
-        assert!(with < 600, "seed {seed}: {with} ms in the mean");
-        assert!(with * 2 < without, "seed {seed}: {with}, {without} without");
+        let without = simulate(slow_link(), &starts, false, seed).mean();
+        let with = simulate(slow_link(), &starts, true, seed).mean();
+        assert!(with < 600, "seed {seed}: mean of {with} ms");
+        assert!(
+            with * 2 < without,
+            "seed {seed}: {with} ms, {without} ms without pacing"
+        );
     }
 }
 
-/// The learned rate follows links that differ by a hundred times.
+/// The estimated rate follows links that differ by a factor of a hundred.
 #[test]
-fn the_rate_is_learned_from_nothing_but_losses() {
+fn the_rate_is_estimated_from_losses_alone() {
     for (megabits, distance) in [(1.0, 4_000.0), (3.0, 1_400.0), (10.0, 300.0), (100.0, 25.0)] {
-        let link = ThinLink::new(megabits, 45.0, 0.0);
+        let link = SimulatedLink::new(megabits, 45.0, 0.0);
         let starts = starts(distance, 7);
-        let without = play(ThinLink::new(megabits, 45.0, 0.0), &starts, false, 7).mean();
-        let with = play(link, &starts, true, 7).mean();
+        let without = simulate(SimulatedLink::new(megabits, 45.0, 0.0), &starts, false, 7).mean();
+        let with = simulate(link, &starts, true, 7).mean();
         assert!(
             with <= without,
-            "{megabits} Mbit/s: {with}, {without} without"
+            "{megabits} Mbit/s: {with} ms, {without} ms without pacing"
         );
     }
 }
 
 #[test]
-fn nothing_is_held_back_where_nothing_is_lost() {
-    let outcome = play(
-        ThinLink::new(1_000.0, 45.0, 0.0),
+fn no_packet_is_queued_without_losses() {
+    let outcome = simulate(
+        SimulatedLink::new(1_000.0, 45.0, 0.0),
         &starts(200.0, 1),
         true,
         1,
     );
-    assert_eq!(outcome.held, 0);
+    assert_eq!(outcome.queued, 0);
     assert_eq!(outcome.pacer.bytes_per_second(), None);
 }
 
-/// Losses that have nothing to do with the link.
+/// Losses that aren't caused by the link must not slow uploads down notably.
 #[test]
-fn random_losses_on_a_wide_link_slow_little() {
+fn random_losses_on_a_fast_link_slow_uploads_little() {
     for seed in 0..4 {
-        let lossy = || ThinLink::new(1_000.0, 45.0, 0.025);
+        let lossy_link = || SimulatedLink::new(1_000.0, 45.0, 0.025);
         let starts = starts(500.0, seed);
-        let without = play(lossy(), &starts, false, seed).mean();
-        let with = play(lossy(), &starts, true, seed).mean();
+        let without = simulate(lossy_link(), &starts, false, seed).mean();
+        let with = simulate(lossy_link(), &starts, true, seed).mean();
         assert!(
             with * 2 < without * 3,
-            "seed {seed}: {with} ms, {without} without"
+            "seed {seed}: {with} ms, {without} ms without pacing"
         );
     }
 }
 
-/// A pacer that has sent so many packets and seen four of them lost.
-fn paced_after(packets: u32) -> LinkPacer<u32> {
+/// Returns a pacer that has sent this many packets, four of which were lost.
+fn pacer_after_losses(packets: u32) -> LinkPacer<u32> {
     let mut pacer = LinkPacer::default();
     for sequence in 0..packets {
         assert_eq!(pacer.offer(at(0), &bulk(1, sequence)), SendDecision::Now);
@@ -268,25 +272,25 @@
     pacer
 }
 
-fn paced() -> LinkPacer<u32> {
-    paced_after(WINDOW)
+fn active_pacer() -> LinkPacer<u32> {
+    pacer_after_losses(WINDOW)
 }
 
-/// Offers a window and holds what goes later.
+/// Offers a window and queues the packets that aren't sent at once.
 fn offer_window(pacer: &mut LinkPacer<u32>, now: Timestamp, flow: u64) -> usize {
-    let mut held = 0;
+    let mut queued = 0;
     for sequence in 100..100 + WINDOW {
         let packet = bulk(flow, sequence);
         if pacer.offer(now, &packet) == SendDecision::Enqueue {
             pacer.enqueue(packet, sequence);
-            held += 1;
+            queued += 1;
         }
     }
-    held
+    queued
 }
 
 #[test]
-fn data_that_comes_again_soon_is_no_loss() {
+fn data_that_arrives_again_soon_is_not_a_loss() {
     let mut pacer = LinkPacer::<()>::default();
     for now in [0, 1, 100] {
         assert_eq!(pacer.offer(at(now), &bulk(1, 5)), SendDecision::Now);
@@ -295,8 +299,8 @@
 }
 
 #[test]
-fn short_packets_and_openings_never_wait() {
-    let mut pacer = paced();
+fn short_packets_and_openings_are_never_queued() {
+    let mut pacer = active_pacer();
     assert!(offer_window(&mut pacer, at(810), 1) > 0);
     let acknowledgement = OutgoingPacket {
         flow_hash: 3,
@@ -314,17 +318,17 @@
 }
 
 #[test]
-fn data_that_waits_already_is_not_sent_twice() {
-    let mut pacer = paced();
+fn queued_data_is_not_queued_twice() {
+    let mut pacer = active_pacer();
     offer_window(&mut pacer, at(810), 1);
     let last = bulk(1, 100 + WINDOW - 1);
     assert_eq!(pacer.offer(at(1_020), &last), SendDecision::Duplicate);
 }
 
-/// Losses that pacing doesn't make rarer end it, whatever waits then.
+/// Pacing that doesn't reduce losses ends, even while packets are queued.
 #[test]
-fn what_is_held_goes_at_once_when_pacing_ends() {
-    let mut pacer = paced_after(80);
+fn queued_packets_are_due_at_once_when_pacing_ends() {
+    let mut pacer = pacer_after_losses(80);
     let mut now = 2_000;
     while pacer.bytes_per_second().is_some() {
         assert!(now < 100_000, "pacing doesn't end");
@@ -338,25 +342,21 @@
         now += 1_000;
     }
     assert!(pacer.queued_packets() > 0);
-    assert!(
-        pacer
-            .next_due_at()
-            .is_some_and(|next_at| next_at <= at(now))
-    );
+    assert!(pacer.next_due_at().is_some_and(|due_at| due_at <= at(now)));
 }
 
 #[test]
-fn what_waits_is_bounded_and_goes_in_order() {
-    let mut pacer = paced();
+fn the_queue_is_bounded_and_keeps_the_order() {
+    let mut pacer = active_pacer();
     for flow in 0..40 {
         offer_window(&mut pacer, at(810), flow);
     }
     assert_eq!(pacer.queued_packets(), MAXIMUM_QUEUED_PACKETS);
     let mut sent = Vec::new();
     let mut now = at(810);
-    while let Some(next_at) = pacer.next_due_at() {
-        assert!(next_at > now, "nothing is due that was not sent");
-        now = next_at.after(std::time::Duration::from_micros(1));
+    while let Some(due_at) = pacer.next_due_at() {
+        assert!(due_at > now, "no packet that was due is left");
+        now = due_at.after(std::time::Duration::from_micros(1));
         while let Some(sequence) = pacer.next_due(now) {
             sent.push(sequence);
         }
@@ -364,6 +364,6 @@
     assert_eq!(sent.len(), MAXIMUM_QUEUED_PACKETS);
     assert!(
         sent[..8].is_sorted(),
-        "the first flow's window in its order"
+        "the first flow's window is sent in order"
     );
 }
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -1,8 +1,8 @@
-//! New flows stay in their node's zone as long as that is best for callers.
+//! New flows stay in their node's own zone as long as that is best for clients.
 //!
-//! A small load is played: nodes with forwarders of their own, instances with two slots and a queue, and
-//! clients that open a flow for each request. What callers get, how evenly instances are used and what crosses
-//! zones are compared with nodes that know no zone.
+//! Simulates nodes with a forwarder each, instances with two slots and a queue, and clients that
+//! open a flow for each request. Response times, the balance between instances and the traffic
+//! between zones are compared with nodes that don't know their zone.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
 use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
@@ -18,25 +18,25 @@
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["cork", "kerry", "limerick"];
-/// Clients reach nodes and are reached in so long, microseconds.
-const CLIENT: u64 = 1_000;
-const SECOND: u64 = 1_000_000;
+/// One-way delay between clients and nodes or instances, microseconds.
+const CLIENT_DELAY: u64 = 1_000;
+const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 const SLOTS: usize = 2;
-const QUEUE: usize = 8;
+const QUEUE_CAPACITY: usize = 8;
 
-/// What is played.
+/// Load and faults of a simulation.
 #[derive(Clone)]
 struct Load {
-    /// Nodes, instances and flows a second, by zone.
+    /// Nodes, instances and flows per second, by zone.
     nodes: [u32; 3],
     instances: [u32; 3],
     rates: [f64; 3],
-    /// Factor to the flows of the first zone from one second to another.
-    shift: Option<(f64, u64, u64)>,
-    /// One way between zones, and mean work of a request, microseconds.
-    crossing: u64,
+    /// Factor to the flows of the first zone, from one second up to another.
+    surge: Option<(f64, u64, u64)>,
+    /// One-way delay between zones and mean processing time of a request, microseconds.
+    crossing_delay: u64,
     work: u64,
-    /// What is wrong with the instances of the first zone.
+    /// State of the instances of the first zone.
     first_zone: ZoneState,
     knows_zones: bool,
     seconds: u64,
@@ -44,12 +44,12 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum ZoneState {
-    Sound,
-    /// None answers from a second to another.
+    Healthy,
+    /// No instance answers from one second up to another.
     Dead(u64, u64),
     Cold,
     Drained,
-    /// Each turns all requests away.
+    /// Each instance rejects all requests.
     Full,
 }
 
@@ -59,27 +59,28 @@
             nodes: [4; 3],
             instances: [20; 3],
             rates: [300.0; 3],
-            shift: None,
-            crossing: 5_400,
+            surge: None,
+            crossing_delay: 5_400,
             work: 30_000,
-            first_zone: ZoneState::Sound,
+            first_zone: ZoneState::Healthy,
             knows_zones: true,
             seconds: 20,
         }
     }
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug)]
 struct Outcome {
     mean_milliseconds: f64,
-    slowest_hundredth: f64,
+    p99_milliseconds: f64,
     failed: usize,
-    /// Shares of the flows that crossed: all, those of the first zone, and its of the last two seconds.
+    /// Shares of flows to another zone: of all flows, of those of the first zone, and of those of the
+    /// first zone in the last two seconds.
     crossed: f64,
     crossed_first: f64,
     crossed_at_end: f64,
-    /// Requests of the busiest instance in those of the mean one, over all instances.
+    /// Ratio of the requests of the busiest instance to the mean, over all instances.
     imbalance: f64,
 }
 
@@ -94,21 +95,21 @@
 struct Caller {
     zone: usize,
     node: usize,
-    began: u64,
+    started_at: u64,
     answered: Option<u64>,
-    /// Where it was open first.
+    /// The instance at which the flow was opened first.
     cookie: Option<Cookie>,
 }
 
 struct Instance {
     zone: usize,
     free_at: [u64; SLOTS],
-    /// When waiting requests begin.
-    begins: Vec<u64>,
+    /// Start times of the queued requests.
+    starts: Vec<u64>,
     served: u32,
 }
 
-struct World {
+struct Simulation {
     load: Load,
     table: ForwardingTable,
     nodes: Vec<(usize, Forwarder)>,
@@ -118,7 +119,7 @@
     draws: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(load: &Load) -> Self {
         let records: Vec<InstanceRecord> = (0..3).flat_map(|zone| records(load, zone)).collect();
         let instances = records.iter().map(|record| {
@@ -126,7 +127,7 @@
             let instance = Instance {
                 zone: zone.unwrap(),
                 free_at: [0; SLOTS],
-                begins: Vec::new(),
+                starts: Vec::new(),
                 served: 0,
             };
             (Cookie::of(record.id), instance)
@@ -156,16 +157,19 @@
         }
     }
 
-    fn play(mut self) -> Outcome {
-        let (start, end) = (10 * SECOND, (10 + self.load.seconds) * SECOND);
+    fn run(mut self) -> Outcome {
+        let (start, end) = (
+            10 * MICROSECONDS_PER_SECOND,
+            (10 + self.load.seconds) * MICROSECONDS_PER_SECOND,
+        );
         for zone in 0..3 {
             let mut now = start;
             while now < end {
-                let second = (now - start) / SECOND;
-                let shift = self.load.shift;
-                let shift =
-                    shift.filter(|(_, from, to)| zone == 0 && (*from..*to).contains(&second));
-                let rate = self.load.rates[zone] * shift.map_or(1.0, |(factor, ..)| factor);
+                let second = (now - start) / MICROSECONDS_PER_SECOND;
+                let surge = self.load.surge;
+                let surge =
+                    surge.filter(|(_, from, to)| zone == 0 && (*from..*to).contains(&second));
+                let rate = self.load.rates[zone] * surge.map_or(1.0, |(factor, ..)| factor);
                 now += (-self.draw().ln() / rate * 1e6) as u64;
                 self.call(now, zone);
             }
@@ -176,9 +180,9 @@
         self.outcome(start)
     }
 
-    /// A number above 0, up to 1.
+    /// Returns a random number above 0, up to 1.
     fn draw(&mut self) -> f64 {
-        // Knuth's generator of 64 bits; the upper ones are good.
+        // Knuth's 64-bit linear congruential generator; the upper bits are of good quality.
         self.draws = self
             .draws
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -194,7 +198,7 @@
         let caller = Caller {
             zone,
             node,
-            began: now,
+            started_at: now,
             answered: None,
             cookie: None,
         };
@@ -203,14 +207,14 @@
         for (attempt, after) in [(0, 0), (1, 200_000), (2, 600_000)] {
             let opening = Step::Open { attempt };
             self.steps
-                .push(Reverse((now + CLIENT + after, number, opening)));
+                .push(Reverse((now + CLIENT_DELAY + after, number, opening)));
         }
     }
 
     fn step(&mut self, now: u64, number: usize, step: Step) {
         let caller = self.callers[number];
-        let is_superfluous = matches!(step, Step::Open { .. }) && caller.cookie.is_some();
-        if is_superfluous {
+        let is_redundant = matches!(step, Step::Open { .. }) && caller.cookie.is_some();
+        if is_redundant {
             return;
         }
         let (role, cookie, data_length, acknowledged) = match step {
@@ -235,70 +239,74 @@
         match decision {
             Decision::Place { destination, .. } => self.opened(now, number, destination.cookie),
             Decision::Follow { destination, .. } if data_length > 0 => {
-                self.asked(now, number, destination.cookie);
+                self.request(now, number, destination.cookie);
             }
             _ => {}
         }
     }
 
-    /// From a node to an instance, and on to the client.
-    fn ways(&self, caller: Caller, cookie: Cookie) -> (u64, u64) {
-        let crosses = self.instances[&cookie].zone != caller.zone;
-        let crossing = if crosses { self.load.crossing } else { 100 };
-        (crossing, crossing + CLIENT)
+    /// Returns the delays from the node to the instance and from the instance to the client.
+    fn delays(&self, caller: Caller, cookie: Cookie) -> (u64, u64) {
+        let is_other_zone = self.instances[&cookie].zone != caller.zone;
+        let crossing_delay = if is_other_zone {
+            self.load.crossing_delay
+        } else {
+            100
+        };
+        (crossing_delay, crossing_delay + CLIENT_DELAY)
     }
 
     fn opened(&mut self, now: u64, number: usize, cookie: Cookie) {
         let caller = self.callers[number];
-        let second = now / SECOND - 10;
+        let second = now / MICROSECONDS_PER_SECOND - 10;
         if let ZoneState::Dead(from, to) = self.load.first_zone
             && self.instances[&cookie].zone == 0
             && (from..to).contains(&second)
         {
             return;
         }
-        let (there, back) = self.ways(caller, cookie);
+        let (to_instance, to_client) = self.delays(caller, cookie);
         self.callers[number].cookie = Some(cookie);
         let asks = Step::Ask {
             cookie: cookie.bits(),
         };
-        let asks_at = now + there + back + CLIENT;
+        let asks_at = now + to_instance + to_client + CLIENT_DELAY;
         self.steps.push(Reverse((asks_at, number, asks)));
     }
 
-    fn asked(&mut self, now: u64, number: usize, cookie: Cookie) {
+    fn request(&mut self, now: u64, number: usize, cookie: Cookie) {
         let caller = self.callers[number];
-        let (there, back) = self.ways(caller, cookie);
-        let arrives = now + there;
+        let (to_instance, to_client) = self.delays(caller, cookie);
+        let arrives = now + to_instance;
         let work = (self.load.work as f64 * (0.5 + self.draw())) as u64;
         let instance = self.instances.get_mut(&cookie).unwrap();
         let is_full = self.load.first_zone == ZoneState::Full && instance.zone == 0;
         let slow = self.load.first_zone == ZoneState::Cold && instance.zone == 0;
         let work = if slow { work * 8 / 5 } else { work };
-        instance.begins.retain(|begins| *begins > arrives);
-        if is_full || instance.begins.len() >= QUEUE {
-            self.turned_away(now, number, cookie);
+        instance.starts.retain(|starts_at| *starts_at > arrives);
+        if is_full || instance.starts.len() >= QUEUE_CAPACITY {
+            self.reject(now, number, cookie);
             return;
         }
         let slot = (0..SLOTS)
             .min_by_key(|slot| instance.free_at[*slot])
             .unwrap();
-        let begins = instance.free_at[slot].max(arrives);
-        instance.begins.push(begins);
-        instance.free_at[slot] = begins + work;
+        let starts_at = instance.free_at[slot].max(arrives);
+        instance.starts.push(starts_at);
+        instance.free_at[slot] = starts_at + work;
         instance.served += 1;
-        let answered = begins + work + back;
+        let answered = starts_at + work + to_client;
         self.callers[number].answered = Some(answered);
         let acknowledges = Step::Acknowledge {
             cookie: cookie.bits(),
         };
-        let acknowledged = answered + CLIENT;
+        let acknowledged = answered + CLIENT_DELAY;
         self.steps
             .push(Reverse((acknowledged, number, acknowledges)));
     }
 
-    /// An instance answers at once that it doesn't take the request.
-    fn turned_away(&mut self, now: u64, number: usize, cookie: Cookie) {
+    /// The instance rejects the request at once.
+    fn reject(&mut self, now: u64, number: usize, cookie: Cookie) {
         let sample = AnswerSample {
             cookie,
             service: ServiceNumber(0),
@@ -316,7 +324,7 @@
         let answered = self
             .callers
             .iter()
-            .filter_map(|caller| Some((caller.answered? - caller.began) as f64 / 1_000.0));
+            .filter_map(|caller| Some((caller.answered? - caller.started_at) as f64 / 1_000.0));
         let mut answered: Vec<f64> = answered.collect();
         answered.sort_by(f64::total_cmp);
         let share = |chosen: &dyn Fn(&&Caller) -> bool| {
@@ -327,7 +335,7 @@
             });
             crossed.count() as f64 / chosen.len().max(1) as f64
         };
-        let last = start + (self.load.seconds - 2) * SECOND;
+        let last = start + (self.load.seconds - 2) * MICROSECONDS_PER_SECOND;
         let served: Vec<f64> = self
             .instances
             .values()
@@ -336,11 +344,11 @@
         let mean = served.iter().sum::<f64>() / served.len() as f64;
         Outcome {
             mean_milliseconds: answered.iter().sum::<f64>() / answered.len() as f64,
-            slowest_hundredth: answered[answered.len() * 99 / 100],
+            p99_milliseconds: answered[answered.len() * 99 / 100],
             failed: self.callers.len() - answered.len(),
             crossed: share(&|_| true),
             crossed_first: share(&|caller| caller.zone == 0),
-            crossed_at_end: share(&|caller| caller.zone == 0 && caller.began > last),
+            crossed_at_end: share(&|caller| caller.zone == 0 && caller.started_at > last),
             imbalance: served.iter().copied().fold(0.0, f64::max) / mean,
         }
     }
@@ -369,20 +377,20 @@
     })
 }
 
-/// What comes of a load with placement by zone, and without.
-fn both(load: &Load) -> (Outcome, Outcome) {
+/// Simulates a load with and without zone preference.
+fn with_and_without_zones(load: &Load) -> (Outcome, Outcome) {
     let without = Load {
         knows_zones: false,
         ..load.clone()
     };
-    let outcomes = (World::new(load).play(), World::new(&without).play());
+    let outcomes = (Simulation::new(load).run(), Simulation::new(&without).run());
     println!("with    {:?}\nwithout {:?}", outcomes.0, outcomes.1);
     outcomes
 }
 
 #[test]
-fn an_even_calm_load_stays_in_its_zones() {
-    let (with, without) = both(&Load::default());
+fn an_even_normal_load_stays_in_its_zones() {
+    let (with, without) = with_and_without_zones(&Load::default());
     assert!(with.crossed < 0.01 && without.crossed > 0.6);
     assert!(with.mean_milliseconds < without.mean_milliseconds - 10.0);
     assert!(with.imbalance < without.imbalance + 0.1);
@@ -390,19 +398,19 @@
 }
 
 #[test]
-fn three_times_the_load_of_a_zone_spills_before_callers_wait() {
-    let shifted = Load {
+fn triple_load_of_a_zone_spills_before_requests_queue() {
+    let surge = Load {
         rates: [500.0; 3],
-        shift: Some((3.0, 4, 12)),
+        surge: Some((3.0, 4, 12)),
         seconds: 24,
         ..Load::default()
     };
-    let (with, without) = both(&shifted);
+    let (with, without) = with_and_without_zones(&surge);
     assert!(with.failed <= without.failed);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
-    assert!(with.slowest_hundredth < without.slowest_hundredth);
-    assert!(with.crossed_first > 0.1, "it spills");
-    assert!(with.crossed_at_end < 0.1, "it comes back");
+    assert!(with.p99_milliseconds < without.p99_milliseconds);
+    assert!(with.crossed_first > 0.1, "openings spill");
+    assert!(with.crossed_at_end < 0.1, "openings return");
     assert!(with.imbalance < without.imbalance + 0.2);
 }
 
@@ -412,22 +420,22 @@
         nodes: [1, 6, 6],
         ..Load::default()
     };
-    let (with, without) = both(&few);
+    let (with, without) = with_and_without_zones(&few);
     assert!(
         with.crossed < 0.02 && with.crossed_at_end < 0.01,
-        "it takes its zone for smaller at first"
+        "the node overestimates the load of its zone at first"
     );
     assert!(with.mean_milliseconds < without.mean_milliseconds - 10.0);
     assert!(with.imbalance < without.imbalance + 0.1);
 }
 
 #[test]
-fn a_zone_with_few_instances_sends_most_of_its_flows_elsewhere() {
+fn a_zone_with_few_instances_spills_most_of_its_flows() {
     let few = Load {
         instances: [2, 20, 20],
         ..Load::default()
     };
-    let (with, without) = both(&few);
+    let (with, without) = with_and_without_zones(&few);
     assert!(with.failed <= without.failed);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
     assert!((0.7..0.95).contains(&with.crossed_first));
@@ -435,95 +443,95 @@
 }
 
 #[test]
-fn a_zone_whose_instances_die_is_left_and_taken_up_again() {
+fn a_zone_with_dead_instances_is_avoided_until_they_recover() {
     let dead = Load {
         first_zone: ZoneState::Dead(4, 10),
         seconds: 40,
         ..Load::default()
     };
-    let (with, without) = both(&dead);
+    let (with, without) = with_and_without_zones(&dead);
     assert!(with.failed <= without.failed);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
-    assert!(with.crossed_at_end < 0.05, "it is taken up again");
+    assert!(with.crossed_at_end < 0.05, "the zone is used again");
 }
 
 #[test]
-fn a_cold_zone_does_not_come_before_a_warm_one() {
+fn a_cold_zone_is_not_preferred_over_a_warm_one() {
     let cold = Load {
         first_zone: ZoneState::Cold,
         ..Load::default()
     };
-    let (with, without) = both(&cold);
+    let (with, without) = with_and_without_zones(&cold);
     assert!(with.crossed_first > 0.99);
     assert!(with.failed <= without.failed);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
 }
 
 #[test]
-fn a_drained_zone_gets_nothing() {
+fn a_drained_zone_gets_no_flows() {
     let drained = Load {
         first_zone: ZoneState::Drained,
         ..Load::default()
     };
-    let (with, without) = both(&drained);
+    let (with, without) = with_and_without_zones(&drained);
     assert!(with.crossed_first > 0.999);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
     assert_eq!(with.failed, 0);
 }
 
 #[test]
-fn a_zone_whose_instances_turn_requests_away_is_left() {
+fn a_zone_whose_instances_reject_requests_is_avoided() {
     let full = Load {
         first_zone: ZoneState::Full,
         ..Load::default()
     };
-    let (with, without) = both(&full);
+    let (with, without) = with_and_without_zones(&full);
     assert!(with.failed < without.failed);
     assert!(with.crossed_first > 0.6);
 }
 
 #[test]
-fn a_service_without_instances_in_the_zone_is_reached_in_others() {
+fn a_service_without_instances_in_the_own_zone_is_reached_in_others() {
     let none = Load {
         instances: [0, 20, 20],
         ..Load::default()
     };
-    let (with, without) = both(&none);
+    let (with, without) = with_and_without_zones(&none);
     assert_eq!(with.failed, 0);
     assert!(with.mean_milliseconds < without.mean_milliseconds);
     assert!(with.imbalance < without.imbalance + 0.1);
 }
 
 #[test]
-fn without_the_name_of_its_zone_a_node_treats_all_alike() {
+fn a_node_without_a_zone_name_uses_all_zones_equally() {
     let unknown = Load {
         knows_zones: false,
         ..Load::default()
     };
-    let outcome = World::new(&unknown).play();
+    let outcome = Simulation::new(&unknown).run();
     assert!((0.62..0.71).contains(&outcome.crossed), "{outcome:?}");
 }
 
 #[test]
-fn far_zones_get_flows_only_for_queues_that_last_longer() {
+fn distant_zones_get_flows_only_for_longer_queues() {
     let far = Load {
-        crossing: 40_000,
+        crossing_delay: 40_000,
         rates: [600.0, 300.0, 300.0],
         ..Load::default()
     };
-    let (with, without) = both(&far);
+    let (with, without) = with_and_without_zones(&far);
     assert!(with.crossed < 0.05);
     assert!(with.mean_milliseconds < without.mean_milliseconds - 80.0);
 }
 
 #[test]
-fn near_zones_take_what_the_own_one_has_no_room_for() {
+fn near_zones_take_the_load_that_exceeds_the_own_zone() {
     let near = Load {
-        crossing: 500,
+        crossing_delay: 500,
         rates: [1_500.0, 200.0, 200.0],
         ..Load::default()
     };
-    let (with, without) = both(&near);
+    let (with, without) = with_and_without_zones(&near);
     assert!(with.failed <= without.failed + 100);
     assert!((0.2..0.7).contains(&with.crossed_first));
     assert!(with.crossed < without.crossed);
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -1,4 +1,4 @@
-//! How zones rank in the choice of an instance, and when a zone counts as lost.
+//! Ranking of zones in the choice of an instance, and detection of failing zones.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
 use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
@@ -28,7 +28,7 @@
     replica.table()
 }
 
-/// Where the copies of an opening go: the zone of each, counted from 0.
+/// Returns the instances that the copies of an opening are sent to.
 fn copies(
     number: u32,
     suitability: impl Fn(&Candidate) -> Option<Suitability>,
@@ -44,7 +44,7 @@
     copies.map(|chosen| chosen.unwrap().id).collect()
 }
 
-fn first_zone_first(zone: u64) -> ZoneRank {
+fn prefer_first_zone(zone: u64) -> ZoneRank {
     match zone {
         0 => ZoneRank::Preferred,
         1 => ZoneRank::Fallback,
@@ -57,34 +57,34 @@
 }
 
 #[test]
-fn the_first_copy_reaches_another_zone_and_each_another_instance() {
+fn the_second_copy_goes_to_another_zone_and_each_copy_to_another_instance() {
     for number in 0..200 {
-        let chosen = copies(number, full, first_zone_first);
+        let chosen = copies(number, full, prefer_first_zone);
         let zones: Vec<u64> = chosen.iter().map(|id| id.0 / 100).collect();
-        assert_eq!(zones, [0, 1, 0], "none goes to a zone that loses");
+        assert_eq!(zones, [0, 1, 0], "no copy goes to a failing zone");
         let distinct: BTreeSet<_> = chosen.into_iter().collect();
         assert_eq!(distinct.len(), 3);
     }
 }
 
 #[test]
-fn copies_stay_distinct_where_the_first_zone_has_few() {
+fn copies_go_to_distinct_instances_if_the_preferred_zone_has_few() {
     for few in 1..4 {
         let suitability = |candidate: &Candidate| {
             (candidate.id.0 > 100 || candidate.id.0 <= few).then_some(Suitability::Full)
         };
         for number in 0..200 {
-            let chosen = copies(number, suitability, first_zone_first);
+            let chosen = copies(number, suitability, prefer_first_zone);
             assert_eq!(chosen[0].0 / 100, 0);
             assert_eq!(chosen[1].0 / 100, 1);
             let distinct: BTreeSet<_> = chosen.into_iter().collect();
-            assert_eq!(distinct.len(), 3, "with {few}");
+            assert_eq!(distinct.len(), 3, "with {few} in the preferred zone");
         }
     }
 }
 
 #[test]
-fn a_more_suitable_instance_goes_before_a_nearer_one() {
+fn a_more_suitable_instance_is_preferred_over_a_nearer_one() {
     let suitability = |candidate: &Candidate| {
         Some(if candidate.id.0 < 100 {
             Suitability::Cold
@@ -93,12 +93,12 @@
         })
     };
     for number in 0..200 {
-        let chosen = copies(number, suitability, first_zone_first);
+        let chosen = copies(number, suitability, prefer_first_zone);
         assert_eq!(chosen[0].0 / 100, 1);
     }
 }
 
-/// Openings at instances of the own zone, cork, that don't complete, a hundredth of a second apart.
+/// Sends openings that don't complete to the own zone, cork, 10 ms apart.
 fn openings(preference: &mut ZonePreference, from: u64, count: u64) {
     for number in from..from + count {
         let hash = flow(u32::try_from(number).unwrap()).hash();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn three_openings_in_a_row_that_are_overdue_lose_a_zone_for_a_while() {
+fn three_consecutive_overdue_openings_make_a_zone_failing_for_a_while() {
     let mut two = preference();
     openings(&mut two, 0, 2);
     assert_eq!(own_rank(&mut two, 10_500), ZoneRank::Preferred);
@@ -140,12 +140,12 @@
     assert_eq!(
         own_rank(&mut three, 12_100),
         ZoneRank::Preferred,
-        "tried again"
+        "the zone is tried again"
     );
 }
 
 #[test]
-fn openings_are_overdue_sooner_where_they_usually_complete_soon() {
+fn openings_are_overdue_sooner_in_zones_that_usually_answer_fast() {
     let mut preference = preference();
     preference.record_opened(at(9_000), 1, ZoneNumber(0), Duration::from_millis(4));
     openings(&mut preference, 0, 3);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_opening_that_completes_clears_its_zone() {
+fn a_completed_opening_ends_the_failure_of_its_zone() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
     assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Failing);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_blames_no_zone() {
+fn a_stalled_process_does_not_mark_a_zone_as_failing() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
     preference.reset_after_stall();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_service_outlives_a_renumbering_of_zones() {
+fn spill_shares_survive_a_renumbering_of_zones() {
     let mut preference = preference();
     openings(&mut preference, 0, 1);
     let few = ZoneCapacity::new(1.0, 100.0);
@@ -186,14 +186,14 @@
     assert_eq!(
         ranks.of(ZoneNumber(0)),
         ZoneRank::Fallback,
-        "no instance in the own zone"
+        "no instance is in the own zone"
     );
 }
 
 #[test]
-fn a_share_that_moves_is_told_once() {
+fn a_changed_share_is_reported_once() {
     let mut preference = preference();
-    let turned_away = |preference: &mut ZonePreference, now: u64| {
+    let reject_requests = |preference: &mut ZonePreference, now: u64| {
         for _ in 0..10 {
             let sample = AnswerSample {
                 cookie: Cookie::of(InstanceId(1)),
@@ -206,17 +206,17 @@
             preference.record_sample(at(now), ZoneNumber(0), &sample);
         }
     };
-    turned_away(&mut preference, 10_000);
+    reject_requests(&mut preference, 10_000);
     let changes = preference.review(at(10_000));
     assert_eq!(changes.len(), 1);
     assert!(changes[0].shares.for_queue > 0.1);
-    assert_eq!(preference.review(at(10_001)), [], "once a window");
+    assert_eq!(preference.review(at(10_001)), [], "only once per window");
     for window in 1..60 {
         preference.review(at(10_000 + window * 250));
     }
     assert_eq!(
         preference.spill_shares(SERVICE).largest(),
         0.0,
-        "it comes back"
+        "the share has returned to zero"
     );
 }
