--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Begin or end of overload of a service, with the figures behind it.
+/// Start or end of overload of a service, with the figures behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionChange {
     /// Name of the service.
--- a/crates/bellyoke-core/src/cookie/admission/queueing.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -85,12 +85,12 @@
 /// use std::time::Duration;
 ///
 /// let mut detector = QueueDetector::default();
-/// assert!(!detector.is_long(0, Duration::from_secs(9)), "there is no baseline yet");
+/// assert!(!detector.indicates_queue(0, Duration::from_secs(9)), "there is no baseline yet");
 /// for _ in 0..20 {
 ///     detector.learn_baseline(0, Duration::from_millis(40));
 /// }
-/// assert!(!detector.is_long(0, Duration::from_millis(50)));
-/// assert!(detector.is_long(0, Duration::from_millis(90)));
+/// assert!(!detector.indicates_queue(0, Duration::from_millis(50)));
+/// assert!(detector.indicates_queue(0, Duration::from_millis(90)));
 /// ```
 #[derive(Debug, Default)]
 pub struct QueueDetector {
@@ -158,7 +158,7 @@
 
     /// Returns whether the response time of a request of this priority shows that it was queued.
     #[must_use]
-    pub fn is_long(&self, priority: u8, after: Duration) -> bool {
+    pub fn indicates_queue(&self, priority: u8, after: Duration) -> bool {
         let baseline = self.baselines.get(&priority);
         let baseline = baseline.filter(|baseline| baseline.samples >= MINIMUM_BASELINE_SAMPLES);
         baseline.is_some_and(|baseline| after.as_secs_f32() > baseline.seconds * QUEUED_FACTOR)
@@ -167,7 +167,7 @@
     /// Moves the baseline of a priority towards the median of its response times. Response times that
     /// indicate a queue have half the weight.
     pub fn learn_baseline(&mut self, priority: u8, after: Duration) {
-        let is_long = self.is_long(priority, after);
+        let is_queued = self.indicates_queue(priority, after);
         let seconds = after.as_secs_f32();
         let baseline = self.baselines.entry(priority).or_insert(Baseline {
             seconds,
@@ -175,7 +175,7 @@
         });
         baseline.samples = baseline.samples.saturating_add(1);
         let step = BASELINE_STEP.max(INITIAL_BASELINE_STEP / baseline.samples as f32);
-        let step = if is_long { step / 2.0 } else { step };
+        let step = if is_queued { step / 2.0 } else { step };
         let factor = if seconds > baseline.seconds {
             1.0 + step
         } else {
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -127,7 +127,7 @@
         self.roll_window(now, settings);
         let queues = match sample.fate {
             AnswerFate::Answered { after, .. } => {
-                let queues = self.queue_detector.is_long(sample.priority, after);
+                let queues = self.queue_detector.indicates_queue(sample.priority, after);
                 if self.budget.is_none() {
                     self.queue_detector.learn_baseline(sample.priority, after);
                 }
@@ -136,7 +136,7 @@
             // An instance that rejects requests because its queue is full also has slow answers. A fast
             // short answer of another instance is an error and no sign of load.
             AnswerFate::Short { after } => {
-                let queues = self.queue_detector.is_long(sample.priority, after);
+                let queues = self.queue_detector.indicates_queue(sample.priority, after);
                 if !queues && !self.queue_detector.has_queued(now, sample.cookie) {
                     return;
                 }
--- a/crates/bellyoke-core/src/cookie/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/capacity.rs
@@ -13,7 +13,7 @@
 /// Processor cores of a machine of the first class above the smallest.
 const UNIT_CORES: f64 = 0.125;
 
-/// Memory of such a machine, MB. A node process takes a few.
+/// Memory of such a machine, MB. A node process uses a few MB.
 const UNIT_MEMORY_MB: f64 = 64.0;
 
 /// Link rate of such a machine, Mbit/s. A snapshot of 100 kB takes 64 ms on it.
--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -257,7 +257,7 @@
         let view = self.view(own);
         self.traffic.set_counts(self.node_count, view.zones);
         for (number, service) in self.services.iter_mut().enumerate() {
-            service.adapt(now, &view, &mut self.traffic);
+            service.adjust(now, &view, &mut self.traffic);
             if service.take_notable_change() {
                 changes.push(SpillChange {
                     service: ServiceNumber(u32::try_from(number).unwrap_or(u32::MAX)),
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -14,7 +14,7 @@
 const MINIMUM_RECENT_OPENINGS: f32 = 25.0;
 
 /// Number of samples (decayed) from which a mean is used. Processing times vary by half of their
-/// mean, so that the mean of so many samples is accurate to a sixth.
+/// mean, so that the mean of eight samples is accurate to a sixth.
 const MINIMUM_MEAN_WEIGHT: f32 = 8.0;
 
 /// Multiple of the baseline from which the response time in the own zone shows a queue worth
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -108,10 +108,15 @@
     }
 
     /// Adjusts the shares at the end of a window.
-    pub(super) fn adapt(&mut self, now: Timestamp, view: &ZoneView, traffic: &mut TrafficEstimate) {
+    pub(super) fn adjust(
+        &mut self,
+        now: Timestamp,
+        view: &ZoneView,
+        traffic: &mut TrafficEstimate,
+    ) {
         self.delays.learn_baseline(now, view.crossing_delay);
-        self.adapt_to_load(now, view, traffic);
-        self.adapt_to_queue(now, view);
+        self.adjust_to_load(now, view, traffic);
+        self.adjust_to_queue(now, view);
         traffic.learn(self.shares.for_load > 0.0, self.delays.is_queueing(now));
     }
 
@@ -127,7 +132,7 @@
         is_notable
     }
 
-    fn adapt_to_load(&mut self, now: Timestamp, view: &ZoneView, traffic: &TrafficEstimate) {
+    fn adjust_to_load(&mut self, now: Timestamp, view: &ZoneView, traffic: &TrafficEstimate) {
         let demand = self.delays.baseline().map(|baseline| Demand {
             rate: self.delays.request_rate(now),
             work: baseline.saturating_sub(view.opening_delay.unwrap_or_default()),
@@ -140,7 +145,7 @@
 
     /// Increases the queue share while the own zone fails requests or queues for longer than the
     /// crossing delay; otherwise decreases it.
-    fn adapt_to_queue(&mut self, now: Timestamp, view: &ZoneView) {
+    fn adjust_to_queue(&mut self, now: Timestamp, view: &ZoneView) {
         if self.shares.for_queue > 0.0 && self.delays.others_are_no_better(now) {
             self.paused_until = now.after(INCREASE_PAUSE);
         }
--- a/crates/bellyoke-core/src/cookie/locality/utilization.rs
+++ b/crates/bellyoke-core/src/cookie/locality/utilization.rs
@@ -67,8 +67,8 @@
         if demand.slots <= 0.0 {
             return 0.0;
         }
-        let busy = demand.rate * demand.work.as_secs_f32() * nodes_per_zone * self.correction;
-        let utilization = busy / demand.slots;
+        let busy_slots = demand.rate * demand.work.as_secs_f32() * nodes_per_zone * self.correction;
+        let utilization = busy_slots / demand.slots;
         let target = target_utilization(demand.work, crossing_delay.unwrap_or_default());
         (1.0 - target / utilization.max(target)).max(0.0)
     }
@@ -95,8 +95,8 @@
 /// requests that take `work` queue for `work` times u² / (1 - u²).
 fn target_utilization(work: Duration, crossing_delay: Duration) -> f32 {
     let (work, crossing_delay) = (work.as_secs_f32(), crossing_delay.as_secs_f32());
-    let both = (work + crossing_delay).max(f32::MIN_POSITIVE);
-    (crossing_delay / both)
+    let total = (work + crossing_delay).max(f32::MIN_POSITIVE);
+    (crossing_delay / total)
         .sqrt()
         .clamp(MINIMUM_TARGET_UTILIZATION, MAXIMUM_TARGET_UTILIZATION)
 }
--- a/crates/bellyoke-core/tests/cookie/link.rs
+++ b/crates/bellyoke-core/tests/cookie/link.rs
@@ -47,11 +47,11 @@
 
     /// Returns when the packet arrives, milliseconds; `None` if it is lost.
     fn send(&mut self, now: u64, random: &mut ChaCha8Rng) -> Option<u64> {
-        let waits = (self.free_at - now as f64).max(0.0);
-        if waits > self.maximum_wait {
+        let wait = (self.free_at - now as f64).max(0.0);
+        if wait > self.maximum_wait {
             return None;
         }
-        self.free_at = now as f64 + waits + PACKET_BYTES as f64 / self.bytes_per_millisecond;
+        self.free_at = now as f64 + wait + PACKET_BYTES as f64 / self.bytes_per_millisecond;
         let lost = random.random_bool(self.loss);
         (!lost).then_some(self.free_at as u64 + 2)
     }
@@ -177,8 +177,11 @@
             }
         }
         for (flow, sequence) in sent {
-            if let Some(arrives) = link.send(now, &mut random) {
-                arrivals.entry(arrives).or_default().push((flow, sequence));
+            if let Some(arrives_at) = link.send(now, &mut random) {
+                arrivals
+                    .entry(arrives_at)
+                    .or_default()
+                    .push((flow, sequence));
             }
         }
     }
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Open { attempt: u32 },
-    Ask { cookie: u32 },
+    Request { cookie: u32 },
     Acknowledge { cookie: u32 },
 }
 
@@ -219,7 +219,7 @@
         }
         let (role, cookie, data_length, acknowledged) = match step {
             Step::Open { attempt } => (PacketRole::Opening { attempt }, None, 0, 0),
-            Step::Ask { cookie } => (PacketRole::Later, Some(cookie), 100, 1),
+            Step::Request { cookie } => (PacketRole::Later, Some(cookie), 100, 1),
             Step::Acknowledge { cookie } => (PacketRole::Later, Some(cookie), 0, 1_001),
         };
         let packet = FlowPacket {
@@ -267,23 +267,23 @@
         }
         let (to_instance, to_client) = self.delays(caller, cookie);
         self.callers[number].cookie = Some(cookie);
-        let asks = Step::Ask {
+        let request = Step::Request {
             cookie: cookie.bits(),
         };
-        let asks_at = now + to_instance + to_client + CLIENT_DELAY;
-        self.steps.push(Reverse((asks_at, number, asks)));
+        let request_at = now + to_instance + to_client + CLIENT_DELAY;
+        self.steps.push(Reverse((request_at, number, request)));
     }
 
     fn request(&mut self, now: u64, number: usize, cookie: Cookie) {
         let caller = self.callers[number];
         let (to_instance, to_client) = self.delays(caller, cookie);
-        let arrives = now + to_instance;
+        let arrives_at = now + to_instance;
         let work = (self.load.work as f64 * (0.5 + self.draw())) as u64;
         let instance = self.instances.get_mut(&cookie).unwrap();
         let is_full = self.load.first_zone == ZoneState::Full && instance.zone == 0;
-        let slow = self.load.first_zone == ZoneState::Cold && instance.zone == 0;
-        let work = if slow { work * 8 / 5 } else { work };
-        instance.starts.retain(|starts_at| *starts_at > arrives);
+        let is_cold = self.load.first_zone == ZoneState::Cold && instance.zone == 0;
+        let work = if is_cold { work * 8 / 5 } else { work };
+        instance.starts.retain(|starts_at| *starts_at > arrives_at);
         if is_full || instance.starts.len() >= QUEUE_CAPACITY {
             self.reject(now, number, cookie);
             return;
@@ -291,18 +291,18 @@
         let slot = (0..SLOTS)
             .min_by_key(|slot| instance.free_at[*slot])
             .unwrap();
-        let starts_at = instance.free_at[slot].max(arrives);
+        let starts_at = instance.free_at[slot].max(arrives_at);
         instance.starts.push(starts_at);
         instance.free_at[slot] = starts_at + work;
         instance.served += 1;
         let answered = starts_at + work + to_client;
         self.callers[number].answered = Some(answered);
-        let acknowledges = Step::Acknowledge {
+        let acknowledgement = Step::Acknowledge {
             cookie: cookie.bits(),
         };
-        let acknowledged = answered + CLIENT_DELAY;
+        let acknowledged_at = answered + CLIENT_DELAY;
         self.steps
-            .push(Reverse((acknowledged, number, acknowledges)));
+            .push(Reverse((acknowledged_at, number, acknowledgement)));
     }
 
     /// The instance rejects the request at once.
