--- a/crates/bellyoke-core/src/cookie/link/mod.rs
+++ b/crates/bellyoke-core/src/cookie/link/mod.rs
@@ -1,94 +1,95 @@
-//! The node's own link, as far as a sender can see it: pacing of bulk data.
+//! Pacing of bulk data on the node's own link.
 //!
-//! Senders of bulk data put a whole window on the wire at once. A node on a thin link would send it on
-//! as fast, and its link drops what its short queue doesn't hold; the sender then waits for its
-//! time-out, sends the window again, and most of it is dropped again. Nobody tells a node how wide its
-//! link is, but data that comes a second time was lost: [`rate`] learns from that, [`sent`] remembers
-//! what was sent, and [`LinkPacer`] spreads bulk data over time at the learned rate, with a bounded
-//! queue. Nothing is paced until data was lost. Short packets (openings, acknowledgements, short
-//! requests) never wait.
-
+//! Senders of bulk data send a whole window at once. A node on a low-bandwidth link would forward
+//! it as fast, and the link drops what exceeds its short queue. The sender then waits for its
+//! retransmission timeout and sends the window again, most of which is dropped again. A node
+//! isn't configured with the rate of its link, but data that arrives a second time was lost:
+//! [`losses`] detects such losses, [`rate`] estimates the link rate from them, and [`LinkPacer`]
+//! spreads bulk data over time at this rate, with a bounded queue. Nothing is paced before losses
+//! occur. Short packets (openings, acknowledgements, short requests) are never delayed.
+
+pub mod losses;
 pub mod rate;
-pub mod sent;
 
 use crate::time::Timestamp;
+use losses::LossDetector;
 use rate::LinkRate;
-use sent::SentTable;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Packets of fewer bytes are never held back, and their loss tells nothing of the link.
-pub const BULK_LENGTH: usize = 1_000;
+/// Minimum length of bulk packets, bytes. Shorter packets are never delayed, and their loss is no
+/// evidence about the link.
+pub const BULK_MINIMUM_BYTES: usize = 1_000;
 
-/// What may be sent at once after a pause, bytes: some full packets.
-const BURST_ALLOWANCE: f32 = 5_000.0;
+/// Data that may be sent at once after a pause, bytes: a few full packets.
+const BURST_ALLOWANCE_BYTES: f32 = 5_000.0;
 
-/// Most packets that wait. Each sender has a window of packets under way, so that these are a few
-/// windows.
-pub const MAXIMUM_HELD: usize = 256;
+/// Capacity of the queue. Each sender has up to a window of packets in flight, so the queue holds
+/// a few windows.
+pub const MAXIMUM_QUEUED_PACKETS: usize = 256;
 
-/// A packet that is to be sent.
+/// A packet to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutgoingPacket {
     /// Hash of its flow.
     pub flow_hash: u64,
-    /// Sequence number of its first byte of data; none without data.
+    /// Sequence number of its first data byte; `None` without data.
     pub data_sequence: Option<u32>,
-    /// Its bytes on the link.
+    /// Length on the link, bytes.
     pub length: usize,
 }
 
 impl OutgoingPacket {
     const fn is_bulk(&self) -> bool {
-        self.data_sequence.is_some() && self.length >= BULK_LENGTH
+        self.data_sequence.is_some() && self.length >= BULK_MINIMUM_BYTES
     }
 }
 
-/// When a packet goes.
+/// When a packet is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendVerdict {
-    /// At once.
+pub enum SendDecision {
+    /// Immediately.
     Now,
-    /// The host hands it to [`LinkPacer::hold`].
-    Later,
-    /// Not at all: the same data waits already.
+    /// Later; the caller passes it to [`LinkPacer::enqueue`].
+    Enqueue,
+    /// Never: the same data is already queued.
     Duplicate,
-    /// Not at all: too much waits.
+    /// Never: the queue is full.
     QueueFull,
 }
 
 #[derive(Debug)]
-struct HeldPacket<Payload> {
+struct QueuedPacket<Payload> {
     packet: OutgoingPacket,
     payload: Payload,
 }
 
-/// Paces the packets of one sender. `Payload` is what the host needs to send a packet that was held.
+/// Paces the packets of one sender. `Payload` is what the caller needs to send a queued packet.
 ///
 /// ```
-/// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendVerdict};
+/// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
 /// use bellyoke_core::time::Timestamp;
 ///
 /// let at = |milliseconds: u64| Timestamp::from_micros(milliseconds * 1_000);
 /// let bulk = |sequence| OutgoingPacket { flow_hash: 7, data_sequence: Some(sequence), length: 1_200 };
 /// let mut pacer = LinkPacer::default();
 /// for sequence in 0..16 {
-///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendVerdict::Now, "nothing was lost yet");
+///     assert_eq!(pacer.offer(at(0), &bulk(sequence)), SendDecision::Now, "no loss so far");
 /// }
-/// // The sender repeats what was lost: from now on a window is spread.
+/// // The sender retransmits lost data; from then on a window is spread over time.
 /// for (milliseconds, sequence) in [(200, 12), (400, 13), (600, 14), (800, 15)] {
-///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendVerdict::Now);
+///     assert_eq!(pacer.offer(at(milliseconds), &bulk(sequence)), SendDecision::Now);
 /// }
-/// let held = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendVerdict::Later);
-/// assert!(held.count() > 8);
-/// # pacer.hold(bulk(20), ());
+/// let queued = (20..36).filter(|sequence| pacer.offer(at(810), &bulk(*sequence)) == SendDecision::Enqueue);
+/// assert!(queued.count() > 8);
+/// # pacer.enqueue(bulk(20), ());
 /// ```
 #[derive(Debug)]
 pub struct LinkPacer<Payload> {
     rate: LinkRate,
-    sent: SentTable,
-    held: VecDeque<HeldPacket<Payload>>,
-    /// When the link will have carried all that was sent, if it carries the learned rate.
+    losses: LossDetector,
+    queue: VecDeque<QueuedPacket<Payload>>,
+    /// When the link will have transmitted everything that was sent, at the estimated rate.
     clear_at: Timestamp,
 }
 
@@ -96,86 +97,86 @@
     fn default() -> Self {
         Self {
             rate: LinkRate::default(),
-            sent: SentTable::default(),
-            held: VecDeque::new(),
+            losses: LossDetector::default(),
+            queue: VecDeque::new(),
             clear_at: Timestamp::ZERO,
         }
     }
 }
 
 impl<Payload> LinkPacer<Payload> {
-    /// Whether a packet may be sent at `now`. If so it counts as sent.
-    pub fn offer(&mut self, now: Timestamp, packet: &OutgoingPacket) -> SendVerdict {
+    /// Returns whether a packet may be sent at `now`, in which case it is recorded as sent.
+    pub fn offer(&mut self, now: Timestamp, packet: &OutgoingPacket) -> SendDecision {
         if !packet.is_bulk() {
             self.count(now, packet);
-            return SendVerdict::Now;
+            return SendDecision::Now;
         }
-        let lost = self.sent.heard(now, packet);
-        if self.waits(packet) {
-            return SendVerdict::Duplicate;
+        let lost = self.losses.record_received(now, packet);
+        if self.is_queued(packet) {
+            return SendDecision::Duplicate;
         }
         if lost {
-            self.rate.lost(now);
+            self.rate.record_loss(now);
         }
-        if self.held.is_empty() && self.has_room(now) {
+        if self.queue.is_empty() && self.has_room(now) {
             self.count(now, packet);
-            return SendVerdict::Now;
+            return SendDecision::Now;
         }
-        self.rate.held_back();
-        if self.held.len() >= MAXIMUM_HELD {
-            return SendVerdict::QueueFull;
+        self.rate.record_delayed();
+        if self.queue.len() >= MAXIMUM_QUEUED_PACKETS {
+            return SendDecision::QueueFull;
         }
-        SendVerdict::Later
+        SendDecision::Enqueue
     }
 
-    /// Keeps a packet that goes later.
-    pub fn hold(&mut self, packet: OutgoingPacket, payload: Payload) {
-        self.held.push_back(HeldPacket { packet, payload });
+    /// Queues a packet for later.
+    pub fn enqueue(&mut self, packet: OutgoingPacket, payload: Payload) {
+        self.queue.push_back(QueuedPacket { packet, payload });
     }
 
-    /// The next packet that may be sent at `now`. It counts as sent.
+    /// Returns the next packet that may be sent at `now` and records it as sent.
     pub fn next_due(&mut self, now: Timestamp) -> Option<Payload> {
         if !self.has_room(now) {
             return None;
         }
-        let held = self.held.pop_front()?;
-        self.count(now, &held.packet);
-        Some(held.payload)
+        let queued = self.queue.pop_front()?;
+        self.count(now, &queued.packet);
+        Some(queued.payload)
     }
 
-    /// When the next packet that waits may be sent; none if none waits.
+    /// Returns when the next queued packet may be sent; `None` if the queue is empty.
     #[must_use]
-    pub fn next_at(&self) -> Option<Timestamp> {
-        self.held.front()?;
-        // Once pacing has ended, all that waits goes at once.
+    pub fn next_due_at(&self) -> Option<Timestamp> {
+        self.queue.front()?;
+        // Once pacing has ended, all queued packets are due at once.
         let due = |allowance| self.clear_at.before(allowance);
         Some(self.allowance().map_or(Timestamp::ZERO, due))
     }
 
-    /// Packets that wait.
+    /// Returns the number of queued packets.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn queued_packets(&self) -> usize {
+        self.queue.len()
     }
 
-    /// The learned rate, bytes a second; none while nothing is paced.
+    /// Returns the estimated link rate, bytes per second; `None` while nothing is paced.
     #[must_use]
     pub fn bytes_per_second(&self) -> Option<f32> {
         self.rate.bytes_per_second()
     }
 
-    fn waits(&self, packet: &OutgoingPacket) -> bool {
-        let same = |held: &HeldPacket<Payload>| {
-            held.packet.flow_hash == packet.flow_hash
-                && held.packet.data_sequence == packet.data_sequence
+    fn is_queued(&self, packet: &OutgoingPacket) -> bool {
+        let same = |queued: &QueuedPacket<Payload>| {
+            queued.packet.flow_hash == packet.flow_hash
+                && queued.packet.data_sequence == packet.data_sequence
         };
-        self.held.iter().any(same)
+        self.queue.iter().any(same)
     }
 
-    /// How far ahead of the link packets may be sent; none while nothing is paced.
+    /// Returns how far ahead of the link packets may be sent; `None` while nothing is paced.
     fn allowance(&self) -> Option<Duration> {
         let rate = self.rate.bytes_per_second()?;
-        Some(Duration::from_secs_f32(BURST_ALLOWANCE / rate))
+        Some(Duration::from_secs_f32(BURST_ALLOWANCE_BYTES / rate))
     }
 
     fn has_room(&self, now: Timestamp) -> bool {
@@ -185,8 +186,8 @@
 
     fn count(&mut self, now: Timestamp, packet: &OutgoingPacket) {
         if packet.is_bulk() {
-            let is_new = self.sent.sent(now, packet);
-            self.rate.sent(now, packet.length, is_new);
+            let is_new = self.losses.record_sent(now, packet);
+            self.rate.record_sent(now, packet.length, is_new);
         }
         if let Some(rate) = self.rate.bytes_per_second() {
             let takes = Duration::from_secs_f32(packet.length as f32 / rate);
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -1,4 +1,4 @@
-//! How zones rank in the choice of an instance, and when a zone counts as lost.
+//! Ranking of zones in the choice of an instance, and detection of failing zones.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
 use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
@@ -28,7 +28,7 @@
     replica.table()
 }
 
-/// Where the copies of an opening go: the zone of each, counted from 0.
+/// Returns the instances that the copies of an opening are sent to.
 fn copies(
     number: u32,
     suitability: impl Fn(&Candidate) -> Option<Suitability>,
@@ -44,11 +44,11 @@
     copies.map(|chosen| chosen.unwrap().id).collect()
 }
 
-fn first_zone_first(zone: u64) -> ZoneRank {
+fn prefer_first_zone(zone: u64) -> ZoneRank {
     match zone {
-        0 => ZoneRank::First,
-        1 => ZoneRank::Second,
-        _ => ZoneRank::Losing,
+        0 => ZoneRank::Preferred,
+        1 => ZoneRank::Fallback,
+        _ => ZoneRank::Failing,
     }
 }
 
@@ -57,34 +57,34 @@
 }
 
 #[test]
-fn the_first_copy_reaches_another_zone_and_each_another_instance() {
+fn the_second_copy_goes_to_another_zone_and_each_copy_to_another_instance() {
     for number in 0..200 {
-        let chosen = copies(number, full, first_zone_first);
+        let chosen = copies(number, full, prefer_first_zone);
         let zones: Vec<u64> = chosen.iter().map(|id| id.0 / 100).collect();
-        assert_eq!(zones, [0, 1, 0], "none goes to a zone that loses");
+        assert_eq!(zones, [0, 1, 0], "no copy goes to a failing zone");
         let distinct: BTreeSet<_> = chosen.into_iter().collect();
         assert_eq!(distinct.len(), 3);
     }
 }
 
 #[test]
-fn copies_stay_distinct_where_the_first_zone_has_few() {
+fn copies_go_to_distinct_instances_if_the_preferred_zone_has_few() {
     for few in 1..4 {
         let suitability = |candidate: &Candidate| {
             (candidate.id.0 > 100 || candidate.id.0 <= few).then_some(Suitability::Full)
         };
         for number in 0..200 {
-            let chosen = copies(number, suitability, first_zone_first);
+            let chosen = copies(number, suitability, prefer_first_zone);
             assert_eq!(chosen[0].0 / 100, 0);
             assert_eq!(chosen[1].0 / 100, 1);
             let distinct: BTreeSet<_> = chosen.into_iter().collect();
-            assert_eq!(distinct.len(), 3, "with {few}");
+            assert_eq!(distinct.len(), 3, "with {few} in the preferred zone");
         }
     }
 }
 
 #[test]
-fn a_more_suitable_instance_goes_before_a_nearer_one() {
+fn a_more_suitable_instance_is_preferred_over_a_nearer_one() {
     let suitability = |candidate: &Candidate| {
         Some(if candidate.id.0 < 100 {
             Suitability::Cold
@@ -93,17 +93,17 @@
         })
     };
     for number in 0..200 {
-        let chosen = copies(number, suitability, first_zone_first);
+        let chosen = copies(number, suitability, prefer_first_zone);
         assert_eq!(chosen[0].0 / 100, 1);
     }
 }
 
-/// Openings at instances of the own zone, cork, that don't complete, a hundredth of a second apart.
+/// Sends openings that don't complete to the own zone, cork, 10 ms apart.
 fn openings(preference: &mut ZonePreference, from: u64, count: u64) {
     for number in from..from + count {
         let hash = flow(u32::try_from(number).unwrap()).hash();
-        let capacity = ZoneCapacity::of(1.0, 3.0);
-        preference.placed(
+        let capacity = ZoneCapacity::new(1.0, 3.0);
+        preference.record_placement(
             at(10_000 + 10 * number),
             SERVICE,
             hash,
@@ -120,76 +120,80 @@
 }
 
 fn own_rank(preference: &mut ZonePreference, now: u64) -> ZoneRank {
-    preference.review_outcomes(at(now));
+    preference.review_failing_zones(at(now));
     preference.ranks(SERVICE, 7).of(ZoneNumber(0))
 }
 
 #[test]
-fn three_openings_in_a_row_that_are_overdue_lose_a_zone_for_a_while() {
+fn three_consecutive_overdue_openings_make_a_zone_failing_for_a_while() {
     let mut two = preference();
     openings(&mut two, 0, 2);
-    assert_eq!(own_rank(&mut two, 10_500), ZoneRank::First);
+    assert_eq!(own_rank(&mut two, 10_500), ZoneRank::Preferred);
     let mut three = preference();
     openings(&mut three, 0, 3);
     assert_eq!(
         own_rank(&mut three, 10_100),
-        ZoneRank::First,
+        ZoneRank::Preferred,
         "not overdue yet"
     );
-    assert_eq!(own_rank(&mut three, 10_200), ZoneRank::Losing);
-    assert_eq!(own_rank(&mut three, 12_100), ZoneRank::First, "tried again");
+    assert_eq!(own_rank(&mut three, 10_200), ZoneRank::Failing);
+    assert_eq!(
+        own_rank(&mut three, 12_100),
+        ZoneRank::Preferred,
+        "the zone is tried again"
+    );
 }
 
 #[test]
-fn openings_are_overdue_sooner_where_they_usually_complete_soon() {
+fn openings_are_overdue_sooner_in_zones_that_usually_answer_fast() {
     let mut preference = preference();
-    preference.opened(at(9_000), 1, ZoneNumber(0), Duration::from_millis(4));
+    preference.record_opened(at(9_000), 1, ZoneNumber(0), Duration::from_millis(4));
     openings(&mut preference, 0, 3);
-    assert_eq!(own_rank(&mut preference, 10_050), ZoneRank::Losing);
+    assert_eq!(own_rank(&mut preference, 10_050), ZoneRank::Failing);
 }
 
 #[test]
-fn an_opening_that_completes_clears_its_zone() {
+fn a_completed_opening_ends_the_failure_of_its_zone() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
-    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Losing);
+    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Failing);
     let last = flow(3).hash();
-    preference.opened(at(10_310), last, ZoneNumber(0), Duration::from_millis(280));
-    assert_eq!(own_rank(&mut preference, 10_320), ZoneRank::First);
+    preference.record_opened(at(10_310), last, ZoneNumber(0), Duration::from_millis(280));
+    assert_eq!(own_rank(&mut preference, 10_320), ZoneRank::Preferred);
 }
 
 #[test]
-fn a_process_that_stood_still_blames_no_zone() {
+fn a_stalled_process_does_not_mark_a_zone_as_failing() {
     let mut preference = preference();
     openings(&mut preference, 0, 4);
-    preference.stalled();
-    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::First);
+    preference.reset_after_stall();
+    assert_eq!(own_rank(&mut preference, 10_300), ZoneRank::Preferred);
 }
 
 #[test]
-fn what_is_known_of_a_service_outlives_a_renumbering_of_zones() {
+fn spill_shares_survive_a_renumbering_of_zones() {
     let mut preference = preference();
     openings(&mut preference, 0, 1);
-    let few = ZoneCapacity::of(1.0, 100.0);
-    preference.placed(at(10_100), SERVICE, 7, ZoneNumber(0), few);
-    let share = preference.shares(SERVICE).largest();
+    let few = ZoneCapacity::new(1.0, 100.0);
+    preference.record_placement(at(10_100), SERVICE, 7, ZoneNumber(0), few);
+    let share = preference.spill_shares(SERVICE).largest();
     assert!(share > 0.9);
     preference.adopt(&table(&["clare", "cork", "kerry"], 20));
     assert_eq!(preference.own(), Some(ZoneNumber(1)));
-    assert_eq!(preference.shares(SERVICE).largest(), share);
+    assert_eq!(preference.spill_shares(SERVICE).largest(), share);
     preference.adopt(&table(&["clare", "kerry"], 30));
     let ranks = preference.ranks(SERVICE, 7);
     assert_eq!(
         ranks.of(ZoneNumber(0)),
-        ZoneRank::Second,
-        "no instance in the own zone"
+        ZoneRank::Fallback,
+        "no instance is in the own zone"
     );
 }
 
 #[test]
-fn a_share_that_moves_is_told_once() {
+fn a_changed_share_is_reported_once() {
     let mut preference = preference();
-    let turned_away = |preference: &mut ZonePreference, now: u64| {
+    let reject_requests = |preference: &mut ZonePreference, now: u64| {
         for _ in 0..10 {
             let sample = AnswerSample {
                 cookie: Cookie::of(InstanceId(1)),
@@ -199,16 +203,20 @@
                     after: Duration::from_millis(2),
                 },
             };
-            preference.sampled(at(now), ZoneNumber(0), &sample);
+            preference.record_sample(at(now), ZoneNumber(0), &sample);
         }
     };
-    turned_away(&mut preference, 10_000);
+    reject_requests(&mut preference, 10_000);
     let changes = preference.review(at(10_000));
     assert_eq!(changes.len(), 1);
     assert!(changes[0].shares.for_queue > 0.1);
-    assert_eq!(preference.review(at(10_001)), [], "once a window");
+    assert_eq!(preference.review(at(10_001)), [], "only once per window");
     for window in 1..60 {
         preference.review(at(10_000 + window * 250));
     }
-    assert_eq!(preference.shares(SERVICE).largest(), 0.0, "it comes back");
+    assert_eq!(
+        preference.spill_shares(SERVICE).largest(),
+        0.0,
+        "the share has returned to zero"
+    );
 }
