--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -55,7 +55,7 @@
         black_box(node.datagram(time(number), peer, PeerDatagram::Question(question)));
     });
     row("doubt and its probe", |node, number| {
-        node.doubt(time(number), &[cookie(number)]);
+        node.suspect(time(number), &[cookie(number)]);
         black_box(node.next_probe(time(number), &[]));
     });
     print!("{:<32}", "bytes of a snapshot");
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -3,7 +3,7 @@
 //! A host hands in what the store and peers say, does the effects, and publishes the forwarding
 //! table after each change.
 
-mod outlying;
+mod outlier_detection;
 mod probing;
 
 use crate::cookie::capacity::BusyDetector;
@@ -22,7 +22,7 @@
 use crate::cookie::stall::StallDetector;
 use crate::cookie::zones::{DrainedZone, ZoneEvent};
 use crate::time::Timestamp;
-use outlying::OutlierDuty;
+use outlier_detection::OutlierState;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     busy: BusyDetector,
     link_is_paced: bool,
     reachability: ReachabilityMonitor,
-    outlying: OutlierDuty,
+    outlier_state: OutlierState,
     /// Whether instances came, went or changed since the last tick. What that tells of those in question is looked at once
     /// a tick: it takes a walk through all instances, and changes come twenty times a second.
     records_changed: bool,
@@ -84,7 +84,7 @@
             stall: StallDetector::new(),
             busy: BusyDetector::default(),
             link_is_paced: false,
-            outlying: OutlierDuty::new(OutlierSettings::default()),
+            outlier_state: OutlierState::new(OutlierSettings::default()),
             records_changed: false,
             store_usable: [true; ObjectKind::COUNT],
         }
@@ -115,7 +115,7 @@
     /// Whether this node, which knows nothing yet, is one of the few that ask the store for all
     /// that know nothing.
     #[must_use]
-    pub fn asks_for_all(&self) -> bool {
+    pub fn is_bootstrap_reader(&self) -> bool {
         self.replica.versions().is_empty() && self.exchange.ranks_among_first()
     }
 
@@ -180,18 +180,18 @@
 
     /// Whether the node may call the store now: while nobody gets an answer, the nodes take turns.
     #[must_use]
-    pub fn may_ask(&self, now: Timestamp, kind: ObjectKind) -> bool {
+    pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind) -> bool {
         let knows_all = !self.replica.versions().is_empty();
         self.exchange.may_ask(now, kind, knows_all)
     }
 
     /// A call to the store for objects of a kind begins.
-    pub fn note_asked(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
+    pub fn record_store_call(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
         self.exchange.note_asked(now, kind, freshness);
     }
 
     /// Whether the store answered the last call for objects of a kind.
-    pub fn note_store(&mut self, now: Timestamp, kind: ObjectKind, usable: bool) {
+    pub fn record_store_availability(&mut self, now: Timestamp, kind: ObjectKind, usable: bool) {
         self.exchange.note_answered(now, usable);
         self.store_usable[kind as usize] = usable;
         self.exchange
@@ -213,7 +213,7 @@
             directory,
             ..StateChange::default()
         };
-        self.told_by_store(now, ObjectKind::Instances, before, change)
+        self.finish_store_update(now, ObjectKind::Instances, before, change)
     }
 
     /// The store tells of the configuration.
@@ -236,7 +236,7 @@
             change.configuration |= self.replica.adopt_configuration(configuration);
         }
         self.replica.confirm_configuration(at);
-        self.told_by_store(now, ObjectKind::Configuration, before, change)
+        self.finish_store_update(now, ObjectKind::Configuration, before, change)
     }
 
     /// The store tells of drained zones.
@@ -250,7 +250,7 @@
             zones,
             ..StateChange::default()
         };
-        self.told_by_store(now, ObjectKind::Zones, before, change)
+        self.finish_store_update(now, ObjectKind::Zones, before, change)
     }
 
     /// A datagram has come from a peer.
@@ -260,11 +260,11 @@
         from: SocketAddrV4,
         datagram: PeerDatagram,
     ) -> Outcome {
-        self.notice_stall(now);
+        self.detect_stall(now);
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => self.heartbeat(now, from, &heartbeat),
             PeerDatagram::Delta(message) => self.delta(now, from, message),
-            PeerDatagram::Question(question) => self.question(now, &question),
+            PeerDatagram::Question(question) => self.probe_request(now, &question),
             PeerDatagram::Objection(objection) => self.objection(now, &objection),
             PeerDatagram::Findings(report) => self.findings(now, &report),
             PeerDatagram::Outliers(message) => self.outlier_message(now, &message),
@@ -274,7 +274,7 @@
     /// A snapshot that was fetched from a peer has come.
     pub fn snapshot(&mut self, now: Timestamp, from: SocketAddrV4, snapshot: Snapshot) -> Outcome {
         let before = self.replica.versions();
-        self.note_versions(now, snapshot.versions);
+        self.record_versions(now, snapshot.versions);
         self.exchange.fetched(from, snapshot.versions);
         let change = self.replica.merge(now, snapshot);
         self.changed(now, before, change)
@@ -292,17 +292,17 @@
 
     /// Time has passed. Returns how long the process stood still, if it did.
     pub fn tick(&mut self, now: Timestamp) -> (Outcome, Option<Duration>) {
-        self.notice_stall(now);
+        self.detect_stall(now);
         let stalled = self.stall.tick(now);
         self.busy.tick(now);
         let busy = self.link_is_paced || self.busy.is_busy(now);
         self.exchange.set_busy(busy);
         if stalled.is_some() {
-            self.reachability.stalled();
+            self.reachability.reset_after_stall();
         }
         let change = self.replica.expire(now);
         if std::mem::take(&mut self.records_changed) || change.directory {
-            self.note_records(now);
+            self.update_records(now);
         }
         let replica = &self.replica;
         let behind = |versions| replica.is_behind(versions);
@@ -365,7 +365,7 @@
     }
 
     fn heartbeat(&mut self, now: Timestamp, from: SocketAddrV4, heartbeat: &Heartbeat) -> Outcome {
-        self.note_versions(now, heartbeat.versions);
+        self.record_versions(now, heartbeat.versions);
         self.replica.confirm(heartbeat.versions);
         let replica = &self.replica;
         let behind = |versions| replica.is_behind(versions);
@@ -380,21 +380,21 @@
 
     fn delta(&mut self, now: Timestamp, from: SocketAddrV4, message: DeltaMessage) -> Outcome {
         let before = self.replica.versions();
-        self.note_versions(now, message.versions);
+        self.record_versions(now, message.versions);
         let change = self.replica.merge_delta(now, message.delta);
         self.replica.confirm(message.versions);
         self.exchange.note_versions(from, message.versions);
         self.changed(now, before, change)
     }
 
-    fn told_by_store(
+    fn finish_store_update(
         &mut self,
         now: Timestamp,
         kind: ObjectKind,
         before: Versions,
         change: StateChange,
     ) -> Outcome {
-        self.notice_stall(now);
+        self.detect_stall(now);
         let mut outcome = self.changed(now, before, change);
         let own = self.replica.versions();
         let effects = self.exchange.store_confirmed(now, kind, own);
@@ -417,14 +417,14 @@
     }
 
     /// A peer has told its versions, and with them the era of the store that it knows.
-    fn note_versions(&mut self, now: Timestamp, versions: Versions) {
+    fn record_versions(&mut self, now: Timestamp, versions: Versions) {
         if !versions.is_empty() {
             self.eras.note(now, versions.latest().era());
         }
     }
 
     /// After a stall, confirmations that waited in sockets are old.
-    fn notice_stall(&mut self, now: Timestamp) {
+    fn detect_stall(&mut self, now: Timestamp) {
         if self.stall.is_overdue(now) {
             self.exchange.stalled(now);
         }
--- a/crates/bellyoke-core/src/cookie/coordinator/outlying.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
@@ -4,7 +4,7 @@
 use crate::cookie::exchange::{ExchangeEffect, OutlierMessage, tallies_of};
 use crate::cookie::instance::Cookie;
 use crate::cookie::outliers::{
-    InstanceTally, OutlierBoard, OutlierChange, OutlierDetector, OutlierSettings, TallyBook,
+    InstanceTally, OutlierChange, OutlierDetector, OutlierSettings, TallyAccumulator, VerdictCache,
 };
 use crate::cookie::replica::StateChange;
 use crate::cookie::table::ForwardingTable;
@@ -18,46 +18,46 @@
 /// Shortest time between two reviews of the reports.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often verdicts are told that don't change. Less than half as long as they hold.
-const TELL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How often verdicts are announced that don't change. Less than half as long as they hold.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// What the control thread knows of instances whose answers fail.
 #[derive(Debug)]
-pub(super) struct OutlierDuty {
+pub(super) struct OutlierState {
     settings: OutlierSettings,
     detector: OutlierDetector,
-    board: OutlierBoard,
+    verdicts: VerdictCache,
     /// What this node saw and hasn't reported.
-    unreported: TallyBook,
+    unreported: TallyAccumulator,
     next_report: Timestamp,
     next_review: Timestamp,
-    next_telling: Timestamp,
-    told: Vec<Cookie>,
+    next_announcement: Timestamp,
+    announced: Vec<Cookie>,
     sequence: u64,
     outliers: BTreeSet<Cookie>,
     /// Whether verdicts were heard that `outliers` doesn't hold yet.
-    has_news: bool,
+    verdicts_changed: bool,
 }
 
-impl OutlierDuty {
+impl OutlierState {
     pub(super) fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
             detector: OutlierDetector::new(settings),
-            board: OutlierBoard::default(),
-            unreported: TallyBook::default(),
+            verdicts: VerdictCache::default(),
+            unreported: TallyAccumulator::default(),
             next_report: Timestamp::ZERO,
             next_review: Timestamp::ZERO,
-            next_telling: Timestamp::ZERO,
-            told: Vec::new(),
+            next_announcement: Timestamp::ZERO,
+            announced: Vec::new(),
             sequence: 0,
             outliers: BTreeSet::new(),
-            has_news: false,
+            verdicts_changed: false,
         }
     }
 }
 
-impl OutlierDuty {
+impl OutlierState {
     /// Forgets what was reported of an instance that has started again.
     pub(super) fn forget(&mut self, cookie: Cookie) {
         self.detector.forget(cookie);
@@ -68,32 +68,37 @@
     /// When an instance stands out by its answers.
     #[must_use]
     pub fn with_outlier_settings(self, settings: OutlierSettings) -> Self {
-        let outlying = OutlierDuty::new(settings);
-        Self { outlying, ..self }
+        let outlier_state = OutlierState::new(settings);
+        Self {
+            outlier_state,
+            ..self
+        }
     }
 
     /// What the traffic thread saw of answers since the last call.
-    pub fn note_answers(
+    pub fn record_answers(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
         tallies: &[InstanceTally],
     ) {
-        if self.outlying.settings.largest_share <= 0.0 || tallies.is_empty() {
+        if self.outlier_state.settings.largest_share <= 0.0 || tallies.is_empty() {
             return;
         }
         if self.exchange.collects_reports() {
-            self.outlying.detector.note_report(now, tallies);
+            self.outlier_state.detector.record_report(now, tallies);
         } else {
-            self.outlying.detector.forget_reports();
+            self.outlier_state.detector.clear_reports();
         }
-        self.outlying.detector.note_own(now, table, tallies);
-        let held = &self.outlying.outliers;
-        let telling = tallies
+        self.outlier_state
+            .detector
+            .record_own_requests(now, table, tallies);
+        let outliers = &self.outlier_state.outliers;
+        let reported = tallies
             .iter()
-            .filter(|tally| tally.bad() > 0 || held.contains(&tally.cookie));
-        let telling: Vec<InstanceTally> = telling.copied().collect();
-        self.outlying.unreported.add(&telling);
+            .filter(|tally| tally.bad() > 0 || outliers.contains(&tally.cookie));
+        let reported: Vec<InstanceTally> = reported.copied().collect();
+        self.outlier_state.unreported.add(&reported);
     }
 
     /// Reports what this node saw, compares instances if it collects, and returns what changed and what to
@@ -105,19 +110,19 @@
     ) -> (Vec<OutlierChange>, Vec<ExchangeEffect>) {
         let mut effects = self.report(now);
         let mut changes = Vec::new();
-        if now >= self.outlying.next_review {
-            self.outlying.next_review = now.after(REVIEW_INTERVAL);
+        if now >= self.outlier_state.next_review {
+            self.outlier_state.next_review = now.after(REVIEW_INTERVAL);
             if self.exchange.collects_reports() {
                 let nodes = self.exchange.nodes_at_most(now);
-                changes = self.outlying.detector.review(now, table, nodes);
-                effects.extend(self.tell(now));
+                changes = self.outlier_state.detector.review(now, table, nodes);
+                effects.extend(self.announce(now));
             }
-            self.outlying.board.expire(now);
-            self.outlying.has_news = true;
+            self.outlier_state.verdicts.expire(now);
+            self.outlier_state.verdicts_changed = true;
         }
-        if std::mem::take(&mut self.outlying.has_news) {
-            let share = self.outlying.settings.largest_share;
-            self.outlying.outliers = self.outlying.board.outliers(table, share);
+        if std::mem::take(&mut self.outlier_state.verdicts_changed) {
+            let share = self.outlier_state.settings.largest_share;
+            self.outlier_state.outliers = self.outlier_state.verdicts.outliers(table, share);
         }
         (changes, effects)
     }
@@ -125,7 +130,7 @@
     /// Instances whose answers fail, unlike those of others.
     #[must_use]
     pub const fn outliers(&self) -> &BTreeSet<Cookie> {
-        &self.outlying.outliers
+        &self.outlier_state.outliers
     }
 
     pub(super) fn outlier_message(&mut self, now: Timestamp, message: &OutlierMessage) -> Outcome {
@@ -133,11 +138,11 @@
         match message {
             OutlierMessage::Report(reported) => {
                 let tallies = tallies_of(reported);
-                self.outlying.detector.note_report(now, &tallies);
+                self.outlier_state.detector.record_report(now, &tallies);
             }
             OutlierMessage::Verdicts(verdicts) => {
-                if self.outlying.board.note(now, verdicts) {
-                    self.outlying.has_news = true;
+                if self.outlier_state.verdicts.record(now, verdicts) {
+                    self.outlier_state.verdicts_changed = true;
                     effects = self.exchange.pass_verdicts(verdicts);
                 }
             }
@@ -149,30 +154,30 @@
     }
 
     fn report(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
-        if now < self.outlying.next_report || self.outlying.unreported.is_empty() {
+        if now < self.outlier_state.next_report || self.outlier_state.unreported.is_empty() {
             return Vec::new();
         }
-        self.outlying.next_report = now.after(REPORT_INTERVAL);
-        let tallies = self.outlying.unreported.take();
+        self.outlier_state.next_report = now.after(REPORT_INTERVAL);
+        let tallies = self.outlier_state.unreported.take();
         self.exchange.report_tallies(now, &tallies)
     }
 
     /// Tells the verdicts if they changed, now and then while there are some, and once when there is none
     /// any more.
-    fn tell(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
-        let outliers = self.outlying.detector.outliers();
-        let changed = outliers != self.outlying.told;
-        let is_due = !outliers.is_empty() && now >= self.outlying.next_telling;
+    fn announce(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
+        let outliers = self.outlier_state.detector.outliers();
+        let changed = outliers != self.outlier_state.announced;
+        let is_due = !outliers.is_empty() && now >= self.outlier_state.next_announcement;
         if !changed && !is_due {
             return Vec::new();
         }
-        self.outlying.next_telling = now.after(TELL_INTERVAL);
-        self.outlying.sequence += 1;
+        self.outlier_state.next_announcement = now.after(ANNOUNCEMENT_INTERVAL);
+        self.outlier_state.sequence += 1;
         let verdicts = self
             .exchange
-            .own_verdicts(self.outlying.sequence, &outliers);
-        self.outlying.told = outliers;
-        self.outlying.board.note(now, &verdicts);
+            .own_verdicts(self.outlier_state.sequence, &outliers);
+        self.outlier_state.announced = outliers;
+        self.outlier_state.verdicts.record(now, &verdicts);
         self.exchange.pass_verdicts(&verdicts)
     }
 }
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -6,8 +6,9 @@
 use crate::cookie::instance::{Cookie, InstanceState};
 use crate::cookie::placement::mix;
 use crate::cookie::reachability::{
-    ATTEMPTS, ATTEMPTS_AGAIN, ATTEMPTS_FOR_PEERS, CONTROLS, CONTROLS_AGAIN, Doubter, Finding,
-    ProbeBatch, ProbeOutcome, ReachabilityChange, ReachabilityMonitor, RecordState,
+    CONFIRMATION_ATTEMPTS, CONFIRMATION_CONTROLS, Finding, PROBE_ATTEMPTS, PROBE_CONTROLS,
+    ProbeBatch, ProbeOutcome, RECHECK_ATTEMPTS, ReachabilityChange, ReachabilityMonitor,
+    RecordState, SuspicionSource,
 };
 use crate::cookie::replica::StateChange;
 use crate::time::Timestamp;
@@ -16,30 +17,33 @@
 
 impl Coordinator {
     /// Openings of this node at some instances came to nothing.
-    pub fn doubt(&mut self, now: Timestamp, cookies: &[Cookie]) {
+    pub fn suspect(&mut self, now: Timestamp, cookies: &[Cookie]) {
         for cookie in cookies {
-            self.reachability.question(now, *cookie, Doubter::Node);
+            self.reachability
+                .suspect(now, *cookie, SuspicionSource::OwnOpening);
         }
-        self.note_records(now);
+        self.update_records(now);
     }
 
-    /// The probe to begin now; none if no instance is in question. `sound` are instances at which
+    /// The probe to begin now; none if no instance is in question. `healthy` are instances at which
     /// this node's openings completed a moment ago.
-    pub fn next_probe(&mut self, now: Timestamp, sound: &[Cookie]) -> Option<ProbeBatch> {
-        let mut due = self.reachability.questioned(Doubter::Node);
-        let (mut attempts, mut controls) = (ATTEMPTS, CONTROLS);
+    pub fn next_probe(&mut self, now: Timestamp, healthy: &[Cookie]) -> Option<ProbeBatch> {
+        let mut due = self.reachability.take_suspects(SuspicionSource::OwnOpening);
+        let (mut attempts, mut controls) = (PROBE_ATTEMPTS, PROBE_CONTROLS);
         if due.is_empty() {
-            due = self.reachability.questioned(Doubter::Peer);
-            (attempts, controls) = (ATTEMPTS_FOR_PEERS, CONTROLS_AGAIN);
+            due = self
+                .reachability
+                .take_suspects(SuspicionSource::PeerRequest);
+            (attempts, controls) = (CONFIRMATION_ATTEMPTS, CONFIRMATION_CONTROLS);
         }
         if due.is_empty() {
-            due = self.reachability.due_again(now);
-            (attempts, controls) = (ATTEMPTS_AGAIN, CONTROLS_AGAIN);
+            due = self.reachability.take_rechecks(now);
+            (attempts, controls) = (RECHECK_ATTEMPTS, CONFIRMATION_CONTROLS);
         }
         if due.is_empty() {
             return None;
         }
-        let batch = self.probe_of(now, &due, sound, controls);
+        let batch = self.probe_of(now, &due, healthy, controls);
         Some(batch.with_attempts(attempts))
     }
 
@@ -47,7 +51,7 @@
         &self,
         now: Timestamp,
         cookies: &[Cookie],
-        sound: &[Cookie],
+        healthy: &[Cookie],
         count: usize,
     ) -> ProbeBatch {
         let directory = self.replica.directory();
@@ -55,29 +59,29 @@
             let known = directory.find(*cookie)?;
             Some((*cookie, known.record.address))
         });
-        let controls = controls(now, directory, &self.reachability, sound, count);
+        let controls = controls(now, directory, &self.reachability, healthy, count);
         ProbeBatch::new(suspects.collect(), controls)
     }
 
     /// A probe is over. Returns what changed, and what to tell and ask peers.
-    pub fn probed(
+    pub fn record_probes(
         &mut self,
         now: Timestamp,
         outcomes: &[(Cookie, ProbeOutcome)],
     ) -> (Vec<ReachabilityChange>, Vec<ExchangeEffect>) {
-        self.note_records(now);
+        self.update_records(now);
         let mut changes = Vec::new();
         let mut findings = Vec::new();
         for (cookie, outcome) in outcomes {
-            let change = self.reachability.probed(now, *cookie, *outcome);
-            let is_unreachable = self.reachability.was_found(now, *cookie);
+            let change = self.reachability.record_probe(now, *cookie, *outcome);
+            let is_unreachable = self.reachability.found_unreachable(now, *cookie);
             let is_back = change.is_some_and(|change| !change.unreachable);
             if is_unreachable || is_back {
                 findings.push(self.reachability.own_finding(now, *cookie, is_back));
             }
             changes.extend(change);
         }
-        self.note_records(now);
+        self.update_records(now);
         let mut effects = self.exchange.tell_findings(now, findings);
         effects.extend(self.ask_for_confirmation(now));
         (changes, effects)
@@ -89,21 +93,21 @@
             return Vec::new();
         }
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
-        let unconfirmed = self.reachability.unconfirmed(now);
+            .set_single_zone(self.exchange.stands_in_only_zone());
+        let unconfirmed = self.reachability.take_unconfirmed(now);
         self.exchange.ask_peer(&unconfirmed)
     }
 
     /// A peer tells what nodes couldn't reach, or reach again. What is news goes on to others.
     pub(super) fn findings(&mut self, now: Timestamp, report: &ReachabilityReport) -> Outcome {
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
+            .set_single_zone(self.exchange.stands_in_only_zone());
         let directory = self.replica.directory();
         let reachability = &mut self.reachability;
-        let told = report.findings_at(now);
-        let known = told.filter(|finding| directory.find(finding.cookie).is_some());
+        let findings = report.findings_at(now);
+        let known = findings.filter(|finding| directory.find(finding.cookie).is_some());
         let news: Vec<Finding> = known
-            .filter(|finding| reachability.note_finding(now, finding))
+            .filter(|finding| reachability.record_finding(now, finding))
             .collect();
         Outcome {
             change: StateChange::default(),
@@ -131,20 +135,20 @@
 
     /// Instances of which a sign of life would change something.
     #[must_use]
-    pub fn in_question(&self, now: Timestamp) -> BTreeSet<Cookie> {
-        self.reachability.in_question(now)
+    pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
+        self.reachability.under_verification(now)
     }
 
     /// Flows of some instances have gone on a moment ago. Returns those that were in question, and what to
     /// tell peers.
-    pub fn object(
+    pub fn report_alive(
         &mut self,
         now: Timestamp,
-        living: &[Cookie],
+        alive: &[Cookie],
     ) -> (Vec<Cookie>, Vec<ExchangeEffect>) {
-        let living = living.iter().copied();
-        let dropped: Vec<Cookie> = living
-            .filter(|cookie| self.reachability.lives(now, *cookie))
+        let alive = alive.iter().copied();
+        let dropped: Vec<Cookie> = alive
+            .filter(|cookie| self.reachability.record_alive(now, *cookie))
             .collect();
         let effects = self.exchange.tell_living(&dropped);
         (dropped, effects)
@@ -152,9 +156,9 @@
 
     /// A peer objects: some instances live. What is news goes on to others.
     pub(super) fn objection(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
-        let living = objection.cookies.iter();
-        let living: Vec<Cookie> = living.filter_map(|bits| Cookie::from_bits(*bits)).collect();
-        let (_, effects) = self.object(now, &living);
+        let alive = objection.cookies.iter();
+        let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
+        let (_, effects) = self.report_alive(now, &alive);
         Outcome {
             change: StateChange::default(),
             effects,
@@ -166,12 +170,12 @@
         for id in self.replica.take_restarted() {
             let cookie = Cookie::of(id);
             self.reachability.forget(cookie);
-            self.outlying.forget(cookie);
+            self.outlier_state.forget(cookie);
         }
     }
 
     /// Tells the reachability monitor whose records have gone, or whose addresses passed on. It holds few instances mostly.
-    pub(super) fn note_records(&mut self, now: Timestamp) {
+    pub(super) fn update_records(&mut self, now: Timestamp) {
         let held = &self.reachability;
         if held.is_empty() {
             return;
@@ -181,50 +185,51 @@
         let state_of = |cookie| {
             let known = directory.find(cookie)?;
             Some(if succeeded.contains(&known.record.id) {
-                RecordState::Succeeded
+                RecordState::AddressReused
             } else if known.gone_at.is_some() {
-                RecordState::Gone
+                RecordState::Deleted
             } else {
                 RecordState::Present
             })
         };
-        self.reachability.note_records(now, state_of);
+        self.reachability.update_records(now, state_of);
     }
 
     /// A peer can't reach some instances, and asks this node to probe them too.
-    pub(super) fn question(&mut self, now: Timestamp, question: &Question) -> Outcome {
+    pub(super) fn probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
         let asked = question.cookies.iter();
         let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
         for cookie in asked {
             if self.replica.directory().find(cookie).is_some() {
-                self.reachability.question(now, cookie, Doubter::Peer);
+                self.reachability
+                    .suspect(now, cookie, SuspicionSource::PeerRequest);
             }
         }
-        self.note_records(now);
+        self.update_records(now);
         Outcome::default()
     }
 }
 
-/// Instances that nothing speaks against, as controls of a probe: those that were known to be sound
+/// Instances that nothing speaks against, as controls of a probe: those that were known to be healthy
 /// last go first. Which they are changes from probe to probe.
 fn controls(
     now: Timestamp,
     directory: &Directory,
     reachability: &ReachabilityMonitor,
-    proven: &[Cookie],
+    healthy: &[Cookie],
     count: usize,
 ) -> Vec<SocketAddrV4> {
-    let is_sound = |known: &&KnownInstance| {
+    let is_healthy = |known: &&KnownInstance| {
         let cookie = Cookie::of(known.record.id);
         let serves = known.gone_at.is_none() && known.record.state == InstanceState::Ready;
-        serves && known.warm_at <= now && !reachability.is_in_doubt(now, cookie)
+        serves && known.warm_at <= now && !reachability.is_suspected(now, cookie)
     };
-    let proven_first = proven.iter().filter_map(|cookie| directory.find(*cookie));
+    let healthy_first = healthy.iter().filter_map(|cookie| directory.find(*cookie));
     let start = mix(now.as_micros()) as usize % directory.len().max(1);
     let others = directory.instances().skip(start);
     let others = others.chain(directory.instances().take(start));
     let mut chosen: Vec<SocketAddrV4> = Vec::with_capacity(count);
-    for known in proven_first.chain(others).filter(is_sound) {
+    for known in healthy_first.chain(others).filter(is_healthy) {
         if chosen.len() == count {
             break;
         }
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -39,7 +39,7 @@
     pub fn report(tallies: &[InstanceTally]) -> Self {
         let reported = tallies.iter().map(|tally| ReportedTally {
             cookie: tally.cookie.bits(),
-            asked: tally.asked,
+            asked: tally.requests,
             failed: tally.failed,
             slow: tally.slow,
         });
@@ -70,7 +70,7 @@
     let tallies = reported.iter().filter_map(|reported| {
         Some(InstanceTally {
             cookie: Cookie::from_bits(reported.cookie)?,
-            asked: reported.asked,
+            requests: reported.asked,
             failed: reported.failed,
             slow: reported.slow,
         })
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -13,7 +13,7 @@
 use crate::cookie::instance::Cookie;
 use crate::cookie::load::LoadMeter;
 use crate::cookie::locality::{ShareChange, ZonePlacements, ZonePreference, imbalance};
-use crate::cookie::outliers::{InstanceTally, TallyBook};
+use crate::cookie::outliers::{InstanceTally, TallyAccumulator};
 use crate::cookie::packet::{Destination, FlowPacket, PacketRole};
 use crate::cookie::placement::Suitability;
 use crate::cookie::seen::SeenTable;
@@ -133,7 +133,7 @@
     /// that probes tell nothing of them.
     proven: BTreeSet<Cookie>,
     answers: AnswerMonitor,
-    tallies: TallyBook,
+    tallies: TallyAccumulator,
     /// Instances whose answers fail, unlike those of others.
     outliers: BTreeSet<Cookie>,
     zones: ZonePreference,
@@ -163,7 +163,7 @@
             repeating: Vec::new(),
             proven: BTreeSet::new(),
             answers: AnswerMonitor::default(),
-            tallies: TallyBook::default(),
+            tallies: TallyAccumulator::default(),
             outliers: BTreeSet::new(),
             zones: ZonePreference::new(""),
             admission: AdmissionGate::new(AdmissionSettings::default()),
@@ -238,7 +238,7 @@
         self.monitor.expire(now);
         self.cold.expire(now);
         let (failed, waited) = (
-            self.monitor.failed_of_late(),
+            self.monitor.recently_failed(),
             self.monitor.opening_timeout(),
         );
         self.admission.openings_failed(now, table, failed, waited);
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -37,7 +37,9 @@
             return Decision::Reset(ResetReason::Superseded);
         }
         self.note_life(packet, cookie);
-        let opened_after = self.monitor.progress(now, packet.flow.hash(), cookie);
+        let opened_after = self
+            .monitor
+            .record_progress(now, packet.flow.hash(), cookie);
         if let Some(after) = opened_after {
             self.lives(now.before(after), cookie);
             self.note_opened(now, table, packet.flow.hash(), cookie, after);
@@ -123,7 +125,7 @@
         table: &ForwardingTable,
         judged: &JudgedSample,
     ) {
-        self.tallies.note(judged);
+        self.tallies.record(judged);
         self.note_sample(now, table, &judged.sample);
         self.admission.answered(now, table, &judged.sample);
         if matches!(judged.sample.fate, AnswerFate::Short { .. }) {
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -51,7 +51,8 @@
         if now < chosen.warm_at {
             self.cold.opened(now, chosen.id);
         }
-        self.monitor.opening(now, flow_hash, destination.cookie);
+        self.monitor
+            .record_opening(now, flow_hash, destination.cookie);
         self.loads.count(now, destination.cookie, OPENING_WEIGHT);
         Decision::Place {
             destination,
@@ -88,7 +89,7 @@
         let ranks = self.zones.ranks(part.service, flow_hash);
         let load = |candidate: &Candidate| {
             // A dead instance is idle too, but not therefore to be preferred.
-            if self.monitor.is_doubted(candidate.cookie) {
+            if self.monitor.loses_idle_preference(candidate.cookie) {
                 f32::INFINITY
             } else {
                 self.loads.load(now, candidate.cookie)
--- a/crates/bellyoke-core/src/cookie/health.rs
+++ b/crates/bellyoke-core/src/cookie/health.rs
@@ -19,23 +19,23 @@
     pub opening_timeout: Duration,
     /// Failures in a row after which an instance is no longer preferred for being idle, as a dead
     /// one is. With zero none ever is, so that flows are placed by hash alone.
-    pub doubt_threshold: u32,
+    pub idle_preference_threshold: u32,
     /// Failures in a row that make an instance suspected.
     pub failure_threshold: u32,
     /// How long others are preferred before it is tried again; doubles with each failed trial.
-    pub suspicion: Duration,
+    pub suspicion_duration: Duration,
     /// Longest time between two trials.
-    pub longest_suspicion: Duration,
+    pub maximum_suspicion_duration: Duration,
 }
 
 impl Default for HealthSettings {
     fn default() -> Self {
         Self {
             opening_timeout: Duration::from_millis(150),
-            doubt_threshold: 1,
+            idle_preference_threshold: 1,
             failure_threshold: 2,
-            suspicion: Duration::from_secs(2),
-            longest_suspicion: Duration::from_secs(16),
+            suspicion_duration: Duration::from_secs(2),
+            maximum_suspicion_duration: Duration::from_secs(16),
         }
     }
 }
@@ -70,7 +70,7 @@
 struct InstanceHealth {
     failures: u32,
     failed_trials: u32,
-    trial_under_way: bool,
+    trial_running: bool,
     suspected_until: Timestamp,
 }
 
@@ -80,7 +80,7 @@
     settings: HealthSettings,
     pending: BTreeMap<u64, PendingOpening>,
     /// Flow hashes by the time of their opening, the oldest first.
-    order: VecDeque<(Timestamp, u64)>,
+    deadline_order: VecDeque<(Timestamp, u64)>,
     /// Instances that peers suspect.
     peer_suspicions: BTreeSet<Cookie>,
     /// When an opening last succeeded.
@@ -99,7 +99,7 @@
         Self {
             settings,
             pending: BTreeMap::new(),
-            order: VecDeque::new(),
+            deadline_order: VecDeque::new(),
             peer_suspicions: BTreeSet::new(),
             succeeded_at: BTreeMap::new(),
             failing: BTreeMap::new(),
@@ -116,17 +116,17 @@
         {
             return now < health.suspected_until;
         }
-        self.peer_suspicions.contains(&cookie) && !self.succeeded_of_late(now, cookie)
+        self.peer_suspicions.contains(&cookie) && !self.recently_succeeded(now, cookie)
     }
 
     /// Whether the last openings at an instance failed, too few of them to suspect it.
     #[must_use]
-    pub fn is_doubted(&self, cookie: Cookie) -> bool {
+    pub fn loses_idle_preference(&self, cookie: Cookie) -> bool {
         let failures = self
             .failing
             .get(&cookie)
             .map_or(0, |health| health.failures);
-        failures >= self.settings.doubt_threshold
+        failures >= self.settings.idle_preference_threshold
     }
 
     /// After how long an opening has failed.
@@ -149,10 +149,10 @@
     }
 
     /// An opening of a flow goes to an instance.
-    pub fn opening(&mut self, now: Timestamp, flow_hash: u64, cookie: Cookie) {
+    pub fn record_opening(&mut self, now: Timestamp, flow_hash: u64, cookie: Cookie) {
         self.expire(now);
         if let Some(earlier) = self.pending.remove(&flow_hash) {
-            self.failed(now, earlier);
+            self.record_failure(now, earlier);
         }
         self.begin_trial(now, cookie);
         if self.pending.len() >= MAXIMUM_PENDING_OPENINGS {
@@ -163,12 +163,17 @@
             sent_at: now,
         };
         self.pending.insert(flow_hash, opening);
-        self.order.push_back((now, flow_hash));
+        self.deadline_order.push_back((now, flow_hash));
     }
 
     /// A later packet of a flow carries the cookie of an instance. Returns how long the opening
     /// took, if this is the first packet after it.
-    pub fn progress(&mut self, now: Timestamp, flow_hash: u64, cookie: Cookie) -> Option<Duration> {
+    pub fn record_progress(
+        &mut self,
+        now: Timestamp,
+        flow_hash: u64,
+        cookie: Cookie,
+    ) -> Option<Duration> {
         let opening = self.pending.remove(&flow_hash)?;
         self.succeeded_at.insert(cookie, now);
         let failed_before = self.failing.remove(&cookie);
@@ -180,17 +185,17 @@
 
     /// Judges the openings that have waited too long.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some(&(sent_at, flow_hash)) = self.order.front() {
+        while let Some(&(sent_at, flow_hash)) = self.deadline_order.front() {
             if now.since(sent_at) < self.settings.opening_timeout {
                 return;
             }
-            self.order.pop_front();
+            self.deadline_order.pop_front();
             let Some(opening) = self.pending.get(&flow_hash).copied() else {
                 continue;
             };
             if opening.sent_at == sent_at {
                 self.pending.remove(&flow_hash);
-                self.failed(now, opening);
+                self.record_failure(now, opening);
             }
         }
     }
@@ -198,7 +203,7 @@
     /// Forgets all openings under way without judging them, since this node itself stood still.
     pub fn forget_pending(&mut self) {
         self.pending.clear();
-        self.order.clear();
+        self.deadline_order.clear();
     }
 
     /// Forgets what openings told of an instance.
@@ -219,15 +224,15 @@
     #[must_use]
     pub fn succeeded_within(&self, now: Timestamp, time: Duration) -> Vec<Cookie> {
         let succeeded = self.succeeded_at.iter();
-        let lately = succeeded.filter(|(_, at)| now.since(**at) < time);
-        let mut lately: Vec<(Timestamp, Cookie)> =
-            lately.map(|(cookie, at)| (*at, *cookie)).collect();
-        lately.sort_unstable_by(|one, other| other.cmp(one));
-        lately.into_iter().map(|(_, cookie)| cookie).collect()
+        let recent = succeeded.filter(|(_, at)| now.since(**at) < time);
+        let mut recent: Vec<(Timestamp, Cookie)> =
+            recent.map(|(cookie, at)| (*at, *cookie)).collect();
+        recent.sort_unstable_by(|one, other| other.cmp(one));
+        recent.into_iter().map(|(_, cookie)| cookie).collect()
     }
 
     /// Instances at which an opening failed since they were last taken.
-    pub fn failed_of_late(&self) -> impl Iterator<Item = Cookie> {
+    pub fn recently_failed(&self) -> impl Iterator<Item = Cookie> {
         self.failed.iter().copied()
     }
 
@@ -241,24 +246,24 @@
         std::mem::take(&mut self.changes)
     }
 
-    fn succeeded_of_late(&self, now: Timestamp, cookie: Cookie) -> bool {
+    fn recently_succeeded(&self, now: Timestamp, cookie: Cookie) -> bool {
         let succeeded_at = self.succeeded_at.get(&cookie);
-        succeeded_at.is_some_and(|at| now.since(*at) < self.settings.suspicion)
+        succeeded_at.is_some_and(|at| now.since(*at) < self.settings.suspicion_duration)
     }
 
-    fn failed(&mut self, now: Timestamp, opening: PendingOpening) {
+    fn record_failure(&mut self, now: Timestamp, opening: PendingOpening) {
         let health = self.failing.entry(opening.cookie).or_default();
         health.failures = health.failures.saturating_add(1);
         self.failed.insert(opening.cookie);
         if health.failures < self.settings.failure_threshold {
             return;
         }
-        if std::mem::take(&mut health.trial_under_way) {
+        if std::mem::take(&mut health.trial_running) {
             health.failed_trials = health.failed_trials.saturating_add(1);
         }
         let doublings = 1_u32.checked_shl(health.failed_trials).unwrap_or(u32::MAX);
-        let suspicion = self.settings.suspicion.saturating_mul(doublings);
-        health.suspected_until = now.after(suspicion.min(self.settings.longest_suspicion));
+        let suspicion = self.settings.suspicion_duration.saturating_mul(doublings);
+        health.suspected_until = now.after(suspicion.min(self.settings.maximum_suspicion_duration));
         if health.failures == self.settings.failure_threshold {
             self.changes.push(HealthChange::Suspected {
                 cookie: opening.cookie,
@@ -274,7 +279,7 @@
             return;
         };
         if health.failures >= threshold && health.suspected_until <= now {
-            health.trial_under_way = true;
+            health.trial_running = true;
             health.suspected_until = now.after(self.settings.opening_timeout);
         }
     }
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -1,6 +1,6 @@
 //! The comparison of instances by what nodes report of them.
 
-use super::tally::{InstanceTally, asked_by_service};
+use super::tally::{InstanceTally, requests_by_service};
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::{ForwardingTable, ServiceNumber, ServicePart};
 use crate::time::Timestamp;
@@ -8,33 +8,33 @@
 use std::time::Duration;
 
 /// Requests counted at most by instance; what happened long ago is gone sooner then.
-const MAXIMUM_COUNT: f64 = 1_000.0;
+const MAXIMUM_REQUEST_COUNT: f64 = 1_000.0;
 
 /// Below so much a count is nothing.
-const NOTHING: f64 = 0.05;
+const NEGLIGIBLE_REQUESTS: f64 = 0.05;
 
 /// An outlier with so many good requests in a row works again. One that fails half of them gets there by
 /// luck once in 256 times.
-const GOOD_IN_ROW: u32 = 8;
+const REINSTATEMENT_GOOD_REQUESTS: u32 = 8;
 
 /// How often a held outlier may double the time until it is tried without evidence.
-const MOST_DOUBLINGS: u32 = 2;
+const MAXIMUM_TIMEOUT_DOUBLINGS: u32 = 2;
 
 /// When an instance stands out, and what follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
-    /// Largest part of a service's instances that are set aside; zero for none.
+    /// Largest part of a service's instances that are set ejected; zero for none.
     pub largest_share: f64,
     /// Time in which counts halve.
     pub half_life: Duration,
     /// Bad requests that an instance must have had lately.
-    pub least_bad: f64,
+    pub minimum_bad_requests: f64,
     /// Part of its requests that must be bad.
-    pub least_part: f64,
+    pub minimum_bad_fraction: f64,
     /// The same, as a multiple of what is bad at the service's median instance.
-    pub least_factor: f64,
+    pub minimum_median_factor: f64,
     /// An outlier of which nothing was heard for so long is one no longer.
-    pub memory: Duration,
+    pub evidence_timeout: Duration,
 }
 
 impl Default for OutlierSettings {
@@ -42,11 +42,11 @@
         Self {
             largest_share: 0.4,
             half_life: Duration::from_secs(2),
-            least_bad: 2.5,
-            least_part: 0.2,
-            least_factor: 3.0,
+            minimum_bad_requests: 2.5,
+            minimum_bad_fraction: 0.2,
+            minimum_median_factor: 3.0,
             // Trials bring a request in two seconds to one of many outliers; with 4 s one in ten came back for want of any.
-            memory: Duration::from_secs(10),
+            evidence_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -56,32 +56,32 @@
 pub struct OutlierChange {
     /// The instance.
     pub cookie: Cookie,
-    /// Whether it is set aside from now on.
+    /// Whether it is set ejected from now on.
     pub is_outlier: bool,
     /// Bad requests lately.
     pub bad: f64,
     /// Requests lately, as far as known.
-    pub asked: f64,
+    pub requests: f64,
     /// Part that is bad at the service's median instance.
-    pub usual_part: f64,
-    /// How long it was set aside.
-    pub held: Duration,
+    pub median_bad_fraction: f64,
+    /// How long it was set ejected.
+    pub ejected_for: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Evidence {
-    asked: f64,
+    requests: f64,
     bad: f64,
     /// Requests reported since the last bad one.
-    good_in_row: u32,
-    /// Since when it is set aside.
-    since: Option<Timestamp>,
+    consecutive_good: u32,
+    /// Since when it is set ejected.
+    ejected_at: Option<Timestamp>,
     /// When a request to it was last reported.
-    heard_at: Timestamp,
+    reported_at: Timestamp,
     /// When it was last let back.
-    back_at: Option<Timestamp>,
-    /// How often it was set aside again soon after it was let back.
-    returns: u32,
+    reinstated_at: Option<Timestamp>,
+    /// How often it was set ejected again soon after it was let back.
+    re_ejections: u32,
 }
 
 /// Compares the instances of each service by decaying counts of what nodes report.
@@ -90,7 +90,7 @@
     settings: OutlierSettings,
     evidence: BTreeMap<Cookie, Evidence>,
     /// This node's own requests by service, decaying.
-    own_asked: BTreeMap<ServiceNumber, f64>,
+    own_requests: BTreeMap<ServiceNumber, f64>,
     decayed_at: Timestamp,
 }
 
@@ -101,27 +101,32 @@
         Self {
             settings,
             evidence: BTreeMap::new(),
-            own_asked: BTreeMap::new(),
+            own_requests: BTreeMap::new(),
             decayed_at: Timestamp::ZERO,
         }
     }
 
-    /// Whether nobody is set aside.
+    /// Whether nobody is set ejected.
     #[must_use]
-    pub fn is_calm(&self) -> bool {
+    pub fn has_no_evidence(&self) -> bool {
         self.evidence.is_empty()
     }
 
     /// How many requests this node itself saw, from which it tells how many there are in all.
-    pub fn note_own(&mut self, now: Timestamp, table: &ForwardingTable, tallies: &[InstanceTally]) {
+    pub fn record_own_requests(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+        tallies: &[InstanceTally],
+    ) {
         self.decay(now);
-        for (service, asked) in asked_by_service(tallies, |cookie| table.service_of(cookie)) {
-            *self.own_asked.entry(service).or_default() += asked;
+        for (service, requests) in requests_by_service(tallies, |cookie| table.service_of(cookie)) {
+            *self.own_requests.entry(service).or_default() += requests;
         }
     }
 
     /// This node collects no longer.
-    pub fn forget_reports(&mut self) {
+    pub fn clear_reports(&mut self) {
         self.evidence.clear();
     }
 
@@ -131,9 +136,9 @@
     }
 
     /// What a node reports.
-    pub fn note_report(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
+    pub fn record_report(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         self.decay(now);
-        self.note(now, tallies);
+        self.record(now, tallies);
     }
 
     /// Compares the instances, and returns what changed. `nodes` report, as far as known.
@@ -156,24 +161,24 @@
             self.review_service(now, table, service, nodes, &mut changes);
         }
         let is_known = |cookie| table.destination(cookie).is_some();
-        let memory = self.settings.memory * (1 << MOST_DOUBLINGS);
+        let evidence_timeout = self.settings.evidence_timeout * (1 << MAXIMUM_TIMEOUT_DOUBLINGS);
         self.evidence.retain(|cookie, held| {
-            let counts = held.since.is_some() || held.bad > NOTHING;
-            is_known(*cookie) && (counts || now.since(held.heard_at) < memory)
+            let counts = held.ejected_at.is_some() || held.bad > NEGLIGIBLE_REQUESTS;
+            is_known(*cookie) && (counts || now.since(held.reported_at) < evidence_timeout)
         });
         changes
     }
 
-    /// Instances that are set aside, the worst first.
+    /// Instances that are set ejected, the worst first.
     #[must_use]
     pub fn outliers(&self) -> Vec<Cookie> {
         let held = self.evidence.iter();
-        let mut held: Vec<_> = held.filter(|(_, held)| held.since.is_some()).collect();
+        let mut held: Vec<_> = held.filter(|(_, held)| held.ejected_at.is_some()).collect();
         held.sort_by(|(_, one), (_, other)| other.bad.total_cmp(&one.bad));
         held.into_iter().map(|(cookie, _)| *cookie).collect()
     }
 
-    fn note(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
+    fn record(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         for tally in tallies {
             let is_held = self.evidence.contains_key(&tally.cookie);
             // Good requests count only for those that something speaks against.
@@ -181,13 +186,16 @@
                 continue;
             }
             let evidence = self.evidence.entry(tally.cookie).or_default();
-            evidence.asked = (evidence.asked + f64::from(tally.asked)).min(MAXIMUM_COUNT);
-            evidence.bad = (evidence.bad + f64::from(tally.bad())).min(MAXIMUM_COUNT);
-            evidence.good_in_row = match tally.bad() {
-                0 => evidence.good_in_row.saturating_add(u32::from(tally.asked)),
+            evidence.requests =
+                (evidence.requests + f64::from(tally.requests)).min(MAXIMUM_REQUEST_COUNT);
+            evidence.bad = (evidence.bad + f64::from(tally.bad())).min(MAXIMUM_REQUEST_COUNT);
+            evidence.consecutive_good = match tally.bad() {
+                0 => evidence
+                    .consecutive_good
+                    .saturating_add(u32::from(tally.requests)),
                 _ => 0,
             };
-            evidence.heard_at = now;
+            evidence.reported_at = now;
         }
     }
 
@@ -196,11 +204,11 @@
         self.decayed_at = now;
         let factor = (-passed / self.settings.half_life.as_secs_f64()).exp2();
         for evidence in self.evidence.values_mut() {
-            evidence.asked *= factor;
+            evidence.requests *= factor;
             evidence.bad *= factor;
         }
-        for asked in self.own_asked.values_mut() {
-            *asked *= factor;
+        for requests in self.own_requests.values_mut() {
+            *requests *= factor;
         }
     }
 
@@ -218,13 +226,13 @@
             .iter()
             .map(|candidate| candidate.cookie)
             .collect();
-        let own = self.own_asked.get(&service).copied().unwrap_or_default();
+        let own = self.own_requests.get(&service).copied().unwrap_or_default();
         let expected = own * nodes / (candidates.len().max(1) as f64);
-        let usual_part = self.median_part(&candidates, expected);
-        let most = (candidates.len() as f64 * self.settings.largest_share) as usize;
-        self.let_back(now, &candidates, usual_part, changes);
-        let held = |held: &Evidence| held.since.is_some();
-        let aside = candidates
+        let median_bad_fraction = self.median_bad_fraction_of(&candidates, expected);
+        let maximum_ejected = (candidates.len() as f64 * self.settings.largest_share) as usize;
+        self.reinstate(now, &candidates, median_bad_fraction, changes);
+        let held = |held: &Evidence| held.ejected_at.is_some();
+        let ejected = candidates
             .iter()
             .filter(|cookie| self.evidence.get(cookie).is_some_and(held))
             .count();
@@ -232,48 +240,59 @@
             .iter()
             .filter_map(|cookie| {
                 let evidence = self.evidence.get(cookie)?;
-                self.stands_out(evidence, expected, usual_part)
+                self.exceeds_thresholds(evidence, expected, median_bad_fraction)
                     .then_some((evidence.bad, *cookie))
             })
             .collect();
         worst.sort_by(|one, other| other.0.total_cmp(&one.0));
-        for (_, cookie) in worst.into_iter().take(most.saturating_sub(aside)) {
-            changes.extend(self.set_aside(now, cookie, usual_part));
+        for (_, cookie) in worst
+            .into_iter()
+            .take(maximum_ejected.saturating_sub(ejected))
+        {
+            changes.extend(self.eject(now, cookie, median_bad_fraction));
         }
     }
 
     /// Part of the requests that is bad at the median instance. Those without evidence have none.
-    fn median_part(&self, candidates: &BTreeSet<Cookie>, expected: f64) -> f64 {
-        let parts = candidates.iter().map(|cookie| {
+    fn median_bad_fraction_of(&self, candidates: &BTreeSet<Cookie>, expected: f64) -> f64 {
+        let fractions = candidates.iter().map(|cookie| {
             let evidence = self.evidence.get(cookie);
-            evidence.map_or(0.0, |evidence| part_of(evidence, expected))
+            evidence.map_or(0.0, |evidence| bad_fraction(evidence, expected))
         });
-        let mut parts: Vec<f64> = parts.collect();
-        parts.sort_by(f64::total_cmp);
-        parts.get(parts.len() / 2).copied().unwrap_or_default()
+        let mut fractions: Vec<f64> = fractions.collect();
+        fractions.sort_by(f64::total_cmp);
+        fractions
+            .get(fractions.len() / 2)
+            .copied()
+            .unwrap_or_default()
     }
 
-    fn stands_out(&self, evidence: &Evidence, expected: f64, usual_part: f64) -> bool {
+    fn exceeds_thresholds(
+        &self,
+        evidence: &Evidence,
+        expected: f64,
+        median_bad_fraction: f64,
+    ) -> bool {
         let settings = &self.settings;
-        let part = part_of(evidence, expected);
-        evidence.since.is_none()
-            && evidence.bad >= settings.least_bad
-            && part >= settings.least_part
-            && part >= usual_part * settings.least_factor
+        let part = bad_fraction(evidence, expected);
+        evidence.ejected_at.is_none()
+            && evidence.bad >= settings.minimum_bad_requests
+            && part >= settings.minimum_bad_fraction
+            && part >= median_bad_fraction * settings.minimum_median_factor
     }
 
-    fn set_aside(
+    fn eject(
         &mut self,
         now: Timestamp,
         cookie: Cookie,
-        usual_part: f64,
+        median_bad_fraction: f64,
     ) -> Option<OutlierChange> {
-        let memory = self.settings.memory;
+        let evidence_timeout = self.settings.evidence_timeout;
         let evidence = self.evidence.get_mut(&cookie)?;
-        evidence.since = Some(now);
-        let soon = |back_at: Timestamp| now.since(back_at) < memory * 2;
-        evidence.returns = if evidence.back_at.is_some_and(soon) {
-            (evidence.returns + 1).min(MOST_DOUBLINGS)
+        evidence.ejected_at = Some(now);
+        let soon = |reinstated_at: Timestamp| now.since(reinstated_at) < evidence_timeout * 2;
+        evidence.re_ejections = if evidence.reinstated_at.is_some_and(soon) {
+            (evidence.re_ejections + 1).min(MAXIMUM_TIMEOUT_DOUBLINGS)
         } else {
             0
         };
@@ -281,34 +300,35 @@
             cookie,
             is_outlier: true,
             bad: evidence.bad,
-            asked: evidence.asked,
-            usual_part,
-            held: Duration::ZERO,
+            requests: evidence.requests,
+            median_bad_fraction,
+            ejected_for: Duration::ZERO,
         })
     }
 
     /// Lets those back that answer well, or of which nothing was heard for long.
-    fn let_back(
+    fn reinstate(
         &mut self,
         now: Timestamp,
         candidates: &BTreeSet<Cookie>,
-        usual_part: f64,
+        median_bad_fraction: f64,
         changes: &mut Vec<OutlierChange>,
     ) {
         let settings = self.settings;
-        let good_part = (settings.least_part / 2.0).max(usual_part * settings.least_factor / 2.0);
+        let reinstatement_fraction = (settings.minimum_bad_fraction / 2.0)
+            .max(median_bad_fraction * settings.minimum_median_factor / 2.0);
         for cookie in candidates {
             let Some(evidence) = self.evidence.get_mut(cookie) else {
                 continue;
             };
-            let Some(since) = evidence.since else {
+            let Some(since) = evidence.ejected_at else {
                 continue;
             };
-            let memory = settings.memory * (1 << evidence.returns);
-            let forgotten = now.since(evidence.heard_at.max(since)) >= memory;
-            let is_good =
-                evidence.asked >= settings.least_bad && evidence.bad / evidence.asked < good_part;
-            let works = evidence.good_in_row >= GOOD_IN_ROW;
+            let evidence_timeout = settings.evidence_timeout * (1 << evidence.re_ejections);
+            let forgotten = now.since(evidence.reported_at.max(since)) >= evidence_timeout;
+            let is_good = evidence.requests >= settings.minimum_bad_requests
+                && evidence.bad / evidence.requests < reinstatement_fraction;
+            let works = evidence.consecutive_good >= REINSTATEMENT_GOOD_REQUESTS;
             if !(forgotten || is_good || works) {
                 continue;
             }
@@ -316,27 +336,27 @@
                 cookie: *cookie,
                 is_outlier: false,
                 bad: evidence.bad,
-                asked: evidence.asked,
-                usual_part,
-                held: now.since(since),
+                requests: evidence.requests,
+                median_bad_fraction,
+                ejected_for: now.since(since),
             });
-            evidence.since = None;
+            evidence.ejected_at = None;
             evidence.bad = 0.0;
-            evidence.back_at = Some(now);
+            evidence.reinstated_at = Some(now);
         }
     }
 }
 
 /// Part of an instance's requests that is bad. Nodes tell of good requests only where there were bad ones,
-/// so that at least as many were asked as at others, on average.
-fn part_of(evidence: &Evidence, expected: f64) -> f64 {
-    let asked = if evidence.since.is_some() {
-        evidence.asked
+/// so that at least as many were requests as at others, on average.
+fn bad_fraction(evidence: &Evidence, expected: f64) -> f64 {
+    let requests = if evidence.ejected_at.is_some() {
+        evidence.requests
     } else {
-        evidence.asked.max(expected)
+        evidence.requests.max(expected)
     };
-    if asked > 0.0 {
-        (evidence.bad / asked).min(1.0)
+    if requests > 0.0 {
+        (evidence.bad / requests).min(1.0)
     } else {
         0.0
     }
--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -14,7 +14,7 @@
     /// The instance.
     pub cookie: Cookie,
     /// Requests of which it is known what became.
-    pub asked: u16,
+    pub requests: u16,
     /// Those that failed.
     pub failed: u16,
     /// Those that were answered late.
@@ -34,7 +34,7 @@
 /// ```
 /// use bellyoke_core::cookie::answers::{AnswerFate, AnswerQuality, AnswerSample, JudgedSample};
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
-/// use bellyoke_core::cookie::outliers::TallyBook;
+/// use bellyoke_core::cookie::outliers::TallyAccumulator;
 /// use bellyoke_core::cookie::table::ServiceNumber;
 /// use std::time::Duration;
 ///
@@ -44,20 +44,20 @@
 ///     priority: 0,
 ///     fate: AnswerFate::Short { after: Duration::from_millis(2) },
 /// };
-/// let mut book = TallyBook::default();
-/// book.note(&JudgedSample { sample, quality: AnswerQuality::Failed });
+/// let mut book = TallyAccumulator::default();
+/// book.record(&JudgedSample { sample, quality: AnswerQuality::Failed });
 /// let tallies = book.take();
-/// assert_eq!((tallies[0].asked, tallies[0].failed), (1, 1));
+/// assert_eq!((tallies[0].requests, tallies[0].failed), (1, 1));
 /// assert!(book.is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct TallyBook {
+pub struct TallyAccumulator {
     tallies: BTreeMap<Cookie, InstanceTally>,
 }
 
-impl TallyBook {
+impl TallyAccumulator {
     /// Counts a sample.
-    pub fn note(&mut self, judged: &JudgedSample) {
+    pub fn record(&mut self, judged: &JudgedSample) {
         let cookie = judged.sample.cookie;
         let is_full = self.tallies.len() >= MAXIMUM_INSTANCES;
         if is_full && !self.tallies.contains_key(&cookie) {
@@ -65,11 +65,11 @@
         }
         let tally = self.tallies.entry(cookie).or_insert(InstanceTally {
             cookie,
-            asked: 0,
+            requests: 0,
             failed: 0,
             slow: 0,
         });
-        tally.asked = tally.asked.saturating_add(1);
+        tally.requests = tally.requests.saturating_add(1);
         match judged.quality {
             AnswerQuality::Usual => {}
             AnswerQuality::Slow => tally.slow = tally.slow.saturating_add(1),
@@ -92,29 +92,29 @@
     /// Counts tallies of another book.
     pub fn add(&mut self, tallies: &[InstanceTally]) {
         for tally in tallies {
-            let held = self.tallies.entry(tally.cookie).or_insert(InstanceTally {
-                asked: 0,
+            let total = self.tallies.entry(tally.cookie).or_insert(InstanceTally {
+                requests: 0,
                 failed: 0,
                 slow: 0,
                 ..*tally
             });
-            held.asked = held.asked.saturating_add(tally.asked);
-            held.failed = held.failed.saturating_add(tally.failed);
-            held.slow = held.slow.saturating_add(tally.slow);
+            total.requests = total.requests.saturating_add(tally.requests);
+            total.failed = total.failed.saturating_add(tally.failed);
+            total.slow = total.slow.saturating_add(tally.slow);
         }
     }
 }
 
 /// Counts the requests of each service.
-pub(super) fn asked_by_service(
+pub(super) fn requests_by_service(
     tallies: &[InstanceTally],
     service_of: impl Fn(Cookie) -> Option<ServiceNumber>,
 ) -> BTreeMap<ServiceNumber, f64> {
-    let mut asked = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     for tally in tallies {
         if let Some(service) = service_of(tally.cookie) {
-            *asked.entry(service).or_default() += f64::from(tally.asked);
+            *requests.entry(service).or_default() += f64::from(tally.requests);
         }
     }
-    asked
+    requests
 }
--- a/crates/bellyoke-core/src/cookie/outliers/board.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
@@ -12,7 +12,7 @@
 /// datagram changes nothing; short, so that nobody stays out for a collector that died.
 const VERDICT_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// Collectors whose verdicts are held.
+/// Collectors whose verdicts are known.
 const MAXIMUM_COLLECTORS: usize = 8;
 
 /// Which instances a collector holds for outliers.
@@ -28,36 +28,36 @@
 
 /// The verdicts of a few collectors.
 #[derive(Debug, Default)]
-pub struct OutlierBoard {
-    held: BTreeMap<SocketAddrV4, (Timestamp, Verdicts)>,
+pub struct VerdictCache {
+    by_collector: BTreeMap<SocketAddrV4, (Timestamp, Verdicts)>,
 }
 
-impl OutlierBoard {
+impl VerdictCache {
     /// Notes what a collector told. Returns whether that is news, to be passed on.
-    pub fn note(&mut self, now: Timestamp, verdicts: &Verdicts) -> bool {
+    pub fn record(&mut self, now: Timestamp, verdicts: &Verdicts) -> bool {
         self.expire(now);
-        let held = self.held.get(&verdicts.collector);
-        let is_news = held.is_none_or(|(_, held)| held.sequence < verdicts.sequence);
-        let has_room = held.is_some() || self.held.len() < MAXIMUM_COLLECTORS;
+        let known = self.by_collector.get(&verdicts.collector);
+        let is_news = known.is_none_or(|(_, known)| known.sequence < verdicts.sequence);
+        let has_room = known.is_some() || self.by_collector.len() < MAXIMUM_COLLECTORS;
         if !is_news || !has_room {
             return false;
         }
-        self.held
+        self.by_collector
             .insert(verdicts.collector, (now, verdicts.clone()));
         true
     }
 
     /// Forgets verdicts that weren't told again.
     pub fn expire(&mut self, now: Timestamp) {
-        self.held
-            .retain(|_, (heard_at, _)| now.since(*heard_at) < VERDICT_LIFETIME);
+        self.by_collector
+            .retain(|_, (received_at, _)| now.since(*received_at) < VERDICT_LIFETIME);
     }
 
     /// The outliers, at most a share of each service's instances: those first that collectors put first.
     #[must_use]
     pub fn outliers(&self, table: &ForwardingTable, largest_share: f64) -> BTreeSet<Cookie> {
         let mut outliers = BTreeSet::new();
-        if self.held.is_empty() {
+        if self.by_collector.is_empty() {
             return outliers;
         }
         let ranks = self.ranks();
@@ -68,28 +68,28 @@
             let service = crate::cookie::table::ServiceNumber(number);
             let part = ServicePart { weight: 1, service };
             let candidates = table.candidates(&part);
-            let most = (candidates.len() as f64 * largest_share) as usize;
-            let named = candidates.iter();
-            let named = named.filter_map(|candidate| {
+            let maximum = (candidates.len() as f64 * largest_share) as usize;
+            let ranked = candidates.iter();
+            let ranked = ranked.filter_map(|candidate| {
                 let rank = ranks.get(&candidate.cookie)?;
                 Some((*rank, candidate.cookie))
             });
-            let mut named: Vec<_> = named.collect();
-            named.sort_unstable();
-            outliers.extend(named.into_iter().take(most).map(|(_, cookie)| cookie));
+            let mut ranked: Vec<_> = ranked.collect();
+            ranked.sort_unstable();
+            outliers.extend(ranked.into_iter().take(maximum).map(|(_, cookie)| cookie));
         }
         outliers
     }
 
-    /// The best place of each instance in a collector's list.
+    /// The best position of each instance in a collector's list.
     fn ranks(&self) -> BTreeMap<Cookie, usize> {
         let mut ranks: BTreeMap<Cookie, usize> = BTreeMap::new();
-        for (_, verdicts) in self.held.values() {
+        for (_, verdicts) in self.by_collector.values() {
             let cookies = verdicts.cookies.iter();
             let cookies = cookies.filter_map(|bits| Cookie::from_bits(*bits));
-            for (place, cookie) in cookies.enumerate() {
-                let rank = ranks.entry(cookie).or_insert(place);
-                *rank = (*rank).min(place);
+            for (position, cookie) in cookies.enumerate() {
+                let rank = ranks.entry(cookie).or_insert(position);
+                *rank = (*rank).min(position);
             }
         }
         ranks
--- a/crates/bellyoke-core/src/cookie/reachability.rs
+++ b/crates/bellyoke-core/src/cookie/reachability.rs
@@ -20,20 +20,20 @@
 mod probe;
 
 pub use finding::{Finding, Origin};
-pub use monitor::{Doubter, ReachabilityChange, ReachabilityMonitor, RecordState};
+pub use monitor::{ReachabilityChange, ReachabilityMonitor, RecordState, SuspicionSource};
 pub use probe::{ProbeBatch, ProbeOutcome};
 
 use std::time::Duration;
 
 /// Connections in a row that a probe tries. With three of ten packets lost on this node's own link
 /// three fail while six of controls open in 3 of 1,000 probes.
-pub const ATTEMPTS: usize = 3;
+pub const PROBE_ATTEMPTS: usize = 3;
 
 /// Attempts for an instance that a peer can't reach, whose own probe speaks against it too.
-pub const ATTEMPTS_FOR_PEERS: usize = 2;
+pub const CONFIRMATION_ATTEMPTS: usize = 2;
 
 /// Attempts to find out whether an instance is still unreachable.
-pub const ATTEMPTS_AGAIN: usize = 1;
+pub const RECHECK_ATTEMPTS: usize = 1;
 
 /// How long one of them may take. Connections open within two round trips, some milliseconds; a
 /// process on a small share of a processor may get none for 100 ms.
@@ -44,13 +44,13 @@
 pub const ATTEMPT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Other instances that a probe must reach at the same time.
-pub const CONTROLS: usize = 2;
+pub const PROBE_CONTROLS: usize = 2;
 
 /// The same of probes that only confirm what another one found, or find out whether it still holds.
-pub const CONTROLS_AGAIN: usize = 1;
+pub const CONFIRMATION_CONTROLS: usize = 1;
 
 /// Instances probed at once; further ones wait for the next probe.
-pub const MAXIMUM_SUSPECTS: usize = 64;
+pub const MAXIMUM_SUSPECTS_PER_PROBE: usize = 64;
 
 /// How long a verdict holds. Shorter than the 4 s for which the paths to an instance must have been whole
 /// before users count an ended flow as the balancer's fault, so that none outlives a cut by as much.
@@ -63,25 +63,25 @@
 
 /// Probes in a row that may find nothing out before the question is dropped. With a quarter of all instances
 /// dead at once, 44 of 100 probes have a dead control and one in 60 questions would have five.
-const INCONCLUSIVE_PROBES: u32 = 5;
+const MAXIMUM_INCONCLUSIVE_PROBES: u32 = 5;
 
 /// How long openings avoid an instance after it took connections again: what answers there may be
 /// another instance that has taken over its address, of which the records tell later. Longer than
 /// the store is away mostly; until then a flow that goes on there proves that it lives.
-const AVOIDANCE: Duration = Duration::from_secs(10);
+const AVOIDANCE_DURATION: Duration = Duration::from_secs(10);
 
 /// An instance that was probed so lately isn't questioned again.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(1_000);
+const SUSPICION_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How long a peer that was asked to confirm a finding has, before another one is asked. A probe of
 /// two attempts takes 150 ms, and what it finds some tens of milliseconds to come back.
-const CONFIRMATION_TIME: Duration = Duration::from_millis(400);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Peers that are asked at most to confirm a finding until the instance is probed again. One of them may have
 /// died with the instance, and a datagram may be lost.
-const CONFIRMERS: u32 = 3;
+const MAXIMUM_CONFIRMATION_REQUESTS: u32 = 3;
 
 /// How long peers have, once they were asked about an instance, to say that it lives, before its resting
 /// flows are ended. A peer that sees a few requests a second there knows within 300 ms; the word takes
 /// some ms, and 100 ms wherever a control thread waits for its tick.
-pub const OBJECTION_TIME: Duration = Duration::from_millis(400);
+pub const OBJECTION_PERIOD: Duration = Duration::from_millis(400);
--- a/crates/bellyoke-core/src/cookie/reachability/finding.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/finding.rs
@@ -9,7 +9,7 @@
 
 /// A finding of the same origin is news again once it is newer by so much: less than the time between two
 /// probes of one node, so that each of them is told on, and copies on other ways are not.
-const RENEWAL_STEP: Duration = Duration::from_millis(1_000);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Who has found something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,8 +24,8 @@
     /// Whether what speaks against an instance here is not likely to be the fault that another origin saw: paths
     /// differ between zones. Where all nodes stand in one zone, two of them must do.
     #[must_use]
-    pub fn is_independent_of(self, other: Self, one_zone: bool) -> bool {
-        if one_zone {
+    pub fn is_independent_of(self, other: Self, single_zone: bool) -> bool {
+        if single_zone {
             self.node != other.node
         } else {
             self.zone != other.zone
@@ -49,7 +49,7 @@
 /// Findings of peers that speak against one instance: the newest of two independent origins.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerFindings {
-    held: [Option<(Origin, Timestamp)>; 2],
+    entries: [Option<(Origin, Timestamp)>; 2],
     /// When a finding was last withdrawn: copies of those before it count no longer, or all nodes would tell each other of
     /// the finding and of its withdrawal in turn.
     withdrawn_at: Option<Timestamp>,
@@ -58,23 +58,25 @@
 impl PeerFindings {
     /// Notes that a peer couldn't reach the instance. Returns whether that is news, to be told on: a third origin
     /// is none.
-    pub(super) fn note(&mut self, now: Timestamp, finding: &Finding, one_zone: bool) -> bool {
+    pub(super) fn record(&mut self, now: Timestamp, finding: &Finding, single_zone: bool) -> bool {
         let (origin, found_at) = (finding.origin, finding.found_at);
         let is_withdrawn = self.withdrawn_at.is_some_and(|at| found_at <= at);
         if !is_fresh(now, found_at) || is_withdrawn {
             return false;
         }
-        let alike = self.held.iter_mut().flatten();
-        let mut alike = alike.filter(|(held, _)| !held.is_independent_of(origin, one_zone));
-        if let Some((held_origin, held_at)) = alike.next() {
-            let is_renewed = found_at >= held_at.after(RENEWAL_STEP);
+        let same_fault = self.entries.iter_mut().flatten();
+        let mut same_fault =
+            same_fault.filter(|(entry, _)| !entry.is_independent_of(origin, single_zone));
+        if let Some((entry_origin, entry_found_at)) = same_fault.next() {
+            let is_renewed = found_at >= entry_found_at.after(RENEWAL_INTERVAL);
             if is_renewed {
-                (*held_origin, *held_at) = (origin, found_at);
+                (*entry_origin, *entry_found_at) = (origin, found_at);
             }
             return is_renewed;
         }
-        let mut places = self.held.iter_mut();
-        let free = places.find(|held| held.is_none_or(|(_, held_at)| !is_fresh(now, held_at)));
+        let mut slots = self.entries.iter_mut();
+        let free = slots
+            .find(|entry| entry.is_none_or(|(_, entry_found_at)| !is_fresh(now, entry_found_at)));
         let Some(free) = free else {
             return false;
         };
@@ -84,14 +86,15 @@
 
     /// Notes that a peer reaches the instance again: what it, or those beside it, found before counts no longer.
     /// Returns whether anything did.
-    pub(super) fn withdraw(&mut self, finding: &Finding, one_zone: bool) -> bool {
+    pub(super) fn withdraw(&mut self, finding: &Finding, single_zone: bool) -> bool {
         let mut withdrawn = false;
-        for held in &mut self.held {
-            let is_withdrawn = held.is_some_and(|(origin, held_at)| {
-                held_at < finding.found_at && !origin.is_independent_of(finding.origin, one_zone)
+        for entry in &mut self.entries {
+            let is_withdrawn = entry.is_some_and(|(origin, entry_found_at)| {
+                entry_found_at < finding.found_at
+                    && !origin.is_independent_of(finding.origin, single_zone)
             });
             if is_withdrawn {
-                *held = None;
+                *entry = None;
                 withdrawn = true;
             }
         }
@@ -105,35 +108,35 @@
     }
 
     /// Whether a finding that is independent of an origin holds.
-    pub(super) fn confirm(&self, now: Timestamp, origin: Origin, one_zone: bool) -> bool {
+    pub(super) fn confirms(&self, now: Timestamp, origin: Origin, single_zone: bool) -> bool {
         let mut fresh = self.fresh(now);
-        fresh.any(|held| held.is_independent_of(origin, one_zone))
+        fresh.any(|entry| entry.is_independent_of(origin, single_zone))
     }
 
     /// Whether two independent findings hold.
-    pub(super) fn agree(&self, now: Timestamp) -> bool {
-        self.fresh(now).count() == self.held.len()
+    pub(super) fn has_agreement(&self, now: Timestamp) -> bool {
+        self.fresh(now).count() == self.entries.len()
     }
 
     /// Whether two independent findings were both made since a time.
-    pub(super) fn agree_since(&self, since: Timestamp) -> bool {
-        let mut held = self.held.iter();
-        held.all(|held| held.is_some_and(|(_, found_at)| found_at > since))
+    pub(super) fn has_agreement_since(&self, since: Timestamp) -> bool {
+        let mut entries = self.entries.iter();
+        entries.all(|entry| entry.is_some_and(|(_, found_at)| found_at > since))
     }
 
     /// Whether a finding of a zone holds.
-    pub(super) fn speak_for(&self, now: Timestamp, zone: ZoneKey) -> bool {
-        self.fresh(now).any(|held| held.zone == zone)
+    pub(super) fn has_finding_from_zone(&self, now: Timestamp, zone: ZoneKey) -> bool {
+        self.fresh(now).any(|entry| entry.zone == zone)
     }
 
     /// Whether any finding holds.
-    pub(super) fn any(&self, now: Timestamp) -> bool {
+    pub(super) fn has_any(&self, now: Timestamp) -> bool {
         self.fresh(now).next().is_some()
     }
 
     fn fresh(&self, now: Timestamp) -> impl Iterator<Item = Origin> {
-        let held = self.held.iter().flatten();
-        let fresh = held.filter(move |(_, found_at)| is_fresh(now, *found_at));
+        let entries = self.entries.iter().flatten();
+        let fresh = entries.filter(move |(_, found_at)| is_fresh(now, *found_at));
         fresh.map(|(origin, _)| *origin)
     }
 }
--- a/crates/bellyoke-core/src/cookie/reachability/probe.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/probe.rs
@@ -1,6 +1,6 @@
 //! Probes: connections to instances in question, beside connections to others.
 
-use super::ATTEMPTS;
+use super::PROBE_ATTEMPTS;
 use crate::cookie::instance::Cookie;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -20,17 +20,17 @@
 ///
 /// ```
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
-/// use bellyoke_core::cookie::reachability::{ATTEMPTS, ProbeBatch, ProbeOutcome};
+/// use bellyoke_core::cookie::reachability::{PROBE_ATTEMPTS, ProbeBatch, ProbeOutcome};
 /// use std::collections::BTreeSet;
 ///
 /// let suspect = (Cookie::of(InstanceId(7)), "10.0.0.7:80".parse().unwrap());
 /// let control = "10.0.0.8:80".parse().unwrap();
 /// let mut batch = ProbeBatch::new(vec![suspect], vec![control]);
-/// for _ in 0..ATTEMPTS {
+/// for _ in 0..PROBE_ATTEMPTS {
 ///     assert_eq!(batch.next_addresses(), [suspect.1, control]);
-///     batch.attempted(&BTreeSet::from([control]));
+///     batch.record_attempt(&BTreeSet::from([control]));
 /// }
-/// assert!(batch.is_over());
+/// assert!(batch.is_complete());
 /// assert_eq!(batch.outcomes(), [(suspect.0, ProbeOutcome::Unreachable)]);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
             suspects,
             controls,
             reached: BTreeSet::new(),
-            attempts_left: ATTEMPTS,
+            attempts_left: PROBE_ATTEMPTS,
         }
     }
 
@@ -68,12 +68,12 @@
     #[must_use]
     pub fn next_addresses(&self) -> Vec<SocketAddrV4> {
         let suspects = self.suspects.iter().map(|(_, address)| *address);
-        let silent = suspects.filter(|address| !self.reached.contains(address));
-        silent.chain(self.controls.iter().copied()).collect()
+        let unreached = suspects.filter(|address| !self.reached.contains(address));
+        unreached.chain(self.controls.iter().copied()).collect()
     }
 
     /// An attempt is over, and these connections opened.
-    pub fn attempted(&mut self, opened: &BTreeSet<SocketAddrV4>) {
+    pub fn record_attempt(&mut self, opened: &BTreeSet<SocketAddrV4>) {
         self.attempts_left = self.attempts_left.saturating_sub(1);
         self.controls_failed |= !self.controls.iter().all(|control| opened.contains(control));
         self.reached.extend(opened);
@@ -87,7 +87,7 @@
 
     /// Whether no attempt is left that could tell more.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let mut suspects = self.suspects.iter();
         let all_reached = suspects.all(|(_, address)| self.reached.contains(address));
         all_reached || self.controls_failed || self.attempts_left == 0
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -56,14 +56,14 @@
 pub struct Cluster {
     pub nodes: BTreeMap<SocketAddrV4, Node>,
     pub now: u64,
-    pub lost: Vec<(SocketAddrV4, SocketAddrV4)>,
+    pub cut_links: Vec<(SocketAddrV4, SocketAddrV4)>,
     /// Whether nodes that watch the store are told that nothing is newer.
     pub store_answers: bool,
     pub layout: Layout,
     /// Bytes sent of each kind, within zones and between them.
     pub traffic: BTreeMap<&'static str, [usize; 2]>,
     /// Datagrams on their way: who sent each, and to whom.
-    under_way: VecDeque<(SocketAddrV4, SocketAddrV4, PeerDatagram)>,
+    in_flight: VecDeque<(SocketAddrV4, SocketAddrV4, PeerDatagram)>,
 }
 
 pub fn address(number: usize) -> SocketAddrV4 {
@@ -93,18 +93,18 @@
 
 impl Cluster {
     pub fn new(size: usize) -> Self {
-        Self::laid_out(size, ONE_ZONE)
+        Self::with_layout(size, ONE_ZONE)
     }
 
-    pub fn laid_out(size: usize, layout: Layout) -> Self {
+    pub fn with_layout(size: usize, layout: Layout) -> Self {
         let mut cluster = Self {
             nodes: BTreeMap::new(),
             now: 0,
-            lost: Vec::new(),
+            cut_links: Vec::new(),
             store_answers: false,
             layout,
             traffic: BTreeMap::new(),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
         };
         for number in 0..size {
             cluster.start(number);
@@ -209,7 +209,7 @@
     /// Does what a node wants, and what comes of it.
     pub fn perform(&mut self, from: SocketAddrV4, outcome: Outcome) {
         self.begin(from, outcome);
-        while let Some((from, to, datagram)) = self.under_way.pop_front() {
+        while let Some((from, to, datagram)) = self.in_flight.pop_front() {
             self.arrive(from, to, datagram);
         }
     }
@@ -251,8 +251,8 @@
         self.nodes.get_mut(&from).unwrap().sent += 1;
         let (kind, length) = encoded(&datagram);
         self.count(kind, from, to, length);
-        if !self.lost.contains(&(from, to)) {
-            self.under_way.push_back((from, to, datagram));
+        if !self.cut_links.contains(&(from, to)) {
+            self.in_flight.push_back((from, to, datagram));
         }
     }
 
@@ -296,7 +296,7 @@
         node.coordinator.replica().versions()
     }
 
-    pub fn knowing(&self, revision: u64) -> usize {
+    pub fn nodes_knowing(&self, revision: u64) -> usize {
         let knows = |node: &&Node| node.alive && self.versions(node).configuration >= revision;
         self.nodes.values().filter(knows).count()
     }
@@ -308,7 +308,7 @@
         found.map(|(address, _)| *address).collect()
     }
 
-    pub fn resting(&self) -> usize {
+    pub fn passive_nodes(&self) -> usize {
         let rests = |node: &&Node| {
             let plan = node
                 .coordinator
@@ -319,13 +319,13 @@
     }
 }
 
-pub fn watched(size: usize) -> Cluster {
-    watched_in(size, ONE_ZONE)
+pub fn watching_cluster(size: usize) -> Cluster {
+    watching_cluster_in(size, ONE_ZONE)
 }
 
 /// Nodes that know a configuration and watch the store.
-pub fn watched_in(size: usize, layout: Layout) -> Cluster {
-    let mut cluster = Cluster::laid_out(size, layout);
+pub fn watching_cluster_in(size: usize, layout: Layout) -> Cluster {
+    let mut cluster = Cluster::with_layout(size, layout);
     cluster.store_answers = true;
     cluster.learn(0, 5);
     cluster.run(10_000);
@@ -346,7 +346,7 @@
         large: 0,
         own_zone_first: true,
     };
-    let mut cluster = Cluster::laid_out(nodes, layout);
+    let mut cluster = Cluster::with_layout(nodes, layout);
     cluster.store_answers = true;
     let records: Vec<InstanceRecord> = (1..=instances).map(|id| record(id, id)).collect();
     let revision = Revision::new(instances + 1);
--- a/crates/bellyoke-core/tests/cookie/ends.rs
+++ b/crates/bellyoke-core/tests/cookie/ends.rs
@@ -9,7 +9,7 @@
 use bellyoke_core::cookie::instance::{Cookie, InstanceEvent, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::packet::FlowPacket;
 use bellyoke_core::cookie::reachability::{
-    Doubter, OBJECTION_TIME, Origin, ProbeOutcome, ReachabilityMonitor,
+    OBJECTION_PERIOD, Origin, ProbeOutcome, ReachabilityMonitor, SuspicionSource,
 };
 use bellyoke_core::cookie::revision::Revision;
 use bellyoke_core::cookie::table::ForwardingTable;
@@ -188,24 +188,27 @@
 }
 
 fn objection_milliseconds() -> u64 {
-    u64::try_from(OBJECTION_TIME.as_millis()).unwrap()
+    u64::try_from(OBJECTION_PERIOD.as_millis()).unwrap()
 }
 
-fn unreachable(doubter: Doubter) -> ReachabilityMonitor {
+fn unreachable(doubter: SuspicionSource) -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(Origin {
         node: address(1),
         zone: ZoneKey(0),
     });
-    monitor.question(at(1_000), cookie(1), doubter);
-    monitor.questioned(doubter);
-    monitor.probed(at(1_300), cookie(1), ProbeOutcome::Unreachable);
+    monitor.suspect(at(1_000), cookie(1), doubter);
+    monitor.take_suspects(doubter);
+    monitor.record_probe(at(1_300), cookie(1), ProbeOutcome::Unreachable);
     monitor
 }
 
 #[test]
 fn peers_have_time_to_object_before_resting_flows_end() {
     // They are asked with the verdict, unless one of them has asked.
-    for (doubter, asked_at) in [(Doubter::Node, 1_300), (Doubter::Peer, 1_000)] {
+    for (doubter, asked_at) in [
+        (SuspicionSource::OwnOpening, 1_300),
+        (SuspicionSource::PeerRequest, 1_000),
+    ] {
         let monitor = unreachable(doubter);
         let over = asked_at + objection_milliseconds();
         assert!(monitor.ended(at(over - 1)).is_empty());
@@ -215,17 +218,20 @@
 
 #[test]
 fn an_objection_drops_question_and_verdict() {
-    let mut monitor = unreachable(Doubter::Node);
-    assert!(monitor.lives(at(1_400), cookie(1)));
-    assert!(!monitor.lives(at(1_410), cookie(1)), "it is passed on once");
+    let mut monitor = unreachable(SuspicionSource::OwnOpening);
+    assert!(monitor.record_alive(at(1_400), cookie(1)));
+    assert!(
+        !monitor.record_alive(at(1_410), cookie(1)),
+        "it is passed on once"
+    );
     assert!(monitor.unreachable(at(1_400)).is_empty());
     assert!(monitor.ended(at(9_000)).is_empty());
-    assert!(!monitor.question(at(1_500), cookie(1), Doubter::Peer));
-    assert!(monitor.question(at(3_000), cookie(1), Doubter::Node));
+    assert!(!monitor.suspect(at(1_500), cookie(1), SuspicionSource::PeerRequest));
+    assert!(monitor.suspect(at(3_000), cookie(1), SuspicionSource::OwnOpening));
     // A probe that was under way then establishes nothing.
-    monitor.questioned(Doubter::Node);
-    assert!(monitor.lives(at(3_100), cookie(1)));
-    let change = monitor.probed(at(3_200), cookie(1), ProbeOutcome::Unreachable);
+    monitor.take_suspects(SuspicionSource::OwnOpening);
+    assert!(monitor.record_alive(at(3_100), cookie(1)));
+    let change = monitor.record_probe(at(3_200), cookie(1), ProbeOutcome::Unreachable);
     assert_eq!(change, None);
     assert!(monitor.unreachable(at(3_200)).is_empty());
 }
@@ -281,9 +287,9 @@
 
 #[test]
 fn a_node_that_stood_still_ends_no_resting_flow() {
-    let mut monitor = unreachable(Doubter::Peer);
+    let mut monitor = unreachable(SuspicionSource::PeerRequest);
     assert!(!monitor.ended(at(2_000)).is_empty());
-    monitor.stalled();
+    monitor.reset_after_stall();
     assert!(monitor.ended(at(2_000)).is_empty());
 }
 
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -1,6 +1,6 @@
 //! Gossip between nodes, in virtual time.
 
-use crate::cluster::{Cluster, TICK, address, suggestion, watched};
+use crate::cluster::{Cluster, TICK, address, suggestion, watching_cluster};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration};
 use bellyoke_core::cookie::capacity::NodePlace;
 use bellyoke_core::cookie::coordinator::{Coordinator, Outcome};
@@ -22,7 +22,7 @@
         cluster.run(3_000);
         cluster.learn(size - 1, 5);
         cluster.run(1_500);
-        assert_eq!(cluster.knowing(5), size);
+        assert_eq!(cluster.nodes_knowing(5), size);
     }
 }
 
@@ -34,7 +34,7 @@
     cluster.run(3_000);
     cluster.start(7);
     cluster.run(500);
-    assert_eq!(cluster.knowing(5), 10);
+    assert_eq!(cluster.nodes_knowing(5), 10);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     cluster.node(1).alive = false;
     cluster.start(7);
     cluster.run(2_500);
-    assert_eq!(cluster.knowing(5), 8);
+    assert_eq!(cluster.nodes_knowing(5), 8);
 }
 
 #[test]
@@ -55,12 +55,12 @@
     let mut cluster = Cluster::new(5);
     cluster.run(2_000);
     for number in 0..4 {
-        cluster.lost.push((address(4), address(number)));
+        cluster.cut_links.push((address(4), address(number)));
     }
     cluster.learn(0, 5);
     cluster.run(2_000);
     assert_eq!(
-        cluster.knowing(5),
+        cluster.nodes_knowing(5),
         5,
         "node 4 hears, though nobody hears it"
     );
@@ -115,7 +115,7 @@
     let mut cluster = Cluster::new(1);
     cluster.learn(0, 5);
     cluster.run(5_000);
-    assert_eq!(cluster.knowing(5), 1);
+    assert_eq!(cluster.nodes_knowing(5), 1);
 }
 
 /// More nodes start than a table of peers holds, all by the same seeds.
@@ -124,7 +124,7 @@
     let mut cluster = Cluster::new(1_000);
     cluster.learn(999, 5);
     cluster.run(2_500);
-    assert_eq!(cluster.knowing(5), 1_000);
+    assert_eq!(cluster.nodes_knowing(5), 1_000);
 }
 
 #[test]
@@ -158,7 +158,7 @@
 #[test]
 fn one_node_reads_and_two_back_it_up_whatever_the_size() {
     for size in [3, 10, 200] {
-        let cluster = watched(size);
+        let cluster = watching_cluster(size);
         assert_eq!(cluster.with_duty(StoreDuty::Reader).len(), 1, "of {size}");
         assert_eq!(
             cluster.with_duty(StoreDuty::Backup).len(),
@@ -171,11 +171,11 @@
 #[test]
 fn all_others_rest_while_these_confirm_what_they_know() {
     for size in [10, 100] {
-        let mut cluster = watched(size);
+        let mut cluster = watching_cluster(size);
         let mut rested = 0;
         for _ in 0..40 {
             cluster.run(TICK);
-            rested += cluster.resting();
+            rested += cluster.passive_nodes();
         }
         let possible = 40 * (size - WATCHERS);
         assert!(
@@ -187,10 +187,10 @@
 
 #[test]
 fn nobody_rests_once_nobody_confirms() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     cluster.store_answers = false;
     cluster.run(1_600);
-    assert_eq!(cluster.resting(), 0);
+    assert_eq!(cluster.passive_nodes(), 0);
 }
 
 #[test]
@@ -198,15 +198,15 @@
     let mut cluster = Cluster::new(4);
     cluster.store_answers = true;
     cluster.run(5_000);
-    assert_eq!(cluster.resting(), 0);
+    assert_eq!(cluster.passive_nodes(), 0);
 }
 
 #[test]
 fn while_the_store_answers_nobody_nobody_is_a_reader() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     for node in cluster.nodes.values_mut() {
         node.coordinator
-            .note_store(at(cluster.now), ObjectKind::Instances, false);
+            .record_store_availability(at(cluster.now), ObjectKind::Instances, false);
     }
     cluster.run(5_000);
     assert!(cluster.with_duty(StoreDuty::Reader).is_empty());
@@ -215,7 +215,7 @@
 
 #[test]
 fn a_node_alone_reads() {
-    assert_eq!(watched(1).with_duty(StoreDuty::Reader).len(), 1);
+    assert_eq!(watching_cluster(1).with_duty(StoreDuty::Reader).len(), 1);
 }
 
 #[test]
@@ -231,14 +231,14 @@
 
 #[test]
 fn others_take_over_from_watchers_that_died_or_lost_the_store() {
-    let mut cluster = watched(20);
+    let mut cluster = watching_cluster(20);
     let readers = cluster.with_duty(StoreDuty::Reader);
     let backups = cluster.with_duty(StoreDuty::Backup);
     cluster.nodes.get_mut(&readers[0]).unwrap().alive = false;
     for backup in &backups {
         let node = cluster.nodes.get_mut(backup).unwrap();
         node.coordinator
-            .note_store(at(0), ObjectKind::Configuration, false);
+            .record_store_availability(at(0), ObjectKind::Configuration, false);
     }
     cluster.run(10_000);
     let reader = cluster.with_duty(StoreDuty::Reader);
@@ -249,7 +249,7 @@
 
 #[test]
 fn a_reader_that_leaves_is_followed_by_another() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let now = at(cluster.now);
     let node = cluster.nodes.get_mut(&reader).unwrap();
@@ -268,21 +268,25 @@
 
 #[test]
 fn a_change_reaches_all_as_a_delta_within_moments() {
-    let mut cluster = watched(100);
+    let mut cluster = watching_cluster(100);
     let fetched =
         |cluster: &Cluster| -> usize { cluster.nodes.values().map(|node| node.fetched).sum() };
     let before = fetched(&cluster);
     cluster.learn(3, 9);
-    assert!(cluster.knowing(9) >= 80, "{} at once", cluster.knowing(9));
+    assert!(
+        cluster.nodes_knowing(9) >= 80,
+        "{} at once",
+        cluster.nodes_knowing(9)
+    );
     cluster.run(1_500);
-    assert_eq!(cluster.knowing(9), 100);
+    assert_eq!(cluster.nodes_knowing(9), 100);
     let by_snapshot = fetched(&cluster) - before;
     assert!(by_snapshot <= 10, "{by_snapshot} fetched a snapshot");
 }
 
 #[test]
 fn a_node_that_knows_the_list_still_fetches_tombstones_at_its_start() {
-    let mut cluster = watched(5);
+    let mut cluster = watching_cluster(5);
     cluster.learn(0, 9);
     cluster.run(1_000);
     cluster.start(4);
@@ -304,7 +308,11 @@
         let nothing = Replica::new(TOMBSTONE_LIFETIME).snapshot(at(0));
         node.snapshot(at(100), address(1), nothing);
     }
-    let peer = watched(3).nodes.remove(&address(0)).unwrap().coordinator;
+    let peer = watching_cluster(3)
+        .nodes
+        .remove(&address(0))
+        .unwrap()
+        .coordinator;
     node.snapshot(at(200), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
@@ -340,8 +348,8 @@
     };
     node.configurations(at(10_000), routes);
     for kind in ObjectKind::ALL {
-        node.note_asked(at(10_000), kind, Freshness::Newest);
-        node.note_store(at(10_000), kind, false);
+        node.record_store_call(at(10_000), kind, Freshness::Newest);
+        node.record_store_availability(at(10_000), kind, false);
     }
     let heartbeat = |number: u8| Heartbeat {
         versions: Versions {
@@ -378,7 +386,7 @@
             WatchPlan::RestUntil(until) => at(*now) < until,
             WatchPlan::Watch(_) | WatchPlan::Confirm => false,
         };
-        !rests && node.may_ask(at(*now), ObjectKind::Instances)
+        !rests && node.may_call_store(at(*now), ObjectKind::Instances)
     })
 }
 
@@ -463,7 +471,7 @@
 
 #[test]
 fn after_a_stall_the_word_of_peers_that_waited_counts_for_nothing() {
-    let cluster = watched(3);
+    let cluster = watching_cluster(3);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let listener = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut listener = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), listener);
@@ -471,7 +479,7 @@
     let versions = snapshot.versions;
     listener.snapshot(at(0), reader, snapshot);
     // Else it would take itself for the reader.
-    listener.note_store(at(0), ObjectKind::Instances, false);
+    listener.record_store_availability(at(0), ObjectKind::Instances, false);
     let heartbeat = |age| {
         PeerDatagram::Heartbeat(Heartbeat {
             versions,
@@ -516,7 +524,11 @@
     let exchange = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut newborn = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
     newborn.tick(at(START));
-    let peer = watched(3).nodes.remove(&address(0)).unwrap().coordinator;
+    let peer = watching_cluster(3)
+        .nodes
+        .remove(&address(0))
+        .unwrap()
+        .coordinator;
     newborn.snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
@@ -555,7 +567,7 @@
 
 #[test]
 fn a_listener_that_hears_nothing_asks_for_the_newest_state() {
-    let cluster = watched(5);
+    let cluster = watching_cluster(5);
     let listener = cluster.with_duty(StoreDuty::Listener)[0];
     let coordinator = &cluster.nodes[&listener].coordinator;
     let rests = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
@@ -598,7 +610,9 @@
     cluster.run(5_000);
     let asking = |cluster: &Cluster| {
         let nodes = cluster.nodes.values();
-        nodes.filter(|node| node.coordinator.asks_for_all()).count()
+        nodes
+            .filter(|node| node.coordinator.is_bootstrap_reader())
+            .count()
     };
     let before = asking(&cluster);
     assert!((1..=10).contains(&before), "{before} of 60 ask");
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -1,6 +1,8 @@
 //! Gossip within and between zones: what it costs, and that no zone is left behind.
 
-use crate::cluster::{Cluster, Layout, ONE_ZONE, TICK, address, watched, watched_in, zone_of};
+use crate::cluster::{
+    Cluster, Layout, ONE_ZONE, TICK, address, watching_cluster, watching_cluster_in, zone_of,
+};
 use crate::support::at;
 use bellyoke_core::cookie::capacity::{CapacityClass, MachineCapacity, NodePlace, ZoneKey};
 use bellyoke_core::cookie::exchange::{
@@ -28,7 +30,7 @@
 
 /// Bytes between zones in ten seconds in which the configuration and an instance change twice a second.
 fn bytes_between_zones(size: usize, layout: Layout) -> usize {
-    let mut cluster = watched_in(size, layout);
+    let mut cluster = watching_cluster_in(size, layout);
     cluster.traffic.clear();
     for change in 0..20 {
         cluster.learn(change % size, 100 + change as u64);
@@ -39,13 +41,13 @@
 
 /// Milliseconds until all know each of some changes, the mean and the longest.
 fn times_until_all_know(size: usize, layout: Layout) -> (u64, u64) {
-    let mut cluster = watched_in(size, layout);
+    let mut cluster = watching_cluster_in(size, layout);
     let mut times = Vec::new();
     for change in 0..20 {
         let revision = 100 + change as u64;
         cluster.learn(change * 7 % size, revision);
         let began = cluster.now;
-        while cluster.knowing(revision) < size {
+        while cluster.nodes_knowing(revision) < size {
             cluster.run(TICK);
         }
         times.push(cluster.now - began);
@@ -94,20 +96,20 @@
 
 #[test]
 fn a_zone_whose_nodes_all_start_again_learns_all_from_others() {
-    let mut cluster = watched_in(60, zones(3));
+    let mut cluster = watching_cluster_in(60, zones(3));
     cluster.learn(1, 50);
     cluster.run(2_000);
     for number in (0..60).step_by(3) {
         cluster.start(number);
     }
     cluster.run(1_500);
-    assert_eq!(cluster.knowing(50), 60);
+    assert_eq!(cluster.nodes_knowing(50), 60);
 }
 
 /// As many join as there are, and know only the addresses of three seeds.
 #[test]
 fn seeds_do_not_serve_all_that_start() {
-    let mut cluster = watched_in(150, zones(3));
+    let mut cluster = watching_cluster_in(150, zones(3));
     cluster.learn(1, 50);
     cluster.run(3_000);
     cluster.nodes.values_mut().for_each(|node| node.served = 0);
@@ -115,7 +117,7 @@
         cluster.start(number);
     }
     let mut times = 0;
-    while cluster.knowing(50) < 300 {
+    while cluster.nodes_knowing(50) < 300 {
         cluster.run(TICK);
         times += TICK;
     }
@@ -131,19 +133,19 @@
 #[test]
 fn a_zone_whose_only_informed_node_dies_hears_from_others() {
     for dying in [1, 4, 22] {
-        let mut cluster = watched_in(60, zones(3));
+        let mut cluster = watching_cluster_in(60, zones(3));
         let others: Vec<SocketAddrV4> = cluster.nodes.keys().copied().collect();
         for other in others {
-            cluster.lost.push((address(dying), other));
+            cluster.cut_links.push((address(dying), other));
         }
         cluster.learn(dying, 50);
         cluster.run(TICK);
-        assert_eq!(cluster.knowing(50), 1, "it told nobody");
+        assert_eq!(cluster.nodes_knowing(50), 1, "it told nobody");
         cluster.node(dying).alive = false;
-        cluster.lost.clear();
+        cluster.cut_links.clear();
         cluster.learn(2, 50);
         cluster.run(1_500);
-        assert_eq!(cluster.knowing(50), 59);
+        assert_eq!(cluster.nodes_knowing(50), 59);
     }
 }
 
@@ -155,13 +157,13 @@
         let crossing = nodes
             .iter()
             .filter(|to| (zone_of(*from, count) == 0) != (zone_of(**to, count) == 0));
-        cluster.lost.extend(crossing.map(|to| (*from, *to)));
+        cluster.cut_links.extend(crossing.map(|to| (*from, *to)));
     }
 }
 
 #[test]
 fn a_zone_that_is_cut_off_watches_by_itself_and_joins_again() {
-    let mut cluster = watched_in(60, zones(3));
+    let mut cluster = watching_cluster_in(60, zones(3));
     cut_first_zone(&mut cluster);
     cluster.run(12_000);
     let watching: BTreeSet<usize> = [StoreDuty::Reader, StoreDuty::Backup]
@@ -172,10 +174,10 @@
     assert_eq!(watching.len(), 2, "both parts watch the store");
     cluster.learn(1, 50);
     cluster.run(2_000);
-    assert_eq!(cluster.knowing(50), 40);
-    cluster.lost.clear();
+    assert_eq!(cluster.nodes_knowing(50), 40);
+    cluster.cut_links.clear();
     cluster.run(3_000);
-    assert_eq!(cluster.knowing(50), 60);
+    assert_eq!(cluster.nodes_knowing(50), 60);
     cluster.run(5_000);
     assert_eq!(cluster.with_duty(StoreDuty::Reader).len(), 1);
 }
@@ -183,11 +185,11 @@
 #[test]
 fn nodes_of_all_zones_rest_while_a_few_watch() {
     for count in [3, 6] {
-        let mut cluster = watched_in(120, zones(count));
+        let mut cluster = watching_cluster_in(120, zones(count));
         let mut rested = 0;
         for _ in 0..40 {
             cluster.run(TICK);
-            rested += cluster.resting();
+            rested += cluster.passive_nodes();
         }
         let possible = 40 * (120 - WATCHERS);
         assert!(rested * 100 >= possible * 95, "{rested} of {possible}");
@@ -201,7 +203,7 @@
             large: 6,
             ..zones(count)
         };
-        let cluster = watched_in(90, layout);
+        let cluster = watching_cluster_in(90, layout);
         let mut watching = cluster.with_duty(StoreDuty::Reader);
         watching.extend(cluster.with_duty(StoreDuty::Backup));
         assert_eq!(watching.len(), WATCHERS);
@@ -220,7 +222,7 @@
         bytes.extend(address.port().to_be_bytes());
         XxHash3_64::oneshot_with_seed(0x7265_6164_6572_0001, &bytes)
     });
-    let cluster = watched(20);
+    let cluster = watching_cluster(20);
     assert_eq!(cluster.with_duty(StoreDuty::Reader), by_hash[..1]);
     let backups: BTreeSet<_> = cluster.with_duty(StoreDuty::Backup).into_iter().collect();
     assert_eq!(backups, by_hash[1..3].iter().copied().collect());
@@ -232,7 +234,7 @@
         large: 4,
         ..zones(3)
     };
-    let mut cluster = watched_in(30, layout);
+    let mut cluster = watching_cluster_in(30, layout);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let node = |cluster: &mut Cluster| -> usize {
         (0..30)
@@ -260,7 +262,7 @@
 /// If all have too much to do, some watch all the same.
 #[test]
 fn where_all_are_busy_three_watch() {
-    let mut cluster = watched_in(30, zones(3));
+    let mut cluster = watching_cluster_in(30, zones(3));
     for number in 0..30 {
         cluster.node(number).coordinator.set_link_paced(true);
     }
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -5,7 +5,7 @@
 use bellyoke_core::cookie::capacity::ZoneKey;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 use bellyoke_core::cookie::reachability::{
-    Doubter, Finding, Origin, ProbeOutcome, ReachabilityMonitor, VERDICT_LIFETIME,
+    Finding, Origin, ProbeOutcome, ReachabilityMonitor, SuspicionSource, VERDICT_LIFETIME,
 };
 use std::collections::BTreeSet;
 
@@ -34,39 +34,39 @@
 /// A node of zone 0, in a cluster of several zones.
 fn monitor() -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(origin(0, 0));
-    monitor.set_one_zone(false);
+    monitor.set_single_zone(false);
     monitor
 }
 
 #[test]
 fn what_one_node_found_keeps_new_flows_of_its_zone_away_and_ends_none() {
     let mut monitor = monitor();
-    assert!(monitor.note_finding(at(1_000), &finding(origin(1, 0), 950)));
+    assert!(monitor.record_finding(at(1_000), &finding(origin(1, 0), 950)));
     assert!(monitor.avoided(at(1_000)).contains(&cookie()));
     assert!(monitor.unreachable(at(1_000)).is_empty());
     assert!(monitor.ended(at(2_000)).is_empty());
 
     let mut elsewhere = ReachabilityMonitor::new(origin(9, 5));
-    elsewhere.set_one_zone(false);
-    assert!(elsewhere.note_finding(at(1_000), &finding(origin(1, 0), 950)));
+    elsewhere.set_single_zone(false);
+    assert!(elsewhere.record_finding(at(1_000), &finding(origin(1, 0), 950)));
     assert!(elsewhere.avoided(at(1_000)).is_empty(), "paths differ");
 }
 
 #[test]
 fn what_nodes_of_two_zones_found_ends_flows_everywhere() {
     let mut monitor = monitor();
-    monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
-    monitor.note_finding(at(1_100), &finding(origin(2, 5), 1_050));
+    monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
+    monitor.record_finding(at(1_100), &finding(origin(2, 5), 1_050));
     assert!(monitor.unreachable(at(1_100)).is_empty(), "one zone");
-    monitor.note_finding(at(1_200), &finding(origin(3, 6), 1_150));
+    monitor.record_finding(at(1_200), &finding(origin(3, 6), 1_150));
     let all = BTreeSet::from([cookie()]);
     assert_eq!(monitor.unreachable(at(1_200)), all);
     assert_eq!(monitor.avoided(at(1_200)), all);
     assert!(monitor.ended(at(1_399)).is_empty(), "peers may object");
     assert_eq!(monitor.ended(at(1_400)), all);
-    assert!(monitor.lives(at(1_500), cookie()));
+    assert!(monitor.record_alive(at(1_500), cookie()));
     assert!(monitor.unreachable(at(1_500)).is_empty());
-    assert!(!monitor.note_finding(at(1_600), &finding(origin(4, 7), 1_450)));
+    assert!(!monitor.record_finding(at(1_600), &finding(origin(4, 7), 1_450)));
 }
 
 /// What was asked in an earlier fault is no time to object in this one.
@@ -74,8 +74,8 @@
 fn peers_have_time_to_object_each_time() {
     let mut monitor = monitor();
     for found_at in [1_000, 60_000] {
-        monitor.note_finding(at(found_at), &finding(origin(1, 5), found_at));
-        monitor.note_finding(at(found_at), &finding(origin(2, 6), found_at));
+        monitor.record_finding(at(found_at), &finding(origin(1, 5), found_at));
+        monitor.record_finding(at(found_at), &finding(origin(2, 6), found_at));
         assert!(monitor.ended(at(found_at + 399)).is_empty(), "{found_at}");
         assert!(!monitor.ended(at(found_at + 400)).is_empty(), "{found_at}");
     }
@@ -84,10 +84,10 @@
 #[test]
 fn in_one_zone_two_nodes_are_enough() {
     let mut monitor = ReachabilityMonitor::new(origin(0, 0));
-    assert!(monitor.note_finding(at(1_000), &finding(origin(1, 0), 950)));
-    assert!(!monitor.note_finding(at(1_000), &finding(origin(1, 0), 960)));
+    assert!(monitor.record_finding(at(1_000), &finding(origin(1, 0), 950)));
+    assert!(!monitor.record_finding(at(1_000), &finding(origin(1, 0), 960)));
     assert!(monitor.unreachable(at(1_000)).is_empty());
-    assert!(monitor.note_finding(at(1_000), &finding(origin(2, 0), 950)));
+    assert!(monitor.record_finding(at(1_000), &finding(origin(2, 0), 950)));
     assert!(!monitor.unreachable(at(1_000)).is_empty());
 }
 
@@ -95,30 +95,30 @@
 fn a_finding_is_told_on_once_and_holds_for_a_moment() {
     let mut monitor = monitor();
     let first = finding(origin(1, 0), 950);
-    assert!(monitor.note_finding(at(1_000), &first));
-    assert!(!monitor.note_finding(at(1_010), &first), "a copy");
-    assert!(monitor.note_finding(at(3_000), &finding(origin(1, 0), 2_950)));
+    assert!(monitor.record_finding(at(1_000), &first));
+    assert!(!monitor.record_finding(at(1_010), &first), "a copy");
+    assert!(monitor.record_finding(at(3_000), &finding(origin(1, 0), 2_950)));
     let lifetime = u64::try_from(VERDICT_LIFETIME.as_millis()).unwrap();
     assert!(!monitor.avoided(at(2_949 + lifetime)).is_empty());
     assert!(monitor.avoided(at(2_950 + lifetime)).is_empty());
     let stale = finding(origin(2, 0), 10_000);
-    assert!(!monitor.note_finding(at(10_000 + lifetime), &stale));
+    assert!(!monitor.record_finding(at(10_000 + lifetime), &stale));
 }
 
 #[test]
 fn an_instance_that_a_peer_reaches_again_is_avoided_until_it_shows_life() {
     let mut monitor = monitor();
-    monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
-    monitor.note_finding(at(1_000), &finding(origin(2, 6), 950));
+    monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
+    monitor.record_finding(at(1_000), &finding(origin(2, 6), 950));
     let back = |origin| Finding {
         reached: true,
         ..finding(origin, 2_000)
     };
-    assert!(monitor.note_finding(at(2_000), &back(origin(3, 5))));
+    assert!(monitor.record_finding(at(2_000), &back(origin(3, 5))));
     assert!(monitor.unreachable(at(2_000)).is_empty());
-    assert!(monitor.note_finding(at(2_000), &back(origin(2, 6))));
+    assert!(monitor.record_finding(at(2_000), &back(origin(2, 6))));
     assert!(
-        !monitor.note_finding(at(2_010), &back(origin(2, 6))),
+        !monitor.record_finding(at(2_010), &back(origin(2, 6))),
         "told before"
     );
     assert!(!monitor.avoided(at(11_999)).is_empty());
@@ -134,44 +134,48 @@
         reached: true,
         ..finding(origin(1, 5), 2_000)
     };
-    assert!(monitor.note_finding(at(1_000), &first));
-    assert!(monitor.note_finding(at(2_050), &back));
+    assert!(monitor.record_finding(at(1_000), &first));
+    assert!(monitor.record_finding(at(2_050), &back));
     for now in [2_060, 2_070] {
-        assert!(!monitor.note_finding(at(now), &first));
-        assert!(!monitor.note_finding(at(now), &back));
+        assert!(!monitor.record_finding(at(now), &first));
+        assert!(!monitor.record_finding(at(now), &back));
     }
-    assert!(monitor.note_finding(at(4_050), &finding(origin(1, 5), 4_000)));
+    assert!(monitor.record_finding(at(4_050), &finding(origin(1, 5), 4_000)));
 }
 
 /// What others found counts for nothing against what this node finds itself.
 #[test]
 fn a_node_that_reaches_an_instance_drops_what_peers_found() {
     let mut monitor = monitor();
-    monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
-    monitor.note_finding(at(1_000), &finding(origin(2, 6), 950));
+    monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
+    monitor.record_finding(at(1_000), &finding(origin(2, 6), 950));
     assert!(
-        !monitor.question(at(1_000), cookie(), Doubter::Node),
+        !monitor.suspect(at(1_000), cookie(), SuspicionSource::OwnOpening),
         "it is answered"
     );
-    assert!(monitor.question(at(1_000), cookie(), Doubter::Peer));
-    monitor.questioned(Doubter::Peer);
-    monitor.probed(at(1_100), cookie(), ProbeOutcome::Reached);
+    assert!(monitor.suspect(at(1_000), cookie(), SuspicionSource::PeerRequest));
+    monitor.take_suspects(SuspicionSource::PeerRequest);
+    monitor.record_probe(at(1_100), cookie(), ProbeOutcome::Reached);
     assert!(monitor.unreachable(at(1_100)).is_empty());
-    assert!(!monitor.note_finding(at(1_200), &finding(origin(1, 5), 1_050)));
+    assert!(!monitor.record_finding(at(1_200), &finding(origin(1, 5), 1_050)));
 }
 
 #[test]
 fn a_peer_is_asked_until_one_of_another_zone_confirms_a_verdict() {
     let mut monitor = monitor();
-    monitor.question(at(900), cookie(), Doubter::Node);
-    monitor.questioned(Doubter::Node);
-    monitor.probed(at(1_000), cookie(), ProbeOutcome::Unreachable);
-    assert_eq!(monitor.unconfirmed(at(1_000)), [cookie()]);
-    assert_eq!(monitor.unconfirmed(at(1_399)), []);
-    monitor.note_finding(at(1_399), &finding(origin(1, 0), 1_350));
-    assert_eq!(monitor.unconfirmed(at(1_400)), [cookie()], "the own zone");
-    monitor.note_finding(at(1_500), &finding(origin(2, 5), 1_450));
-    assert_eq!(monitor.unconfirmed(at(1_800)), []);
+    monitor.suspect(at(900), cookie(), SuspicionSource::OwnOpening);
+    monitor.take_suspects(SuspicionSource::OwnOpening);
+    monitor.record_probe(at(1_000), cookie(), ProbeOutcome::Unreachable);
+    assert_eq!(monitor.take_unconfirmed(at(1_000)), [cookie()]);
+    assert_eq!(monitor.take_unconfirmed(at(1_399)), []);
+    monitor.record_finding(at(1_399), &finding(origin(1, 0), 1_350));
+    assert_eq!(
+        monitor.take_unconfirmed(at(1_400)),
+        [cookie()],
+        "the own zone"
+    );
+    monitor.record_finding(at(1_500), &finding(origin(2, 5), 1_450));
+    assert_eq!(monitor.take_unconfirmed(at(1_800)), []);
 }
 
 /// What a dead instance costs the cluster.
@@ -192,7 +196,7 @@
     cluster.traffic.clear();
     let began = cluster.now;
     let doubting = cluster.node(nodes / 2);
-    doubting.coordinator.doubt(at(began), &[cookie()]);
+    doubting.coordinator.suspect(at(began), &[cookie()]);
     let mut connections = 0;
     let mut knowing = 0;
     while cluster.now < began + 6_000 {
@@ -203,7 +207,7 @@
                 let suspects = batch.outcomes().into_iter();
                 let found = suspects.map(|(cookie, _)| (cookie, ProbeOutcome::Unreachable));
                 let outcomes: Vec<_> = found.collect();
-                let (_, effects) = cluster.node(node).coordinator.probed(now, &outcomes);
+                let (_, effects) = cluster.node(node).coordinator.record_probes(now, &outcomes);
                 let outcome = bellyoke_core::cookie::coordinator::Outcome {
                     effects,
                     ..Default::default()
--- a/crates/bellyoke-core/tests/cookie/health.rs
+++ b/crates/bellyoke-core/tests/cookie/health.rs
@@ -19,8 +19,8 @@
 /// A monitor that suspects instance 1 until 2,310 ms.
 fn suspecting() -> OpeningMonitor {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
-    monitor.opening(at(160), 12, cookie(1));
+    monitor.record_opening(at(0), 11, cookie(1));
+    monitor.record_opening(at(160), 12, cookie(1));
     monitor.expire(at(310));
     monitor
 }
@@ -45,7 +45,7 @@
 #[test]
 fn one_lost_opening_means_nothing() {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
+    monitor.record_opening(at(0), 11, cookie(1));
     monitor.expire(at(1_000));
     assert!(!monitor.is_suspected(at(1_000), cookie(1)));
 }
@@ -53,10 +53,10 @@
 #[test]
 fn a_flow_that_opens_clears_the_count() {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
-    monitor.opening(at(160), 12, cookie(1));
-    monitor.progress(at(190), 12, cookie(1));
-    monitor.opening(at(200), 13, cookie(1));
+    monitor.record_opening(at(0), 11, cookie(1));
+    monitor.record_opening(at(160), 12, cookie(1));
+    monitor.record_progress(at(190), 12, cookie(1));
+    monitor.record_opening(at(200), 13, cookie(1));
     monitor.expire(at(1_000));
     assert!(!monitor.is_suspected(at(1_000), cookie(1)));
 }
@@ -64,17 +64,17 @@
 #[test]
 fn packets_of_flows_that_were_open_before_prove_nothing() {
     let mut monitor = suspecting();
-    monitor.progress(at(310), 99, cookie(1));
+    monitor.record_progress(at(310), 99, cookie(1));
     assert!(monitor.is_suspected(at(311), cookie(1)));
 }
 
 #[test]
 fn a_copy_tells_that_the_first_opening_failed() {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
-    monitor.opening(at(1), 12, cookie(1));
-    monitor.opening(at(100), 11, cookie(2));
-    monitor.opening(at(100), 12, cookie(2));
+    monitor.record_opening(at(0), 11, cookie(1));
+    monitor.record_opening(at(1), 12, cookie(1));
+    monitor.record_opening(at(100), 11, cookie(2));
+    monitor.record_opening(at(100), 12, cookie(2));
     assert!(monitor.is_suspected(at(100), cookie(1)));
     assert!(!monitor.is_suspected(at(100), cookie(2)));
 }
@@ -82,12 +82,12 @@
 #[test]
 fn one_opening_at_a_time_tries_a_suspected_instance_again() {
     let mut monitor = suspecting();
-    monitor.opening(at(2_310), 21, cookie(1));
+    monitor.record_opening(at(2_310), 21, cookie(1));
     assert!(
         monitor.is_suspected(at(2_311), cookie(1)),
         "others wait for its outcome"
     );
-    monitor.progress(at(2_312), 21, cookie(1));
+    monitor.record_progress(at(2_312), 21, cookie(1));
     assert!(!monitor.is_suspected(at(2_312), cookie(1)));
     let changes = monitor.take_changes();
     assert_eq!(changes[1], HealthChange::Recovered { cookie: cookie(1) });
@@ -101,7 +101,7 @@
         .into_iter()
         .enumerate()
     {
-        monitor.opening(at(now), 21 + trial as u64, cookie(1));
+        monitor.record_opening(at(now), 21 + trial as u64, cookie(1));
         now += 150;
         monitor.expire(at(now));
         assert!(monitor.is_suspected(at(now + pause - 1), cookie(1)));
@@ -114,7 +114,7 @@
 fn openings_that_fail_together_count_as_no_trial() {
     let mut monitor = monitor();
     for flow in 0..20 {
-        monitor.opening(at(0), flow, cookie(1));
+        monitor.record_opening(at(0), flow, cookie(1));
     }
     monitor.expire(at(150));
     assert!(!monitor.is_suspected(at(2_150), cookie(1)));
@@ -123,8 +123,8 @@
 #[test]
 fn openings_under_way_in_a_stall_are_not_judged() {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
-    monitor.opening(at(1), 12, cookie(1));
+    monitor.record_opening(at(0), 11, cookie(1));
+    monitor.record_opening(at(1), 12, cookie(1));
     monitor.forget_pending();
     monitor.expire(at(5_000));
     assert!(!monitor.is_suspected(at(5_000), cookie(1)));
@@ -147,8 +147,8 @@
 #[test]
 fn a_success_of_our_own_counts_more_than_that_of_peers() {
     let mut monitor = monitor();
-    monitor.opening(at(0), 11, cookie(1));
-    monitor.progress(at(5), 11, cookie(1));
+    monitor.record_opening(at(0), 11, cookie(1));
+    monitor.record_progress(at(5), 11, cookie(1));
     monitor.set_peer_suspicions(&suspected_by_peers(1));
     assert!(!monitor.is_suspected(at(2_004), cookie(1)));
     assert!(monitor.is_suspected(at(2_005), cookie(1)));
@@ -159,7 +159,7 @@
     let mut monitor = monitor();
     let openings = u64::try_from(MAXIMUM_PENDING_OPENINGS).unwrap() * 2;
     for number in 0..openings {
-        monitor.opening(at(0), number, cookie(1));
+        monitor.record_opening(at(0), number, cookie(1));
     }
     monitor.expire(at(1_000));
     assert!(monitor.is_suspected(at(1_000), cookie(1)));
@@ -173,9 +173,9 @@
         let mut now = 0;
         for (flow, (bits, pause)) in outcomes.into_iter().enumerate() {
             now += pause;
-            monitor.opening(at(now), flow as u64, cookie(bits));
+            monitor.record_opening(at(now), flow as u64, cookie(bits));
             if bits == 1 {
-                monitor.progress(at(now), flow as u64, cookie(1));
+                monitor.record_progress(at(now), flow as u64, cookie(1));
             }
             prop_assert!(!monitor.is_suspected(at(now), cookie(1)));
         }
--- a/crates/bellyoke-core/tests/cookie/outlier_placement.rs
+++ b/crates/bellyoke-core/tests/cookie/outlier_placement.rs
@@ -139,7 +139,7 @@
         request(&mut forwarder, &table, number, |_| 1_000);
     }
     let tallies = forwarder.take_tallies();
-    let asked: u16 = tallies.iter().map(|tally| tally.asked).sum();
+    let asked: u16 = tallies.iter().map(|tally| tally.requests).sum();
     let bad: u16 = tallies.iter().map(|tally| tally.bad()).sum();
     assert_eq!((asked, bad), (200, 0));
     assert!(forwarder.take_tallies().is_empty());
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -7,7 +7,7 @@
 };
 use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 use bellyoke_core::cookie::outliers::{
-    InstanceTally, OutlierBoard, OutlierDetector, OutlierSettings, Verdicts,
+    InstanceTally, OutlierDetector, OutlierSettings, VerdictCache, Verdicts,
 };
 use bellyoke_core::cookie::table::ForwardingTable;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
 fn tally(id: u64, asked: u16, failed: u16) -> InstanceTally {
     InstanceTally {
         cookie: cookie(id),
-        asked,
+        requests: asked,
         failed,
         slow: 0,
     }
@@ -66,8 +66,8 @@
 
     fn review(&mut self, tallies: &[InstanceTally]) {
         let now = at(self.now);
-        self.detector.note_report(now, tallies);
-        self.detector.note_own(now, &self.table, tallies);
+        self.detector.record_report(now, tallies);
+        self.detector.record_own_requests(now, &self.table, tallies);
         self.detector.review(now, &self.table, 1.0);
     }
 
@@ -80,7 +80,7 @@
 fn an_instance_that_fails_most_requests_is_set_aside_within_a_second() {
     let mut collector = Collector::new();
     collector.pass(5_000, |_| 0);
-    assert!(collector.detector.is_calm());
+    assert!(collector.detector.has_no_evidence());
     collector.pass(1_000, |id| if id == 7 { 2 } else { 0 });
     assert_eq!(collector.outliers(), BTreeSet::from([cookie(7)]));
 }
@@ -171,10 +171,10 @@
 #[test]
 fn verdicts_are_passed_on_once_and_age_out() {
     let table = table();
-    let mut board = OutlierBoard::default();
-    assert!(board.note(at(1_000), &verdicts(1, 1, [3])));
-    assert!(!board.note(at(1_010), &verdicts(1, 1, [3])), "known");
-    assert!(board.note(at(1_020), &verdicts(2, 9, [4])));
+    let mut board = VerdictCache::default();
+    assert!(board.record(at(1_000), &verdicts(1, 1, [3])));
+    assert!(!board.record(at(1_010), &verdicts(1, 1, [3])), "known");
+    assert!(board.record(at(1_020), &verdicts(2, 9, [4])));
     let held = board.outliers(&table, 0.4);
     assert_eq!(held, BTreeSet::from([cookie(3), cookie(4)]));
     board.expire(at(4_000));
@@ -183,17 +183,17 @@
 
 #[test]
 fn a_collector_takes_its_verdict_back() {
-    let mut board = OutlierBoard::default();
-    board.note(at(1_000), &verdicts(1, 1, [3]));
-    board.note(at(1_100), &verdicts(1, 2, []));
+    let mut board = VerdictCache::default();
+    board.record(at(1_000), &verdicts(1, 1, [3]));
+    board.record(at(1_100), &verdicts(1, 2, []));
     assert!(board.outliers(&table(), 0.4).is_empty());
 }
 
 #[test]
 fn collectors_that_disagree_set_aside_no_more_than_a_share() {
-    let mut board = OutlierBoard::default();
-    board.note(at(1_000), &verdicts(1, 1, 1..=8));
-    board.note(at(1_000), &verdicts(2, 1, 9..=16));
+    let mut board = VerdictCache::default();
+    board.record(at(1_000), &verdicts(1, 1, 1..=8));
+    board.record(at(1_000), &verdicts(2, 1, 9..=16));
     assert_eq!(board.outliers(&table(), 0.4).len(), 8);
 }
 
@@ -246,7 +246,7 @@
                 let id = 1 + (self.now / TICK + number as u64 * 7) % INSTANCES;
                 let tallies = [tally(id, self.asked, self.asked * u16::from(fails(id)))];
                 let coordinator = self.nodes.get_mut(&address).unwrap();
-                coordinator.note_answers(now, &self.table, &tallies);
+                coordinator.record_answers(now, &self.table, &tallies);
                 let (outcome, _) = coordinator.tick(now);
                 let (_, effects) = coordinator.review_outliers(now, &self.table);
                 self.perform(address, outcome.effects);
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -12,8 +12,8 @@
 use bellyoke_core::cookie::instance::{Cookie, InstanceEvent, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::packet::FlowPacket;
 use bellyoke_core::cookie::reachability::{
-    ATTEMPTS, Doubter, Origin, ProbeBatch, ProbeOutcome, ReachabilityMonitor, RecordState,
-    VERDICT_LIFETIME,
+    Origin, PROBE_ATTEMPTS, ProbeBatch, ProbeOutcome, ReachabilityMonitor, RecordState,
+    SuspicionSource, VERDICT_LIFETIME,
 };
 use bellyoke_core::cookie::replica::{Replica, Versions};
 use bellyoke_core::cookie::revision::Revision;
@@ -37,15 +37,15 @@
 }
 
 /// A probe of instance 1 beside 2 and 3, of which these connections open in each attempt.
-fn probe(opened: [&[u64]; ATTEMPTS]) -> ProbeOutcome {
+fn probe(opened: [&[u64]; PROBE_ATTEMPTS]) -> ProbeOutcome {
     let suspects = vec![(cookie(1), address(1))];
     let mut batch = ProbeBatch::new(suspects, vec![address(2), address(3)]);
     for opened in opened {
-        if !batch.is_over() {
-            batch.attempted(&opened.iter().map(|id| address(*id)).collect());
+        if !batch.is_complete() {
+            batch.record_attempt(&opened.iter().map(|id| address(*id)).collect());
         }
     }
-    assert!(batch.is_over());
+    assert!(batch.is_complete());
     batch.outcomes()[0].1
 }
 
@@ -61,19 +61,22 @@
 #[test]
 fn without_controls_nothing_is_established() {
     let batch = ProbeBatch::new(vec![(cookie(1), address(1))], Vec::new());
-    assert!(batch.is_over());
+    assert!(batch.is_complete());
     assert_eq!(batch.outcomes(), [(cookie(1), ProbeOutcome::Inconclusive)]);
 }
 
 fn established(now: u64) -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(origin());
-    assert!(monitor.question(at(now), cookie(1), Doubter::Node));
+    assert!(monitor.suspect(at(now), cookie(1), SuspicionSource::OwnOpening));
     assert!(
-        !monitor.question(at(now), cookie(1), Doubter::Peer),
+        !monitor.suspect(at(now), cookie(1), SuspicionSource::PeerRequest),
         "asked already"
     );
-    assert_eq!(monitor.questioned(Doubter::Node), [cookie(1)]);
-    let change = monitor.probed(at(now), cookie(1), ProbeOutcome::Unreachable);
+    assert_eq!(
+        monitor.take_suspects(SuspicionSource::OwnOpening),
+        [cookie(1)]
+    );
+    let change = monitor.record_probe(at(now), cookie(1), ProbeOutcome::Unreachable);
     assert!(change.unwrap().unreachable);
     monitor
 }
@@ -84,12 +87,12 @@
     let ends = 1_000 + u64::try_from(VERDICT_LIFETIME.as_millis()).unwrap();
     assert!(!monitor.unreachable(at(ends - 1)).is_empty());
     assert!(monitor.unreachable(at(ends)).is_empty());
-    assert_eq!(monitor.due_again(at(2_900)), []);
-    assert_eq!(monitor.due_again(at(3_000)), [cookie(1)]);
-    monitor.probed(at(3_000), cookie(1), ProbeOutcome::Unreachable);
+    assert_eq!(monitor.take_rechecks(at(2_900)), []);
+    assert_eq!(monitor.take_rechecks(at(3_000)), [cookie(1)]);
+    monitor.record_probe(at(3_000), cookie(1), ProbeOutcome::Unreachable);
     assert!(!monitor.unreachable(at(ends)).is_empty());
-    assert_eq!(monitor.due_again(at(5_000)), [cookie(1)]);
-    let change = monitor.probed(at(5_000), cookie(1), ProbeOutcome::Reached);
+    assert_eq!(monitor.take_rechecks(at(5_000)), [cookie(1)]);
+    let change = monitor.record_probe(at(5_000), cookie(1), ProbeOutcome::Reached);
     assert!(!change.unwrap().unreachable);
 }
 
@@ -97,28 +100,31 @@
 #[test]
 fn an_instance_whose_record_went_while_it_was_unreachable_has_ended() {
     let mut monitor = established(1_000);
-    monitor.note_records(at(2_000), |_| Some(RecordState::Gone));
-    assert_eq!(monitor.due_again(at(60_000)), []);
+    monitor.update_records(at(2_000), |_| Some(RecordState::Deleted));
+    assert_eq!(monitor.take_rechecks(at(60_000)), []);
     assert!(!monitor.unreachable(at(60_000)).is_empty());
     // The record comes back: it lives, as after an outage of the store.
-    monitor.note_records(at(60_001), |_| Some(RecordState::Present));
+    monitor.update_records(at(60_001), |_| Some(RecordState::Present));
     assert!(monitor.unreachable(at(60_001)).is_empty());
 }
 
 #[test]
 fn a_node_that_stood_still_holds_nobody_unreachable() {
     let mut monitor = established(1_000);
-    monitor.stalled();
+    monitor.reset_after_stall();
     assert!(monitor.unreachable(at(1_001)).is_empty());
 }
 
 #[test]
 fn a_probe_that_finds_nothing_out_is_made_again_a_few_times() {
     let mut monitor = ReachabilityMonitor::new(origin());
-    monitor.question(at(1_000), cookie(1), Doubter::Node);
+    monitor.suspect(at(1_000), cookie(1), SuspicionSource::OwnOpening);
     let mut probes = 0;
-    while !monitor.questioned(Doubter::Node).is_empty() {
-        monitor.probed(at(1_000), cookie(1), ProbeOutcome::Inconclusive);
+    while !monitor
+        .take_suspects(SuspicionSource::OwnOpening)
+        .is_empty()
+    {
+        monitor.record_probe(at(1_000), cookie(1), ProbeOutcome::Inconclusive);
         probes += 1;
     }
     assert_eq!(probes, 5);
@@ -207,8 +213,8 @@
 #[test]
 fn openings_avoid_an_instance_that_was_unreachable_until_it_shows_life() {
     let mut monitor = established(1_000);
-    monitor.question(at(3_500), cookie(1), Doubter::Node);
-    monitor.probed(at(3_500), cookie(1), ProbeOutcome::Reached);
+    monitor.suspect(at(3_500), cookie(1), SuspicionSource::OwnOpening);
+    monitor.record_probe(at(3_500), cookie(1), ProbeOutcome::Reached);
     assert!(
         monitor.unreachable(at(3_500)).is_empty(),
         "no flow is ended"
@@ -289,7 +295,7 @@
 #[test]
 fn a_verdict_is_told_to_peers_and_one_is_asked_to_confirm_it() {
     let mut node = coordinator();
-    node.doubt(at(100), &[cookie(1)]);
+    node.suspect(at(100), &[cookie(1)]);
     let batch = node.next_probe(at(100), &[cookie(5), cookie(6)]).unwrap();
     let addresses: BTreeSet<SocketAddrV4> = batch.next_addresses().into_iter().collect();
     let expected = [1, 5, 6].map(address);
@@ -299,7 +305,7 @@
         "sound ones as controls"
     );
     assert_eq!(node.next_probe(at(100), &[]), None, "it is under way");
-    let (changes, effects) = node.probed(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
+    let (changes, effects) = node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
     assert_eq!(changes.len(), 1);
     assert_eq!(questions(&effects), [vec![cookie(1).bits()]]);
     assert_eq!(told(&effects), [vec![cookie(1).bits()]]);
@@ -321,7 +327,7 @@
 fn controls_are_others_than_the_instances_in_question() {
     let mut node = coordinator();
     let doubted: Vec<Cookie> = (1..=6).map(cookie).collect();
-    node.doubt(at(100), &doubted);
+    node.suspect(at(100), &doubted);
     let batch = node.next_probe(at(100), &[cookie(2), cookie(3)]).unwrap();
     let addresses: BTreeSet<SocketAddrV4> = batch.next_addresses().into_iter().collect();
     assert_eq!(addresses, (1..=8).map(address).collect());
@@ -346,25 +352,25 @@
 #[test]
 fn an_instance_that_was_unreachable_when_its_address_passed_on_has_ended() {
     let mut node = coordinator();
-    node.doubt(at(100), &[cookie(1)]);
+    node.suspect(at(100), &[cookie(1)]);
     assert!(node.next_probe(at(100), &[]).is_some());
-    node.probed(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
-    node.doubt(at(1_500), &[cookie(1)]);
+    node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
+    node.suspect(at(1_500), &[cookie(1)]);
     assert!(node.next_probe(at(1_500), &[]).is_some());
     address_passes_on(&mut node, 1_600);
-    node.probed(at(1_800), &[(cookie(1), ProbeOutcome::Reached)]);
+    node.record_probes(at(1_800), &[(cookie(1), ProbeOutcome::Reached)]);
     assert!(node.unreachable(at(60_000)).contains(&cookie(1)));
-    node.doubt(at(60_000), &[cookie(1)]);
+    node.suspect(at(60_000), &[cookie(1)]);
     assert_eq!(node.next_probe(at(60_000), &[]), None);
 }
 
 #[test]
 fn probes_of_an_address_that_passed_on_tell_nothing_of_the_earlier_instance() {
     let mut node = coordinator();
-    node.doubt(at(100), &[cookie(1)]);
+    node.suspect(at(100), &[cookie(1)]);
     assert!(node.next_probe(at(100), &[]).is_some());
     address_passes_on(&mut node, 200);
-    let (changes, effects) = node.probed(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
+    let (changes, effects) = node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
     assert_eq!(changes, []);
     assert_eq!(questions(&effects), Vec::<Vec<u32>>::new());
     assert!(node.unreachable(at(400)).is_empty());
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -127,9 +127,9 @@
 #[test]
 fn a_verdict_on_an_earlier_run_is_dropped() {
     let mut node = coordinator();
-    node.doubt(at(100), &[cookie()]);
+    node.suspect(at(100), &[cookie()]);
     assert!(node.next_probe(at(100), &[]).is_some());
-    node.probed(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
+    node.record_probes(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
     assert!(node.unreachable(at(500)).contains(&cookie()));
     start_again(&mut node, 600);
     assert!(node.unreachable(at(600)).is_empty());
@@ -139,10 +139,10 @@
 #[test]
 fn a_probe_that_began_before_the_restart_tells_nothing() {
     let mut node = coordinator();
-    node.doubt(at(100), &[cookie()]);
+    node.suspect(at(100), &[cookie()]);
     assert!(node.next_probe(at(100), &[]).is_some());
     start_again(&mut node, 200);
-    node.probed(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
+    node.record_probes(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
     assert!(node.unreachable(at(400)).is_empty());
 }
 
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -134,13 +134,13 @@
         let usual = HealthSettings::default();
         let health = if ablations.contains(&Ablation::NoSuspicion) {
             HealthSettings {
-                doubt_threshold: u32::MAX,
+                idle_preference_threshold: u32::MAX,
                 failure_threshold: u32::MAX,
                 ..usual
             }
         } else if ablations.contains(&Ablation::NoLoad) {
             HealthSettings {
-                doubt_threshold: 0,
+                idle_preference_threshold: 0,
                 ..usual
             }
         } else {
@@ -285,15 +285,15 @@
         let mut effects = self.publish(outcome);
         self.forwarder.review(now, &self.table);
         let failed = self.forwarder.take_failed(now);
-        self.coordinator.doubt(now, &failed);
+        self.coordinator.suspect(now, &failed);
         let unreachable = self.coordinator.unreachable(now);
         let avoided = self.coordinator.avoided(now);
         self.forwarder.set_unreachable(&unreachable, &avoided);
         self.forwarder.set_ended(&self.coordinator.ended(now));
-        let questioned = self.coordinator.in_question(now);
+        let questioned = self.coordinator.under_verification(now);
         let living = self.forwarder.living(now, &questioned);
         if !self.lacks(Ablation::NoPeers) && !self.lacks(Ablation::NoObjections) {
-            effects.extend(self.coordinator.object(now, &living).1);
+            effects.extend(self.coordinator.report_alive(now, &living).1);
         }
         let failing: Vec<_> = self.forwarder.failing_instances().collect();
         if failing != self.told_failing && !self.lacks(Ablation::NoPeers) {
@@ -334,7 +334,7 @@
         now: Timestamp,
         outcomes: &[(Cookie, ProbeOutcome)],
     ) -> Vec<ExchangeEffect> {
-        let (_, effects) = self.coordinator.probed(now, outcomes);
+        let (_, effects) = self.coordinator.record_probes(now, outcomes);
         if self.lacks(Ablation::NoPeers) {
             return Vec::new();
         }
@@ -350,7 +350,7 @@
     }
 
     fn store_call(&mut self, now: Timestamp, kind: ObjectKind) -> Option<StoreCall> {
-        if self.calls[kind as usize].is_some() || !self.coordinator.may_ask(now, kind) {
+        if self.calls[kind as usize].is_some() || !self.coordinator.may_call_store(now, kind) {
             return None;
         }
         let plan = self.watch_plan(now, kind);
@@ -381,7 +381,8 @@
         {
             *freshness = Freshness::Newest;
         }
-        self.coordinator.note_asked(now, kind, read.freshness());
+        self.coordinator
+            .record_store_call(now, kind, read.freshness());
         match kind {
             ObjectKind::Instances => self.instances.asked(now, &read),
             ObjectKind::Configuration => self.configurations.asked(now, &read),
@@ -468,7 +469,7 @@
         let update = self.instances.answer(now, answer, &mut self.random);
         let usable = self.instances.is_usable();
         self.coordinator
-            .note_store(now, ObjectKind::Instances, usable);
+            .record_store_availability(now, ObjectKind::Instances, usable);
         let Some(mut update) = update else {
             return Outcome::default();
         };
@@ -493,7 +494,7 @@
         let update = self.configurations.answer(now, answer, &mut self.random);
         let usable = self.configurations.is_usable();
         self.coordinator
-            .note_store(now, ObjectKind::Configuration, usable);
+            .record_store_availability(now, ObjectKind::Configuration, usable);
         match update {
             Some(update) => self.coordinator.configurations(now, update),
             None => Outcome::default(),
@@ -503,7 +504,8 @@
     fn take_zones(&mut self, now: Timestamp, answer: Answer<DrainedZone, ZoneEvent>) -> Outcome {
         let update = self.zones.answer(now, answer, &mut self.random);
         let usable = self.zones.is_usable();
-        self.coordinator.note_store(now, ObjectKind::Zones, usable);
+        self.coordinator
+            .record_store_availability(now, ObjectKind::Zones, usable);
         match update {
             Some(update) if !self.lacks(Ablation::IgnoreDrainedZones) => {
                 self.coordinator.zones(now, update)
--- a/crates/bellyoke-lab/src/cookie/world/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/world/machines.rs
@@ -207,7 +207,7 @@
         if self.machines[node].life != life {
             return;
         }
-        if batch.is_over() {
+        if batch.is_complete() {
             if let MachineState::Running(process) = &mut self.machines[node].state {
                 let effects = process.probed(self.now, &batch.outcomes());
                 self.effects(node, effects);
@@ -216,7 +216,7 @@
         }
         let addresses = batch.next_addresses().into_iter();
         let opened = addresses.filter(|address| self.connects(node, *address));
-        batch.attempted(&opened.collect());
+        batch.record_attempt(&opened.collect());
         let event = Event::ProbeAttempt { node, life, batch };
         self.after(ATTEMPT_TIMEOUT, event);
     }
--- a/crates/bellyoke-node/src/connection/probes.rs
+++ b/crates/bellyoke-node/src/connection/probes.rs
@@ -42,7 +42,7 @@
 
 async fn probe(link: PeerLink, mut batch: ProbeBatch) {
     let mut under_way = JoinSet::new();
-    while !batch.is_over() {
+    while !batch.is_complete() {
         let all_begun = under_way.len() >= batch.attempts_left();
         if !all_begun {
             let addresses = batch.next_addresses();
@@ -54,7 +54,7 @@
             ATTEMPT_INTERVAL
         };
         if let Ok(Some(Ok(opened))) = timeout(patience, under_way.join_next()).await {
-            batch.attempted(&opened);
+            batch.record_attempt(&opened);
         }
     }
     let outcomes = batch.outcomes();
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -311,7 +311,7 @@
 
     /// The traffic thread's openings at some instances came to nothing.
     pub fn doubt(&mut self, cookies: &[Cookie]) {
-        self.coordinator.doubt(self.clock.now(), cookies);
+        self.coordinator.suspect(self.clock.now(), cookies);
     }
 
     /// The probe to begin now, if an instance is in question.
@@ -324,7 +324,7 @@
     pub fn probed(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.count_probes(outcomes);
-        let (changes, effects) = self.coordinator.probed(now, outcomes);
+        let (changes, effects) = self.coordinator.record_probes(now, outcomes);
         for change in changes {
             self.log_reachability(now, change);
         }
@@ -417,7 +417,7 @@
         if **self.shared.ended.load() != ended {
             self.shared.ended.store(Arc::new(ended));
         }
-        let in_question = self.coordinator.in_question(now);
+        let in_question = self.coordinator.under_verification(now);
         if **self.shared.in_question.load() != in_question {
             self.shared.in_question.store(Arc::new(in_question));
         }
@@ -433,7 +433,7 @@
         if living.is_empty() {
             return Vec::new();
         }
-        let (dropped, effects) = self.coordinator.object(now, &living);
+        let (dropped, effects) = self.coordinator.report_alive(now, &living);
         for cookie in dropped {
             self.log_objection(now, cookie);
         }
@@ -450,7 +450,7 @@
             .map(|mut held| std::mem::take(&mut *held));
         let tallies = tallies.unwrap_or_default();
         self.count_answers(&tallies);
-        self.coordinator.note_answers(now, &table, &tallies);
+        self.coordinator.record_answers(now, &table, &tallies);
         let (changes, effects) = self.coordinator.review_outliers(now, &table);
         for change in changes {
             self.log_outlier(now, &change);
--- a/crates/bellyoke-node/src/process/control/report.rs
+++ b/crates/bellyoke-node/src/process/control/report.rs
@@ -246,7 +246,7 @@
 
     pub(super) fn count_answers(&self, tallies: &[InstanceTally]) {
         for tally in tallies {
-            let usual = tally.asked.saturating_sub(tally.bad());
+            let usual = tally.requests.saturating_sub(tally.bad());
             for (quality, count) in [
                 ("usual", usual),
                 ("slow", tally.slow),
@@ -285,9 +285,9 @@
                 "cookie={:08x} bad={:.1} asked={:.1} usual_part={:.2} held_milliseconds={}",
                 change.cookie.bits(),
                 change.bad,
-                change.asked,
-                change.usual_part,
-                change.held.as_millis()
+                change.requests,
+                change.median_bad_fraction,
+                change.ejected_for.as_millis()
             ),
         );
     }
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -19,7 +19,7 @@
     /// Whether this node is one of the few that ask the store for all that know nothing.
     #[must_use]
     pub fn asks_for_all(&self) -> bool {
-        self.coordinator.asks_for_all()
+        self.coordinator.is_bootstrap_reader()
     }
 
     /// The revision up to which everything of a kind is known.
@@ -31,19 +31,19 @@
     /// Whether the node may call the store for a kind now.
     #[must_use]
     pub fn may_ask(&self, kind: ObjectKind) -> bool {
-        self.coordinator.may_ask(self.clock.now(), kind)
+        self.coordinator.may_call_store(self.clock.now(), kind)
     }
 
     /// A call to the store for a kind begins.
     pub fn note_asked(&mut self, kind: ObjectKind, freshness: Freshness) {
         let now = self.clock.now();
-        self.coordinator.note_asked(now, kind, freshness);
+        self.coordinator.record_store_call(now, kind, freshness);
     }
 
     /// The store has answered a call for a kind, or not.
     pub fn note_answered(&mut self, kind: ObjectKind, answered: bool) {
         self.coordinator
-            .note_store(self.clock.now(), kind, answered);
+            .record_store_availability(self.clock.now(), kind, answered);
     }
 
     /// The latest era of the store that is known.
