--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -39,7 +39,7 @@
             at: Revision::new(LISTED + u64::from(number)),
             events: vec![InstanceEvent::Put(record)],
         };
-        black_box(node.instances(time(number), update));
+        black_box(node.apply_instances(time(number), update));
     });
     row("table after a change", |node, _| {
         black_box(node.replica().table());
@@ -52,7 +52,7 @@
             cookies: vec![cookie(number).bits()],
         };
         let peer = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7_000);
-        black_box(node.datagram(time(number), peer, PeerDatagram::Question(question)));
+        black_box(node.handle_datagram(time(number), peer, PeerDatagram::Question(question)));
     });
     row("doubt and its probe", |node, number| {
         node.suspect(time(number), &[cookie(number)]);
@@ -99,12 +99,12 @@
         at: Revision::new(LISTED),
         items: items.collect(),
     };
-    node.instances(time(0), list);
+    node.apply_instances(time(0), list);
     let configuration = Update::Whole {
         at: Revision::new(LISTED),
         items: vec![configuration()],
     };
-    node.configurations(time(0), configuration);
+    node.apply_configurations(time(0), configuration);
     node
 }
 
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -53,7 +53,7 @@
 /// let replica = Replica::new(Duration::from_secs(70));
 /// let mut coordinator = Coordinator::new(replica, exchange);
 /// let empty = Update::Whole { at: Revision::new(3), items: Vec::new() };
-/// assert!(coordinator.instances(Timestamp::ZERO, empty).change.directory);
+/// assert!(coordinator.apply_instances(Timestamp::ZERO, empty).change.directory);
 /// ```
 #[derive(Debug)]
 pub struct Coordinator {
@@ -199,7 +199,7 @@
     }
 
     /// The store tells of instances.
-    pub fn instances(
+    pub fn apply_instances(
         &mut self,
         now: Timestamp,
         update: Update<InstanceRecord, InstanceEvent>,
@@ -217,7 +217,7 @@
     }
 
     /// The store tells of the configuration.
-    pub fn configurations(
+    pub fn apply_configurations(
         &mut self,
         now: Timestamp,
         update: Update<Configuration, Configuration>,
@@ -240,7 +240,11 @@
     }
 
     /// The store tells of drained zones.
-    pub fn zones(&mut self, now: Timestamp, update: Update<DrainedZone, ZoneEvent>) -> Outcome {
+    pub fn apply_zones(
+        &mut self,
+        now: Timestamp,
+        update: Update<DrainedZone, ZoneEvent>,
+    ) -> Outcome {
         let before = self.replica.versions();
         let zones = match update {
             Update::Whole { at, items } => self.replica.replace_zones(now, at, items),
@@ -254,7 +258,7 @@
     }
 
     /// A datagram has come from a peer.
-    pub fn datagram(
+    pub fn handle_datagram(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
@@ -262,17 +266,22 @@
     ) -> Outcome {
         self.detect_stall(now);
         match datagram {
-            PeerDatagram::Heartbeat(heartbeat) => self.heartbeat(now, from, &heartbeat),
-            PeerDatagram::Delta(message) => self.delta(now, from, message),
-            PeerDatagram::Question(question) => self.probe_request(now, &question),
-            PeerDatagram::Objection(objection) => self.objection(now, &objection),
-            PeerDatagram::Findings(report) => self.findings(now, &report),
-            PeerDatagram::Outliers(message) => self.outlier_message(now, &message),
+            PeerDatagram::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
+            PeerDatagram::Delta(message) => self.handle_delta(now, from, message),
+            PeerDatagram::Question(question) => self.handle_probe_request(now, &question),
+            PeerDatagram::Objection(objection) => self.handle_refutation(now, &objection),
+            PeerDatagram::Findings(report) => self.handle_findings(now, &report),
+            PeerDatagram::Outliers(message) => self.handle_outlier_message(now, &message),
         }
     }
 
     /// A snapshot that was fetched from a peer has come.
-    pub fn snapshot(&mut self, now: Timestamp, from: SocketAddrV4, snapshot: Snapshot) -> Outcome {
+    pub fn apply_snapshot(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        snapshot: Snapshot,
+    ) -> Outcome {
         let before = self.replica.versions();
         self.record_versions(now, snapshot.versions);
         self.exchange.fetched(from, snapshot.versions);
@@ -281,7 +290,7 @@
     }
 
     /// A fetch from a peer has brought data, though not all yet.
-    pub fn fetch_progressed(&mut self, now: Timestamp, from: SocketAddrV4) {
+    pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
         self.exchange.fetch_progressed(now, from);
     }
 
@@ -319,7 +328,7 @@
 
     /// How many nodes there are, rather too many than too few.
     #[must_use]
-    pub fn nodes_at_most(&self, now: Timestamp) -> f64 {
+    pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
         self.exchange.nodes_at_most(now)
     }
 
@@ -364,7 +373,12 @@
         self.replica.snapshot_for(now, request.known, gone_since)
     }
 
-    fn heartbeat(&mut self, now: Timestamp, from: SocketAddrV4, heartbeat: &Heartbeat) -> Outcome {
+    fn handle_heartbeat(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        heartbeat: &Heartbeat,
+    ) -> Outcome {
         self.record_versions(now, heartbeat.versions);
         self.replica.confirm(heartbeat.versions);
         let replica = &self.replica;
@@ -378,7 +392,12 @@
         }
     }
 
-    fn delta(&mut self, now: Timestamp, from: SocketAddrV4, message: DeltaMessage) -> Outcome {
+    fn handle_delta(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        message: DeltaMessage,
+    ) -> Outcome {
         let before = self.replica.versions();
         self.record_versions(now, message.versions);
         let change = self.replica.merge_delta(now, message.delta);
--- a/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
@@ -133,7 +133,11 @@
         &self.outlier_state.outliers
     }
 
-    pub(super) fn outlier_message(&mut self, now: Timestamp, message: &OutlierMessage) -> Outcome {
+    pub(super) fn handle_outlier_message(
+        &mut self,
+        now: Timestamp,
+        message: &OutlierMessage,
+    ) -> Outcome {
         let mut effects = Vec::new();
         match message {
             OutlierMessage::Report(reported) => {
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -99,7 +99,11 @@
     }
 
     /// A peer tells what nodes couldn't reach, or reach again. What is news goes on to others.
-    pub(super) fn findings(&mut self, now: Timestamp, report: &ReachabilityReport) -> Outcome {
+    pub(super) fn handle_findings(
+        &mut self,
+        now: Timestamp,
+        report: &ReachabilityReport,
+    ) -> Outcome {
         self.reachability
             .set_single_zone(self.exchange.stands_in_only_zone());
         let directory = self.replica.directory();
@@ -155,7 +159,7 @@
     }
 
     /// A peer objects: some instances live. What is news goes on to others.
-    pub(super) fn objection(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
+    pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
         let alive = objection.cookies.iter();
         let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
         let (_, effects) = self.report_alive(now, &alive);
@@ -196,7 +200,7 @@
     }
 
     /// A peer can't reach some instances, and asks this node to probe them too.
-    pub(super) fn probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
+    pub(super) fn handle_probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
         let asked = question.cookies.iter();
         let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
         for cookie in asked {
--- a/crates/bellyoke-core/src/cookie/reachability.rs
+++ b/crates/bellyoke-core/src/cookie/reachability.rs
@@ -84,4 +84,4 @@
 /// How long peers have, once they were asked about an instance, to say that it lives, before its resting
 /// flows are ended. A peer that sees a few requests a second there knows within 300 ms; the word takes
 /// some ms, and 100 ms wherever a control thread waits for its tick.
-pub const OBJECTION_PERIOD: Duration = Duration::from_millis(400);
+pub const REFUTATION_PERIOD: Duration = Duration::from_millis(400);
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -3,8 +3,8 @@
 use super::finding::{Finding, Origin, PeerFindings, is_fresh};
 use super::{
     AVOIDANCE_DURATION, CONFIRMATION_TIMEOUT, MAXIMUM_CONFIRMATION_REQUESTS,
-    MAXIMUM_INCONCLUSIVE_PROBES, MAXIMUM_SUSPECTS_PER_PROBE, OBJECTION_PERIOD, ProbeOutcome,
-    RECHECK_INTERVAL, SUSPICION_INTERVAL,
+    MAXIMUM_INCONCLUSIVE_PROBES, MAXIMUM_SUSPECTS_PER_PROBE, ProbeOutcome, RECHECK_INTERVAL,
+    REFUTATION_PERIOD, SUSPICION_INTERVAL,
 };
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
@@ -51,7 +51,7 @@
     probed_at: Option<Timestamp>,
     unreachable_at: Option<Timestamp>,
     /// When peers were asked about it, or asked.
-    objections_requested_at: Option<Timestamp>,
+    refutations_requested_at: Option<Timestamp>,
     /// Its record went, or its address passed on, while it was unreachable: it has ended, unless the
     /// record comes back.
     ended: bool,
@@ -128,13 +128,13 @@
             let was_under_verification = state.is_under_verification(now);
             let is_news = state.peers.record(now, finding, self.single_zone);
             if is_news && !was_under_verification {
-                state.objections_requested_at = Some(now);
+                state.refutations_requested_at = Some(now);
             }
             return is_news;
         }
         let withdrawn = state.peers.withdraw(finding, self.single_zone);
         if withdrawn && !state.is_under_verification(now) {
-            state.objections_requested_at = None;
+            state.refutations_requested_at = None;
             state.avoided_until = finding
                 .found_at
                 .after(AVOIDANCE_DURATION)
@@ -178,7 +178,7 @@
         state.suspected = true;
         state.requested_by_peer = source == SuspicionSource::PeerRequest;
         if state.requested_by_peer || !state.peers.has_any(now) {
-            state.objections_requested_at = state.requested_by_peer.then_some(now);
+            state.refutations_requested_at = state.requested_by_peer.then_some(now);
         }
         state.inconclusive_probes = 0;
         true
@@ -270,7 +270,7 @@
         } else {
             state.unreachable_at = Some(now);
             state.confirmation_requests = 0;
-            state.objections_requested_at.get_or_insert(now);
+            state.refutations_requested_at.get_or_insert(now);
             state.recheck_at = Some(now.after(RECHECK_INTERVAL));
         }
         let unreachable = state.is_unreachable(now);
@@ -285,9 +285,9 @@
     #[must_use]
     pub fn ended(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let had_time = |state: &InstanceState| {
-            let objections_requested_at = state.objections_requested_at;
+            let refutations_requested_at = state.refutations_requested_at;
             state.ended
-                || objections_requested_at.is_some_and(|at| now.since(at) >= OBJECTION_PERIOD)
+                || refutations_requested_at.is_some_and(|at| now.since(at) >= REFUTATION_PERIOD)
         };
         let states = self.states.iter();
         let ended = states.filter(|(_, state)| state.is_unreachable(now) && had_time(state));
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -142,7 +142,7 @@
             at: Revision::new(revision),
             items: vec![configuration(revision, &[("till", 1)])],
         };
-        let mut outcome = node.coordinator.configurations(now, configurations);
+        let mut outcome = node.coordinator.apply_configurations(now, configurations);
         let known = node.coordinator.known_up_to(ObjectKind::Instances);
         let instances = if known == Revision::default() {
             Update::Whole {
@@ -158,7 +158,7 @@
                 ],
             }
         };
-        let second = node.coordinator.instances(now, instances);
+        let second = node.coordinator.apply_instances(now, instances);
         outcome.effects.extend(second.effects);
         self.perform(address(number), outcome);
     }
@@ -196,12 +196,12 @@
             at: at_revision,
             events: Vec::new(),
         };
-        let mut outcome = coordinator.instances(now, nothing);
+        let mut outcome = coordinator.apply_instances(now, nothing);
         let nothing = Update::Changes {
             at: at_revision,
             events: Vec::new(),
         };
-        let second = coordinator.configurations(now, nothing);
+        let second = coordinator.apply_configurations(now, nothing);
         outcome.effects.extend(second.effects);
         self.perform(address, outcome);
     }
@@ -261,7 +261,7 @@
         let Some(node) = self.nodes.get_mut(&to).filter(|node| node.alive) else {
             return;
         };
-        let outcome = node.coordinator.datagram(now, from, datagram);
+        let outcome = node.coordinator.handle_datagram(now, from, datagram);
         self.begin(to, outcome);
     }
 
@@ -283,7 +283,7 @@
             node.coordinator.fetch_failed(from);
             return;
         };
-        let outcome = node.coordinator.snapshot(now, from, snapshot);
+        let outcome = node.coordinator.apply_snapshot(now, from, snapshot);
         self.begin(to, outcome);
     }
 
@@ -354,7 +354,7 @@
         let coordinator = &mut node.coordinator;
         let configuration = configuration(revision.number(), &[("till", 1)]);
         let items = vec![configuration];
-        coordinator.configurations(
+        coordinator.apply_configurations(
             at(0),
             Update::Whole {
                 at: revision,
@@ -362,7 +362,7 @@
             },
         );
         let items = records.clone();
-        coordinator.instances(
+        coordinator.apply_instances(
             at(0),
             Update::Whole {
                 at: revision,
--- a/crates/bellyoke-core/tests/cookie/ends.rs
+++ b/crates/bellyoke-core/tests/cookie/ends.rs
@@ -9,7 +9,7 @@
 use bellyoke_core::cookie::instance::{Cookie, InstanceEvent, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::packet::FlowPacket;
 use bellyoke_core::cookie::reachability::{
-    OBJECTION_PERIOD, Origin, ProbeOutcome, ReachabilityMonitor, SuspicionSource,
+    Origin, ProbeOutcome, REFUTATION_PERIOD, ReachabilityMonitor, SuspicionSource,
 };
 use bellyoke_core::cookie::revision::Revision;
 use bellyoke_core::cookie::table::ForwardingTable;
@@ -188,7 +188,7 @@
 }
 
 fn objection_milliseconds() -> u64 {
-    u64::try_from(OBJECTION_PERIOD.as_millis()).unwrap()
+    u64::try_from(REFUTATION_PERIOD.as_millis()).unwrap()
 }
 
 fn unreachable(doubter: SuspicionSource) -> ReachabilityMonitor {
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -150,7 +150,7 @@
             failing: Vec::new(),
         };
         let coordinator = &mut cluster.node(0).coordinator;
-        coordinator.datagram(at(0), address(number), PeerDatagram::Heartbeat(heartbeat));
+        coordinator.handle_datagram(at(0), address(number), PeerDatagram::Heartbeat(heartbeat));
     }
     assert_eq!(cluster.node(0).coordinator.exchange().peers().count(), 256);
 }
@@ -306,14 +306,14 @@
     let mut node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
     for _ in 0..5 {
         let nothing = Replica::new(TOMBSTONE_LIFETIME).snapshot(at(0));
-        node.snapshot(at(100), address(1), nothing);
+        node.apply_snapshot(at(100), address(1), nothing);
     }
     let peer = watching_cluster(3)
         .nodes
         .remove(&address(0))
         .unwrap()
         .coordinator;
-    node.snapshot(at(200), address(0), peer.replica().snapshot(at(0)));
+    node.apply_snapshot(at(200), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
@@ -327,7 +327,7 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    let outcome = node.datagram(at(300), address(0), datagram);
+    let outcome = node.handle_datagram(at(300), address(0), datagram);
     let fetch = ExchangeEffect::Fetch { from: address(0) };
     assert!(outcome.effects.contains(&fetch), "one introduction is left");
 }
@@ -340,13 +340,13 @@
         at: Revision::new(9),
         items: Vec::new(),
     };
-    node.instances(at(10_000), empty());
+    node.apply_instances(at(10_000), empty());
     let routes = vec![configuration(9, &[("till", 1)])];
     let routes = Update::Whole {
         at: Revision::new(9),
         items: routes,
     };
-    node.configurations(at(10_000), routes);
+    node.apply_configurations(at(10_000), routes);
     for kind in ObjectKind::ALL {
         node.record_store_call(at(10_000), kind, Freshness::Newest);
         node.record_store_availability(at(10_000), kind, false);
@@ -373,7 +373,7 @@
     }
     for (number, heartbeat) in heartbeats.into_iter().enumerate() {
         let datagram = PeerDatagram::Heartbeat(heartbeat);
-        node.datagram(at(hears), address(number + 1), datagram);
+        node.handle_datagram(at(hears), address(number + 1), datagram);
     }
     node
 }
@@ -431,7 +431,9 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    let effects = node.datagram(at(now), address(from), datagram).effects;
+    let effects = node
+        .handle_datagram(at(now), address(from), datagram)
+        .effects;
     let fetches = effects.into_iter().filter_map(|effect| match effect {
         ExchangeEffect::Fetch { from } => Some(from),
         _ => None,
@@ -445,7 +447,7 @@
     let mut node = newborn();
     assert_eq!(fetches_on_hearing(&mut node, 10_000, 1), [address(1)]);
     for now in (10_200..14_000).step_by(200) {
-        node.fetch_progressed(at(now), address(1));
+        node.record_fetch_progress(at(now), address(1));
         assert!(
             fetches_on_hearing(&mut node, now + 100, 2).is_empty(),
             "at {now} ms"
@@ -477,7 +479,7 @@
     let mut listener = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), listener);
     let snapshot = cluster.nodes[&reader].coordinator.replica().snapshot(at(0));
     let versions = snapshot.versions;
-    listener.snapshot(at(0), reader, snapshot);
+    listener.apply_snapshot(at(0), reader, snapshot);
     // Else it would take itself for the reader.
     listener.record_store_availability(at(0), ObjectKind::Instances, false);
     let heartbeat = |age| {
@@ -499,18 +501,18 @@
         matches!(plan, WatchPlan::RestUntil(until) if until > at(now))
     };
     listener.tick(at(0));
-    listener.datagram(at(50), reader, heartbeat(0));
+    listener.handle_datagram(at(50), reader, heartbeat(0));
     assert!(rests(&listener, 100));
     // It stands still for four seconds; this one waited in its socket all the while.
-    listener.datagram(at(4_100), reader, heartbeat(0));
+    listener.handle_datagram(at(4_100), reader, heartbeat(0));
     assert!(!rests(&listener, 4_100));
     listener.tick(at(4_110));
-    listener.datagram(at(4_300), reader, heartbeat(0));
+    listener.handle_datagram(at(4_300), reader, heartbeat(0));
     assert!(!rests(&listener, 4_300));
     for now in [4_400, 4_500] {
         listener.tick(at(now));
     }
-    listener.datagram(at(4_550), reader, heartbeat(100));
+    listener.handle_datagram(at(4_550), reader, heartbeat(100));
     assert!(rests(&listener, 4_550));
     let plan = listener.watch_plan(at(4_550), ObjectKind::Configuration);
     assert_eq!(plan, WatchPlan::RestUntil(at(4_450 + 1_500)));
@@ -529,7 +531,7 @@
         .remove(&address(0))
         .unwrap()
         .coordinator;
-    newborn.snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
+    newborn.apply_snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
@@ -547,7 +549,7 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    newborn.datagram(at(START + 50), address(0), datagram);
+    newborn.handle_datagram(at(START + 50), address(0), datagram);
     let plan = newborn.watch_plan(at(START + 60), ObjectKind::Instances);
     assert_eq!(plan, WatchPlan::Confirm, "it doesn't rest");
     let (outcome, _) = newborn.tick(at(START + 200));
@@ -667,7 +669,10 @@
 #[test]
 fn a_node_takes_the_cluster_for_no_smaller_than_it_was() {
     let mut node = newborn();
-    assert!(node.nodes_at_most(at(10_000)) >= 300.0, "just started");
+    assert!(
+        node.node_count_upper_bound(at(10_000)) >= 300.0,
+        "just started"
+    );
     for now in (10_000..20_000).step_by(100) {
         for number in 1..=40 {
             let heartbeat = Heartbeat {
@@ -683,17 +688,17 @@
                 failing: Vec::new(),
             };
             let datagram = PeerDatagram::Heartbeat(heartbeat);
-            node.datagram(at(now), address(number), datagram);
+            node.handle_datagram(at(now), address(number), datagram);
         }
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(20_000)), 41.0);
+    assert_eq!(node.node_count_upper_bound(at(20_000)), 41.0);
     for now in (20_000..70_000).step_by(100) {
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(70_000)), 41.0, "cut off");
+    assert_eq!(node.node_count_upper_bound(at(70_000)), 41.0, "cut off");
     for now in (70_000..200_000).step_by(100) {
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(200_000)), 1.0, "for good");
+    assert_eq!(node.node_count_upper_bound(at(200_000)), 1.0, "for good");
 }
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -27,10 +27,10 @@
     Cookie::of(InstanceId(id))
 }
 
-fn tally(id: u64, asked: u16, failed: u16) -> InstanceTally {
+fn tally(id: u64, requests: u16, failed: u16) -> InstanceTally {
     InstanceTally {
         cookie: cookie(id),
-        requests: asked,
+        requests,
         failed,
         slow: 0,
     }
@@ -270,7 +270,7 @@
             };
             let is_cut = self.cut_off.contains(&from) || self.cut_off.contains(&to);
             if let Some(coordinator) = self.nodes.get_mut(&to).filter(|_| !is_cut) {
-                let outcome = coordinator.datagram(at(self.now), from, datagram);
+                let outcome = coordinator.handle_datagram(at(self.now), from, datagram);
                 self.perform(to, outcome.effects);
             }
         }
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -264,7 +264,7 @@
         zones: Vec::new(),
         failing: Vec::new(),
     };
-    coordinator.datagram(at(10), peer(), PeerDatagram::Heartbeat(heartbeat));
+    coordinator.handle_datagram(at(10), peer(), PeerDatagram::Heartbeat(heartbeat));
     coordinator
 }
 
@@ -315,7 +315,7 @@
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
     let ask = PeerDatagram::Question(question);
-    let effects = other.datagram(at(500), peer(), ask).effects;
+    let effects = other.handle_datagram(at(500), peer(), ask).effects;
     assert_eq!(effects, [], "only the one that was asked probes it");
     // It finds out for itself: a peer's word alone ends no flow.
     assert!(other.unreachable(at(501)).is_empty());
@@ -345,7 +345,7 @@
         at: Revision::new(20),
         events: vec![InstanceEvent::Put(successor)],
     };
-    node.instances(at(now), update);
+    node.apply_instances(at(now), update);
 }
 
 /// What takes connections at the address is the later instance: the earlier one has ended all the same.
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -121,7 +121,7 @@
         at: Revision::new(20),
         events: put(run(2_000, 20)),
     };
-    node.instances(at(now), update);
+    node.apply_instances(at(now), update);
 }
 
 #[test]
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -393,7 +393,7 @@
     };
     let now = at(cluster.now);
     let node = cluster.nodes.get_mut(&reader).unwrap();
-    let outcome = node.coordinator.instances(now, update);
+    let outcome = node.coordinator.apply_instances(now, update);
     cluster.traffic.clear();
     cluster.perform(reader, outcome);
     cluster.run(milliseconds);
--- a/crates/bellyoke-core/tests/cookie/spread.rs
+++ b/crates/bellyoke-core/tests/cookie/spread.rs
@@ -33,7 +33,7 @@
             events: events.clone(),
         };
         let node = cluster.nodes.get_mut(&watcher).unwrap();
-        let outcome = node.coordinator.instances(now, update);
+        let outcome = node.coordinator.apply_instances(now, update);
         cluster.perform(watcher, outcome);
     }
     revision
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -222,21 +222,30 @@
             at: Revision::new(10),
             items: Vec::new(),
         };
-        node.zones(at(90_000), none);
+        node.apply_zones(at(90_000), none);
     }
     let known = peer.replica().versions();
     let drain = Update::Changes {
         at: Revision::new(20),
         events: vec![ZoneEvent::Drained(drained("cork", 20))],
     };
-    assert!(teller.zones(at(90_001), drain).change.zones);
+    assert!(teller.apply_zones(at(90_001), drain).change.zones);
     let message = teller.delta_for(at(90_002), known).unwrap();
     let datagram = bellyoke_core::cookie::exchange::PeerDatagram::Delta(message);
-    assert!(peer.datagram(at(90_003), address, datagram).change.zones);
+    assert!(
+        peer.handle_datagram(at(90_003), address, datagram)
+            .change
+            .zones
+    );
     assert!(peer.replica().zones().is_drained("cork"));
 
     let mut newborn = coordinator(3);
     let snapshot = peer.snapshot_for(at(90_004), newborn.fetch_request());
-    assert!(newborn.snapshot(at(90_005), address, snapshot).change.zones);
+    assert!(
+        newborn
+            .apply_snapshot(at(90_005), address, snapshot)
+            .change
+            .zones
+    );
     assert!(newborn.replica().zones().is_drained("cork"));
 }
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -253,7 +253,7 @@
         from: SocketAddrV4,
         datagram: PeerDatagram,
     ) -> Vec<ExchangeEffect> {
-        let outcome = self.coordinator.datagram(now, from, datagram);
+        let outcome = self.coordinator.handle_datagram(now, from, datagram);
         self.publish(outcome)
     }
 
@@ -268,7 +268,7 @@
             self.coordinator.fetch_failed(from);
             return Vec::new();
         };
-        let outcome = self.coordinator.snapshot(now, from, snapshot);
+        let outcome = self.coordinator.apply_snapshot(now, from, snapshot);
         self.publish(outcome)
     }
 
@@ -483,7 +483,7 @@
                 }
             }
         }
-        self.coordinator.instances(now, update)
+        self.coordinator.apply_instances(now, update)
     }
 
     fn take_configurations(
@@ -496,7 +496,7 @@
         self.coordinator
             .record_store_availability(now, ObjectKind::Configuration, usable);
         match update {
-            Some(update) => self.coordinator.configurations(now, update),
+            Some(update) => self.coordinator.apply_configurations(now, update),
             None => Outcome::default(),
         }
     }
@@ -508,9 +508,11 @@
             .record_store_availability(now, ObjectKind::Zones, usable);
         match update {
             Some(update) if !self.lacks(Ablation::IgnoreDrainedZones) => {
-                self.coordinator.zones(now, update)
+                self.coordinator.apply_zones(now, update)
+            }
+            Some(Update::Whole { at, .. }) => {
+                self.coordinator.apply_zones(now, nothing_drained(at))
             }
-            Some(Update::Whole { at, .. }) => self.coordinator.zones(now, nothing_drained(at)),
             Some(_) | None => Outcome::default(),
         }
     }
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -216,7 +216,7 @@
     ) -> Vec<ExchangeEffect> {
         let told = update.at();
         let known = self.known_up_to(ObjectKind::Instances);
-        let outcome = self.coordinator.instances(self.clock.now(), update);
+        let outcome = self.coordinator.apply_instances(self.clock.now(), update);
         if told < known {
             self.log_old_state(ObjectKind::Instances, told, known);
         }
@@ -229,7 +229,9 @@
         update: Update<Configuration, Configuration>,
     ) -> Vec<ExchangeEffect> {
         let told = update.last().map(|last| (last.version, last.revision));
-        let outcome = self.coordinator.configurations(self.clock.now(), update);
+        let outcome = self
+            .coordinator
+            .apply_configurations(self.clock.now(), update);
         if let Some((version, revision)) = told {
             self.log_ignored_configuration(version, revision);
         }
@@ -238,14 +240,16 @@
 
     /// The store tells of drained zones.
     pub fn zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
-        let outcome = self.coordinator.zones(self.clock.now(), update);
+        let outcome = self.coordinator.apply_zones(self.clock.now(), update);
         self.take(outcome, Source::Store)
     }
 
     /// A peer's snapshot has come.
     pub fn snapshot(&mut self, from: SocketAddrV4, snapshot: Snapshot) -> Vec<ExchangeEffect> {
         self.metrics.snapshots_fetched.inc();
-        let outcome = self.coordinator.snapshot(self.clock.now(), from, snapshot);
+        let outcome = self
+            .coordinator
+            .apply_snapshot(self.clock.now(), from, snapshot);
         log_event(
             EventCode::SnapshotFetched,
             format_args!(
@@ -258,7 +262,8 @@
 
     /// A part of a peer's snapshot has come.
     pub fn fetch_progressed(&mut self, from: SocketAddrV4) {
-        self.coordinator.fetch_progressed(self.clock.now(), from);
+        self.coordinator
+            .record_fetch_progress(self.clock.now(), from);
     }
 
     /// A peer's snapshot could not be read.
@@ -296,7 +301,7 @@
             datagram,
             PeerDatagram::Question(_) | PeerDatagram::Objection(_) | PeerDatagram::Findings(_)
         );
-        let outcome = self.coordinator.datagram(now, from, datagram);
+        let outcome = self.coordinator.handle_datagram(now, from, datagram);
         if is_verdict && now >= self.next_showing {
             self.show_unreachable(now);
         }
@@ -353,7 +358,7 @@
         effects.extend(self.review_outliers(now));
         self.show_unreachable(now);
         self.note_duty(now);
-        let nodes = self.coordinator.nodes_at_most(now).ceil();
+        let nodes = self.coordinator.node_count_upper_bound(now).ceil();
         self.shared.nodes.store(nodes as u64, Ordering::Relaxed);
         self.show_state(now);
         effects
