--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -1,7 +1,7 @@
-//! One node's control state: what it knows, and what it tells and asks its peers.
+//! The control state of one node: what it knows, and what it exchanges with its peers.
 //!
-//! A host hands in what the store and peers say, does the effects, and publishes the forwarding
-//! table after each change.
+//! A host passes in the replies of the store and the messages of peers, performs the returned
+//! effects, and publishes the forwarding table after each change.
 
 mod outlier_detection;
 mod probing;
@@ -27,7 +27,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// What came of a piece of news.
+/// The result of applying an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// What changed in the node's state.
@@ -36,8 +36,8 @@
     pub effects: Vec<ExchangeEffect>,
 }
 
-/// The control state of one node. Its clock must not start near zero: peers tell ages that may be
-/// greater than that of the process.
+/// The control state of one node. Its clock must not start near zero, because peers report ages
+/// that may exceed the age of the process.
 ///
 /// ```
 /// use bellyoke_core::cookie::coordinator::Coordinator;
@@ -65,15 +65,16 @@
     link_is_paced: bool,
     reachability: ReachabilityMonitor,
     outlier_state: OutlierState,
-    /// Whether instances came, went or changed since the last tick. What that tells of those in question is looked at once
-    /// a tick: it takes a walk through all instances, and changes come twenty times a second.
+    /// Whether instances were added, removed or changed since the last tick. The records of
+    /// suspected instances are updated only once per tick: this walks through all instances, and
+    /// changes arrive twenty times a second.
     records_changed: bool,
-    /// By [`ObjectKind`]: whether the last call to the store was answered.
+    /// By [`ObjectKind`]: whether the store answered the last call.
     store_usable: [bool; ObjectKind::COUNT],
 }
 
 impl Coordinator {
-    /// A node that has just started.
+    /// Creates the state of a node that has just started.
     #[must_use]
     pub fn new(replica: Replica, exchange: Exchange) -> Self {
         Self {
@@ -90,42 +91,42 @@
         }
     }
 
-    /// What the node knows.
+    /// Returns the node's replica of the stored objects.
     #[must_use]
     pub const fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// How it speaks to its peers.
+    /// Returns the exchange with peers.
     #[must_use]
     pub const fn exchange(&self) -> &Exchange {
         &self.exchange
     }
 
-    /// Replaces the addresses where peers are looked for.
+    /// Replaces the seed addresses at which peers are looked for.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.exchange.set_seeds(seeds);
     }
 
-    /// Whether what the node sends is paced, since its link carries no more.
+    /// Sets whether the node paces what it sends because the capacity of its link is reached.
     pub const fn set_link_paced(&mut self, paced: bool) {
         self.link_is_paced = paced;
     }
 
-    /// Whether this node, which knows nothing yet, is one of the few that ask the store for all
-    /// that know nothing.
+    /// Returns whether this node, which has no state yet, is one of the few that read the store on
+    /// behalf of all nodes without state.
     #[must_use]
     pub fn is_bootstrap_reader(&self) -> bool {
         self.replica.versions().is_empty() && self.exchange.ranks_among_first()
     }
 
-    /// What the node reads of the store.
+    /// Returns which part the node takes in reading the store.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
         self.exchange.duty(now)
     }
 
-    /// How the node goes on reading objects of a kind.
+    /// Returns how the node continues to read objects of a kind.
     #[must_use]
     pub fn watch_plan(&self, now: Timestamp, kind: ObjectKind) -> WatchPlan {
         let versions = self.replica.versions();
@@ -137,26 +138,26 @@
         }
     }
 
-    /// The latest era of the store that is known.
+    /// Returns the latest known era of the store.
     #[must_use]
     pub const fn era(&self) -> StoreEra {
         self.eras.era()
     }
 
-    /// Whether the store was restored since this node learned of it.
+    /// Returns whether the store was restored since this node learned of it.
     #[must_use]
     pub const fn store_was_restored(&self) -> bool {
         self.eras.was_restored()
     }
 
-    /// What to hand in with the reply to a call that begins now.
+    /// Returns the context of a store call that starts now, to be passed in with its reply.
     #[must_use]
     pub fn call_context(&self) -> CallContext {
         let known = self.replica.versions().latest();
         self.eras.call_context(known)
     }
 
-    /// What a reply of the store counts for. One that is not current must not be handed in otherwise.
+    /// Checks whether a reply of the store is current. Any other reply must not be applied.
     pub fn judge_reply<Item, Event>(
         &mut self,
         now: Timestamp,
@@ -167,7 +168,7 @@
         self.eras.judge(now, context, read, reply)
     }
 
-    /// The revision up to which everything of a kind is known, wherever it came from.
+    /// Returns the revision up to which all objects of a kind are known, from any source.
     #[must_use]
     pub fn known_up_to(&self, kind: ObjectKind) -> Revision {
         let versions = self.replica.versions();
@@ -178,19 +179,20 @@
         }
     }
 
-    /// Whether the node may call the store now: while nobody gets an answer, the nodes take turns.
+    /// Returns whether the node may call the store now. While the store answers nobody, each node
+    /// waits for its slot.
     #[must_use]
     pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind) -> bool {
         let knows_all = !self.replica.versions().is_empty();
         self.exchange.may_ask(now, kind, knows_all)
     }
 
-    /// A call to the store for objects of a kind begins.
+    /// Records the start of a store call for objects of a kind.
     pub fn record_store_call(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
         self.exchange.note_asked(now, kind, freshness);
     }
 
-    /// Whether the store answered the last call for objects of a kind.
+    /// Records whether the store answered the last call for objects of a kind.
     pub fn record_store_availability(&mut self, now: Timestamp, kind: ObjectKind, usable: bool) {
         self.exchange.note_answered(now, usable);
         self.store_usable[kind as usize] = usable;
@@ -198,7 +200,7 @@
             .set_store_usable(self.store_usable == [true; ObjectKind::COUNT]);
     }
 
-    /// The store tells of instances.
+    /// Applies what the store returned for instances.
     pub fn apply_instances(
         &mut self,
         now: Timestamp,
@@ -216,7 +218,7 @@
         self.finish_store_update(now, ObjectKind::Instances, before, change)
     }
 
-    /// The store tells of the configuration.
+    /// Applies what the store returned for the configuration.
     pub fn apply_configurations(
         &mut self,
         now: Timestamp,
@@ -239,7 +241,7 @@
         self.finish_store_update(now, ObjectKind::Configuration, before, change)
     }
 
-    /// The store tells of drained zones.
+    /// Applies what the store returned for drained zones.
     pub fn apply_zones(
         &mut self,
         now: Timestamp,
@@ -257,7 +259,7 @@
         self.finish_store_update(now, ObjectKind::Zones, before, change)
     }
 
-    /// A datagram has come from a peer.
+    /// Handles a datagram from a peer.
     pub fn handle_datagram(
         &mut self,
         now: Timestamp,
@@ -275,7 +277,7 @@
         }
     }
 
-    /// A snapshot that was fetched from a peer has come.
+    /// Applies a snapshot that was fetched from a peer.
     pub fn apply_snapshot(
         &mut self,
         now: Timestamp,
@@ -289,17 +291,17 @@
         self.changed(now, before, change)
     }
 
-    /// A fetch from a peer has brought data, though not all yet.
+    /// Records that a fetch from a peer has received data but is not complete.
     pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
         self.exchange.fetch_progressed(now, from);
     }
 
-    /// A fetch from a peer came to nothing.
+    /// Records that a fetch from a peer has failed.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.exchange.fetch_failed(from);
     }
 
-    /// Time has passed. Returns how long the process stood still, if it did.
+    /// Advances the time. Returns how long the process was stalled, if it was.
     pub fn tick(&mut self, now: Timestamp) -> (Outcome, Option<Duration>) {
         self.detect_stall(now);
         let stalled = self.stall.tick(now);
@@ -320,30 +322,32 @@
         (Outcome { change, effects }, stalled)
     }
 
-    /// Instances that fail the openings that this node sends. Tells peers of a change at once.
+    /// Sets the instances that fail the openings of this node, and announces a change to peers at
+    /// once.
     pub fn set_failing(&mut self, now: Timestamp, failing: Vec<Cookie>) -> Vec<ExchangeEffect> {
         self.exchange.set_failing(failing);
         self.exchange.announce(now, self.replica.versions())
     }
 
-    /// How many nodes there are, rather too many than too few.
+    /// Returns an upper estimate of the number of nodes.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
         self.exchange.nodes_at_most(now)
     }
 
-    /// Instances that peers suspect.
+    /// Returns the instances that peers suspect.
     #[must_use]
     pub fn peer_suspicions(&self) -> BTreeSet<Cookie> {
         self.exchange.peer_suspicions()
     }
 
-    /// The node leaves: tells a few peers.
+    /// Leaves the cluster, and announces it to a few peers.
     pub fn leave(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         self.exchange.leave(now, self.replica.versions())
     }
 
-    /// The message for a peer that knows `known`; none if it lacks nothing, or too much.
+    /// Returns the message for a peer whose state is `known`; `None` if it lacks nothing, or more
+    /// than a delta can carry.
     #[must_use]
     pub fn delta_for(&self, now: Timestamp, known: Versions) -> Option<DeltaMessage> {
         Some(DeltaMessage {
@@ -352,7 +356,7 @@
         })
     }
 
-    /// What this node asks a peer that is ahead.
+    /// Returns the request to fetch a snapshot from a peer that is ahead.
     #[must_use]
     pub fn fetch_request(&self) -> FetchRequest {
         FetchRequest {
@@ -362,7 +366,7 @@
         }
     }
 
-    /// The answer to a peer's request.
+    /// Returns the snapshot that answers a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
         let gone_since = if request.wants_all_gone {
@@ -435,14 +439,15 @@
         Outcome { change, effects }
     }
 
-    /// A peer has told its versions, and with them the era of the store that it knows.
+    /// Records the versions that a peer reported, which include the era of the store that it knows.
     fn record_versions(&mut self, now: Timestamp, versions: Versions) {
         if !versions.is_empty() {
             self.eras.note(now, versions.latest().era());
         }
     }
 
-    /// After a stall, confirmations that waited in sockets are old.
+    /// Detects a stall of the process. Confirmations that were queued in sockets meanwhile are out
+    /// of date.
     fn detect_stall(&mut self, now: Timestamp) {
         if self.stall.is_overdue(now) {
             self.exchange.stalled(now);
--- a/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! The coordinator's part in finding instances whose answers fail.
+//! Outlier detection by the coordinator: instances whose answers fail.
 
 use super::{Coordinator, Outcome};
 use crate::cookie::exchange::{ExchangeEffect, OutlierMessage, tallies_of};
@@ -12,22 +12,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Shortest time between two reports of a node: three datagrams of some hundred bytes while requests fail.
+/// Minimum time between two reports of a node, which take three datagrams of some hundred bytes
+/// while requests fail.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Shortest time between two reviews of the reports.
+/// Minimum time between two reviews of the reports.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often verdicts are announced that don't change. Less than half as long as they hold.
+/// Interval at which unchanged verdicts are announced again. Less than half of their lifetime.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What the control thread knows of instances whose answers fail.
+/// Outlier state of the control thread.
 #[derive(Debug)]
 pub(super) struct OutlierState {
     settings: OutlierSettings,
     detector: OutlierDetector,
     verdicts: VerdictCache,
-    /// What this node saw and hasn't reported.
+    /// Tallies of this node that are not yet reported.
     unreported: TallyAccumulator,
     next_report: Timestamp,
     next_review: Timestamp,
@@ -35,7 +36,7 @@
     announced: Vec<Cookie>,
     sequence: u64,
     outliers: BTreeSet<Cookie>,
-    /// Whether verdicts were heard that `outliers` doesn't hold yet.
+    /// Whether verdicts were received that `outliers` does not include yet.
     verdicts_changed: bool,
 }
 
@@ -58,14 +59,14 @@
 }
 
 impl OutlierState {
-    /// Forgets what was reported of an instance that has started again.
+    /// Removes what was reported about an instance that has restarted.
     pub(super) fn forget(&mut self, cookie: Cookie) {
         self.detector.forget(cookie);
     }
 }
 
 impl Coordinator {
-    /// When an instance stands out by its answers.
+    /// Sets the thresholds for ejecting instances.
     #[must_use]
     pub fn with_outlier_settings(self, settings: OutlierSettings) -> Self {
         let outlier_state = OutlierState::new(settings);
@@ -75,7 +76,7 @@
         }
     }
 
-    /// What the traffic thread saw of answers since the last call.
+    /// Records the answers that the traffic thread saw since the last call.
     pub fn record_answers(
         &mut self,
         now: Timestamp,
@@ -101,8 +102,8 @@
         self.outlier_state.unreported.add(&reported);
     }
 
-    /// Reports what this node saw, compares instances if it collects, and returns what changed and what to
-    /// tell peers.
+    /// Reports what this node saw and, on a collector, compares the instances. Returns the changes
+    /// and the messages to peers.
     pub fn review_outliers(
         &mut self,
         now: Timestamp,
@@ -127,7 +128,7 @@
         (changes, effects)
     }
 
-    /// Instances whose answers fail, unlike those of others.
+    /// Returns the instances whose answers fail, unlike those of others.
     #[must_use]
     pub const fn outliers(&self) -> &BTreeSet<Cookie> {
         &self.outlier_state.outliers
@@ -166,8 +167,8 @@
         self.exchange.report_tallies(now, &tallies)
     }
 
-    /// Tells the verdicts if they changed, now and then while there are some, and once when there is none
-    /// any more.
+    /// Announces the verdicts when they changed, repeats them while there are any, and announces
+    /// once when there are none left.
     fn announce(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let outliers = self.outlier_state.detector.outliers();
         let changed = outliers != self.outlier_state.announced;
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -1,4 +1,4 @@
-//! The coordinator's part in finding out which instances can't be reached.
+//! Detection of unreachable instances by the coordinator.
 
 use super::{Coordinator, Outcome};
 use crate::cookie::directory::{Directory, KnownInstance};
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 
 impl Coordinator {
-    /// Openings of this node at some instances came to nothing.
+    /// Marks instances as suspected because openings of this node failed there.
     pub fn suspect(&mut self, now: Timestamp, cookies: &[Cookie]) {
         for cookie in cookies {
             self.reachability
@@ -25,8 +25,8 @@
         self.update_records(now);
     }
 
-    /// The probe to begin now; none if no instance is in question. `healthy` are instances at which
-    /// this node's openings completed a moment ago.
+    /// Returns the probe to start now, or `None` if no instance needs one. `healthy` are instances
+    /// at which openings of this node completed recently.
     pub fn next_probe(&mut self, now: Timestamp, healthy: &[Cookie]) -> Option<ProbeBatch> {
         let mut due = self.reachability.take_suspects(SuspicionSource::OwnOpening);
         let (mut attempts, mut controls) = (PROBE_ATTEMPTS, PROBE_CONTROLS);
@@ -63,7 +63,8 @@
         ProbeBatch::new(suspects.collect(), controls)
     }
 
-    /// A probe is over. Returns what changed, and what to tell and ask peers.
+    /// Records the outcomes of a probe. Returns the changes in reachability, and the reports and
+    /// probe requests for peers.
     pub fn record_probes(
         &mut self,
         now: Timestamp,
@@ -87,7 +88,8 @@
         (changes, effects)
     }
 
-    /// Asks a peer of another zone to probe what this node couldn't reach, and another one if it doesn't confirm it.
+    /// Asks a peer of another zone to probe what this node could not reach, and another one if it
+    /// does not confirm the finding.
     pub(super) fn ask_for_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         if self.reachability.is_empty() {
             return Vec::new();
@@ -98,7 +100,7 @@
         self.exchange.ask_peer(&unconfirmed)
     }
 
-    /// A peer tells what nodes couldn't reach, or reach again. What is news goes on to others.
+    /// Records the findings in a peer's report, and forwards those that are new.
     pub(super) fn handle_findings(
         &mut self,
         now: Timestamp,
@@ -119,32 +121,33 @@
         }
     }
 
-    /// Instances that openings avoid: those that this node can't reach, or couldn't a while ago.
+    /// Returns the instances that openings avoid: those that this node cannot reach, or could not
+    /// reach recently.
     #[must_use]
     pub fn avoided(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.avoided(now)
     }
 
-    /// Instances that this node can't reach.
+    /// Returns the instances that this node cannot reach.
     #[must_use]
     pub fn unreachable(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.unreachable(now)
     }
 
-    /// Instances whose flows may be ended, resting ones too.
+    /// Returns the instances whose flows may be ended, including idle ones.
     #[must_use]
     pub fn ended(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.ended(now)
     }
 
-    /// Instances of which a sign of life would change something.
+    /// Returns the instances for which a sign of life would matter.
     #[must_use]
     pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.under_verification(now)
     }
 
-    /// Flows of some instances have gone on a moment ago. Returns those that were in question, and what to
-    /// tell peers.
+    /// Records that flows of some instances have recently made progress. Returns those that were
+    /// under verification, and the messages to peers.
     pub fn report_alive(
         &mut self,
         now: Timestamp,
@@ -158,7 +161,8 @@
         (dropped, effects)
     }
 
-    /// A peer objects: some instances live. What is news goes on to others.
+    /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
+    /// new.
     pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
         let alive = objection.cookies.iter();
         let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Forgets what was found of instances that have started again since.
+    /// Removes the findings about instances that have restarted since.
     pub(super) fn forget_earlier_runs(&mut self) {
         for id in self.replica.take_restarted() {
             let cookie = Cookie::of(id);
@@ -178,7 +182,8 @@
         }
     }
 
-    /// Tells the reachability monitor whose records have gone, or whose addresses passed on. It holds few instances mostly.
+    /// Passes deleted records and reused addresses to the reachability monitor, which contains few
+    /// instances most of the time.
     pub(super) fn update_records(&mut self, now: Timestamp) {
         let held = &self.reachability;
         if held.is_empty() {
@@ -199,7 +204,7 @@
         self.reachability.update_records(now, state_of);
     }
 
-    /// A peer can't reach some instances, and asks this node to probe them too.
+    /// Handles a peer's request to probe instances that it cannot reach.
     pub(super) fn handle_probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
         let asked = question.cookies.iter();
         let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
@@ -214,8 +219,8 @@
     }
 }
 
-/// Instances that nothing speaks against, as controls of a probe: those that were known to be healthy
-/// last go first. Which they are changes from probe to probe.
+/// Returns instances that are not suspected, as controls of a probe. Those known to be healthy come
+/// first; the others vary from probe to probe.
 fn controls(
     now: Timestamp,
     directory: &Directory,
--- a/crates/bellyoke-core/src/cookie/health.rs
+++ b/crates/bellyoke-core/src/cookie/health.rs
@@ -1,30 +1,32 @@
-//! Passive health: which instances don't complete the openings sent to them.
+//! Passive health checks: detects instances that do not complete the openings sent to them.
 //!
-//! A backend answers its clients directly, so a node sees of an opening only whether the client
-//! goes on with the cookie of the instance. Flows that are open tell nothing: a client repeats
-//! its data to a dead instance too. An instance is *suspected* after several openings in a row
-//! came to nothing; suspicion never refuses it, it only puts others first. When the suspicion
-//! ends, one opening at a time tries the instance again.
+//! A backend answers its clients directly, so all that a node sees of an opening is whether the
+//! client continues with the cookie of the instance. Packets of open flows prove nothing, because a
+//! client also retransmits its data to a dead instance. An instance is *suspected* after several
+//! openings in a row failed. Suspicion never rejects an instance, it only gives others preference.
+//! When the suspicion ends, one opening at a time tries the instance again.
 
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// When openings count as failed, and what follows.
+/// When openings count as failed, and how long the instance is then suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthSettings {
-    /// An opening without a following packet for so long has failed. Shorter than the time
+    /// An opening that no later packet follows within this time has failed. Shorter than the time
     /// after which clients send a copy.
     pub opening_timeout: Duration,
-    /// Failures in a row after which an instance is no longer preferred for being idle, as a dead
-    /// one is. With zero none ever is, so that flows are placed by hash alone.
+    /// Failures in a row after which an instance is no longer preferred for being idle, because a
+    /// dead instance looks idle too. With zero, no instance is preferred for being idle, and flows
+    /// are placed by hash alone.
     pub idle_preference_threshold: u32,
-    /// Failures in a row that make an instance suspected.
+    /// Failures in a row after which an instance is suspected.
     pub failure_threshold: u32,
-    /// How long others are preferred before it is tried again; doubles with each failed trial.
+    /// How long other instances are preferred before the suspected one is tried again; doubles with
+    /// each failed trial.
     pub suspicion_duration: Duration,
-    /// Longest time between two trials.
+    /// Maximum time between two trials.
     pub maximum_suspicion_duration: Duration,
 }
 
@@ -40,20 +42,20 @@
     }
 }
 
-/// Openings watched at once; further ones are placed without being watched.
+/// Maximum number of openings monitored at once; further ones are placed without monitoring.
 pub const MAXIMUM_PENDING_OPENINGS: usize = 4_096;
 
-/// A change of what is believed of an instance.
+/// A change in the health of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// Openings sent to it fail.
+    /// Openings sent to the instance fail.
     Suspected {
         /// The instance.
         cookie: Cookie,
         /// Failures in a row.
         failures: u32,
     },
-    /// A flow opened there.
+    /// A flow opened at the instance.
     Recovered {
         /// The instance.
         cookie: Cookie,
@@ -74,32 +76,32 @@
     suspected_until: Timestamp,
 }
 
-/// Watches the openings that one traffic thread has placed.
+/// Monitors the openings that one traffic thread has placed.
 #[derive(Debug)]
 pub struct OpeningMonitor {
     settings: HealthSettings,
     pending: BTreeMap<u64, PendingOpening>,
     /// Flow hashes by the time of their opening, the oldest first.
-    deadline_order: VecDeque<(Timestamp, u64)>,
+    opening_order: VecDeque<(Timestamp, u64)>,
     /// Instances that peers suspect.
     peer_suspicions: BTreeSet<Cookie>,
-    /// When an opening last succeeded.
+    /// When an opening last succeeded, by instance.
     succeeded_at: BTreeMap<Cookie, Timestamp>,
     /// Instances whose last opening failed.
     failing: BTreeMap<Cookie, InstanceHealth>,
     changes: Vec<HealthChange>,
-    /// Instances whose openings failed since they were last asked for.
+    /// Instances at which openings failed since the last call of [`Self::take_failed`].
     failed: BTreeSet<Cookie>,
 }
 
 impl OpeningMonitor {
-    /// A monitor that suspects nobody.
+    /// Creates a monitor without any suspected instance.
     #[must_use]
     pub fn new(settings: HealthSettings) -> Self {
         Self {
             settings,
             pending: BTreeMap::new(),
-            deadline_order: VecDeque::new(),
+            opening_order: VecDeque::new(),
             peer_suspicions: BTreeSet::new(),
             succeeded_at: BTreeMap::new(),
             failing: BTreeMap::new(),
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Whether others are preferred to the instance.
+    /// Returns whether other instances are preferred to this one.
     #[must_use]
     pub fn is_suspected(&self, now: Timestamp, cookie: Cookie) -> bool {
         if let Some(health) = self.failing.get(&cookie)
@@ -119,7 +121,7 @@
         self.peer_suspicions.contains(&cookie) && !self.recently_succeeded(now, cookie)
     }
 
-    /// Whether the last openings at an instance failed, too few of them to suspect it.
+    /// Returns whether the last openings at an instance failed, even if too few for a suspicion.
     #[must_use]
     pub fn loses_idle_preference(&self, cookie: Cookie) -> bool {
         let failures = self
@@ -129,13 +131,13 @@
         failures >= self.settings.idle_preference_threshold
     }
 
-    /// After how long an opening has failed.
+    /// Returns the time after which an opening has failed.
     #[must_use]
     pub const fn opening_timeout(&self) -> Duration {
         self.settings.opening_timeout
     }
 
-    /// Instances that fail the openings of this node itself.
+    /// Returns the instances that failed enough openings of this node itself to be suspected.
     pub fn failing_instances(&self) -> impl Iterator<Item = Cookie> {
         let threshold = self.settings.failure_threshold;
         let failing = self.failing.iter();
@@ -143,12 +145,12 @@
         failing.map(|(cookie, _)| *cookie)
     }
 
-    /// Instances that peers suspect now.
+    /// Sets the instances that peers suspect.
     pub fn set_peer_suspicions(&mut self, suspected: &BTreeSet<Cookie>) {
         self.peer_suspicions.clone_from(suspected);
     }
 
-    /// An opening of a flow goes to an instance.
+    /// Records that an opening was sent to an instance.
     pub fn record_opening(&mut self, now: Timestamp, flow_hash: u64, cookie: Cookie) {
         self.expire(now);
         if let Some(earlier) = self.pending.remove(&flow_hash) {
@@ -163,11 +165,11 @@
             sent_at: now,
         };
         self.pending.insert(flow_hash, opening);
-        self.deadline_order.push_back((now, flow_hash));
+        self.opening_order.push_back((now, flow_hash));
     }
 
-    /// A later packet of a flow carries the cookie of an instance. Returns how long the opening
-    /// took, if this is the first packet after it.
+    /// Records that a later packet of a flow carries the cookie of an instance. Returns how long
+    /// the opening took if this is the first packet after it.
     pub fn record_progress(
         &mut self,
         now: Timestamp,
@@ -183,13 +185,13 @@
         Some(now.since(opening.sent_at))
     }
 
-    /// Judges the openings that have waited too long.
+    /// Counts the openings that have timed out as failed.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some(&(sent_at, flow_hash)) = self.deadline_order.front() {
+        while let Some(&(sent_at, flow_hash)) = self.opening_order.front() {
             if now.since(sent_at) < self.settings.opening_timeout {
                 return;
             }
-            self.deadline_order.pop_front();
+            self.opening_order.pop_front();
             let Some(opening) = self.pending.get(&flow_hash).copied() else {
                 continue;
             };
@@ -200,13 +202,13 @@
         }
     }
 
-    /// Forgets all openings under way without judging them, since this node itself stood still.
+    /// Discards all pending openings without counting them, because this node itself stalled.
     pub fn forget_pending(&mut self) {
         self.pending.clear();
-        self.deadline_order.clear();
+        self.opening_order.clear();
     }
 
-    /// Forgets what openings told of an instance.
+    /// Removes everything recorded about an instance.
     pub fn forget(&mut self, cookie: Cookie) {
         self.failing.remove(&cookie);
         self.succeeded_at.remove(&cookie);
@@ -214,13 +216,14 @@
         self.pending.retain(|_, opening| opening.cookie != cookie);
     }
 
-    /// Forgets instances that `is_known` denies.
+    /// Removes the instances for which `is_known` returns `false`.
     pub fn retain(&mut self, is_known: impl Fn(Cookie) -> bool) {
         self.failing.retain(|cookie, _| is_known(*cookie));
         self.succeeded_at.retain(|cookie, _| is_known(*cookie));
     }
 
-    /// Instances at which an opening completed within the time before `now`, the last ones first.
+    /// Returns the instances at which an opening completed within `time` before `now`, the latest
+    /// first.
     #[must_use]
     pub fn succeeded_within(&self, now: Timestamp, time: Duration) -> Vec<Cookie> {
         let succeeded = self.succeeded_at.iter();
@@ -231,17 +234,18 @@
         recent.into_iter().map(|(_, cookie)| cookie).collect()
     }
 
-    /// Instances at which an opening failed since they were last taken.
+    /// Returns the instances at which an opening failed since the last call of
+    /// [`Self::take_failed`].
     pub fn recently_failed(&self) -> impl Iterator<Item = Cookie> {
         self.failed.iter().copied()
     }
 
-    /// Instances at which an opening failed since the last call, be it the first one.
+    /// Returns the instances at which an opening, even a single one, failed since the last call.
     pub fn take_failed(&mut self) -> Vec<Cookie> {
         std::mem::take(&mut self.failed).into_iter().collect()
     }
 
-    /// What has changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<HealthChange> {
         std::mem::take(&mut self.changes)
     }
@@ -272,7 +276,8 @@
         }
     }
 
-    /// Lets no second opening follow the one that tries a suspected instance again.
+    /// Starts a trial of a suspected instance, and keeps further openings from it until the trial
+    /// ends.
     fn begin_trial(&mut self, now: Timestamp, cookie: Cookie) {
         let threshold = self.settings.failure_threshold;
         let Some(health) = self.failing.get_mut(&cookie) else {
--- a/crates/bellyoke-core/src/cookie/mod.rs
+++ b/crates/bellyoke-core/src/cookie/mod.rs
@@ -1,23 +1,25 @@
-//! Forwarding by connection cookie: the packet itself names the backend that holds its flow.
+//! Forwarding by connection cookie: each packet identifies the backend instance of its flow.
 //!
-//! Where a packet format has a field that both ends of a flow repeat, the balancer writes the
-//! identity of the chosen backend instance into the first packet, and every later packet brings
-//! it back (a stateless connection cookie, as in Cheetah, Barbette et al., NSDI 2020). Any node
-//! that knows the instances forwards any packet: no flow table, lease, barrier or owner, and no
+//! Where a packet format has a field that both ends of a flow echo, the balancer writes the
+//! identity of the chosen backend instance into the first packet, and every later packet carries it
+//! (a stateless connection cookie, as in Cheetah, Barbette et al., NSDI 2020). Any node that knows
+//! the instances can forward any packet: there is no flow table, lease, barrier or owner, and no
 //! change of the configuration can move an open flow. Packet formats without such a field use
 //! [`crate::flow`] and [`crate::generation`] instead.
 //!
-//! Like the rest of the crate nothing here has a socket, clock or thread:
+//! Like the rest of the crate, nothing here has a socket, clock or thread:
 //!
-//! * one packet: [`packet`] and [`forwarder`], with [`flows`] seen of late and the [`answers`] to their requests,
-//!   [`ends`] of flows whose instances have ended, [`admission`] and [`placement`] of new flows, [`locality`] that
-//!   prefers the own zone, the limit of [`cold`] instances, [`load`] and [`health`] of instances from the progress
-//!   of openings, [`outliers`] by their answers, [`reachability`] of those in question by probes;
+//! * one packet: [`packet`] and [`forwarder`], with recently seen [`flows`] and the [`answers`] to
+//!   their requests, [`ends`] of flows whose instances have ended, [`admission`] and [`placement`]
+//!   of new flows, [`locality`] that prefers the own zone, the limit for [`cold`] instances (slow
+//!   start), [`load`] and [`health`] of instances from the progress of openings, [`outliers`] by
+//!   their answers, [`reachability`] of suspected instances by probes;
 //! * one version: [`route`], [`instance`] and the immutable [`table`] that traffic threads read;
-//! * the process: [`directory`] and [`replica`] (what the node knows),
-//!   [`zones`] (drained ones), [`delta`] (what changed), [`freshness`] (how old it is), [`follower`] (reading the store),
-//!   [`era`] (whether the store was restored),
-//!   [`exchange`] (peers), [`capacity`] (what a machine can bear), [`coordinator`] (these together), [`stall`] and [`readiness`].
+//! * the process: [`directory`] and [`replica`] (the state of the node), [`zones`] (drained zones),
+//!   [`delta`] (changes between versions), [`freshness`] (the age of the state), [`follower`]
+//!   (reading the store), [`era`] (detecting a restored store), [`exchange`] (messages between
+//!   peers), [`capacity`] (of a machine), [`coordinator`] (combines these), [`stall`] and
+//!   [`readiness`].
 
 pub mod admission;
 pub mod answers;
--- a/crates/bellyoke-core/src/cookie/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/outliers.rs
@@ -1,11 +1,15 @@
-//! Instances whose answers fail or are late, unlike those of their service's other instances.
+//! Detects outliers: instances whose answers fail or are late, unlike those of the other instances
+//! of their service.
 //!
-//! One node sees a request in ten seconds to an instance, so nodes put together what they see: a
-//! [`TallyAccumulator`] sums the samples of one traffic thread, nodes send what speaks against an instance to a few
-//! that collect it, and each [`OutlierDetector`] there compares instances. Like outlier ejection of L7
-//! proxies (Envoy's documentation) it never sets aside more than a share of a service, and a service
-//! most of whose instances fail has no outlier. Who is set aside is tried again by few flows, as Prequal
-//! (Wydrowski et al., NSDI 2024) guards against servers that look idle because they fail.
+//! A single node sends only about one request in ten seconds to an instance, so nodes combine their
+//! observations. A [`TallyAccumulator`] sums the samples of one traffic thread. Nodes send the
+//! tallies of instances with bad requests to a few nodes that collect them, and an
+//! [`OutlierDetector`] on each collector compares the instances.
+//!
+//! As in the outlier ejection of L7 proxies (see the documentation of Envoy), at most a share of a
+//! service is ejected, and a service most of whose instances fail has no outliers. A few flows
+//! still try ejected instances, as Prequal (Wydrowski et al., NSDI 2024) guards against servers
+//! that look idle because they fail.
 
 mod detector;
 mod tally;
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -1,4 +1,4 @@
-//! The comparison of instances by what nodes report of them.
+//! Compares instances by the requests that nodes report.
 
 use super::tally::{InstanceTally, requests_by_service};
 use crate::cookie::instance::Cookie;
@@ -7,33 +7,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests counted at most by instance; what happened long ago is gone sooner then.
+/// Upper bound on the counts of an instance, which makes old requests lose their weight sooner.
 const MAXIMUM_REQUEST_COUNT: f64 = 1_000.0;
 
-/// Below so much a count is nothing.
+/// Counts of bad requests at or below this value are treated as zero.
 const NEGLIGIBLE_REQUESTS: f64 = 0.05;
 
-/// An outlier with so many good requests in a row works again. One that fails half of them gets there by
-/// luck once in 256 times.
+/// Good requests in a row after which an outlier is reinstated. An instance that fails half of its
+/// requests reaches this number by chance once in 256 times.
 const REINSTATEMENT_GOOD_REQUESTS: u32 = 8;
 
-/// How often a held outlier may double the time until it is tried without evidence.
+/// How often the evidence timeout of an ejected instance may double.
 const MAXIMUM_TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// When an instance stands out, and what follows.
+/// Thresholds for ejecting and reinstating instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
-    /// Largest part of a service's instances that are set ejected; zero for none.
+    /// Largest share of a service's instances that may be ejected at a time; zero disables
+    /// ejection.
     pub largest_share: f64,
-    /// Time in which counts halve.
+    /// Half-life of the request counts.
     pub half_life: Duration,
-    /// Bad requests that an instance must have had lately.
+    /// Minimum count of recent bad requests for an ejection.
     pub minimum_bad_requests: f64,
-    /// Part of its requests that must be bad.
+    /// Minimum fraction of an instance's requests that are bad for an ejection.
     pub minimum_bad_fraction: f64,
-    /// The same, as a multiple of what is bad at the service's median instance.
+    /// The minimum bad fraction as a multiple of that of the service's median instance.
     pub minimum_median_factor: f64,
-    /// An outlier of which nothing was heard for so long is one no longer.
+    /// An outlier without any reported request for this long is reinstated.
     pub evidence_timeout: Duration,
 }
 
@@ -45,26 +46,27 @@
             minimum_bad_requests: 2.5,
             minimum_bad_fraction: 0.2,
             minimum_median_factor: 3.0,
-            // Trials bring a request in two seconds to one of many outliers; with 4 s one in ten came back for want of any.
+            // With many outliers, trial flows send each of them one request in two seconds; at 4 s,
+            // one in ten was reinstated for lack of requests.
             evidence_timeout: Duration::from_secs(10),
         }
     }
 }
 
-/// A change of what is believed of an instance.
+/// An ejection or reinstatement of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierChange {
     /// The instance.
     pub cookie: Cookie,
-    /// Whether it is set ejected from now on.
+    /// Whether it was ejected; otherwise it was reinstated.
     pub is_outlier: bool,
-    /// Bad requests lately.
+    /// Decayed count of bad requests.
     pub bad: f64,
-    /// Requests lately, as far as known.
+    /// Decayed count of the reported requests.
     pub requests: f64,
-    /// Part that is bad at the service's median instance.
+    /// Fraction of bad requests at the service's median instance.
     pub median_bad_fraction: f64,
-    /// How long it was set ejected.
+    /// How long it had been ejected.
     pub ejected_for: Duration,
 }
 
@@ -74,28 +76,28 @@
     bad: f64,
     /// Requests reported since the last bad one.
     consecutive_good: u32,
-    /// Since when it is set ejected.
+    /// Since when it has been ejected.
     ejected_at: Option<Timestamp>,
     /// When a request to it was last reported.
     reported_at: Timestamp,
-    /// When it was last let back.
+    /// When it was last reinstated.
     reinstated_at: Option<Timestamp>,
-    /// How often it was set ejected again soon after it was let back.
+    /// How often in a row it was ejected soon after its reinstatement.
     re_ejections: u32,
 }
 
-/// Compares the instances of each service by decaying counts of what nodes report.
+/// Compares the instances of each service by decaying counts of reported requests.
 #[derive(Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
     evidence: BTreeMap<Cookie, Evidence>,
-    /// This node's own requests by service, decaying.
+    /// Decayed count of this node's own requests to each service.
     own_requests: BTreeMap<ServiceNumber, f64>,
     decayed_at: Timestamp,
 }
 
 impl OutlierDetector {
-    /// A detector that has heard nothing.
+    /// Creates a detector without any evidence.
     #[must_use]
     pub const fn new(settings: OutlierSettings) -> Self {
         Self {
@@ -106,13 +108,13 @@
         }
     }
 
-    /// Whether nobody is set ejected.
+    /// Returns whether there is evidence against no instance.
     #[must_use]
     pub fn has_no_evidence(&self) -> bool {
         self.evidence.is_empty()
     }
 
-    /// How many requests this node itself saw, from which it tells how many there are in all.
+    /// Counts this node's own requests, from which the total of all nodes is estimated.
     pub fn record_own_requests(
         &mut self,
         now: Timestamp,
@@ -125,23 +127,24 @@
         }
     }
 
-    /// This node collects no longer.
+    /// Clears the reports when this node no longer collects them.
     pub fn clear_reports(&mut self) {
         self.evidence.clear();
     }
 
-    /// Forgets what was reported of an instance.
+    /// Removes what was reported about an instance.
     pub fn forget(&mut self, cookie: Cookie) {
         self.evidence.remove(&cookie);
     }
 
-    /// What a node reports.
+    /// Adds a report of a node.
     pub fn record_report(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         self.decay(now);
         self.record(now, tallies);
     }
 
-    /// Compares the instances, and returns what changed. `nodes` report, as far as known.
+    /// Compares the instances and returns the changes. `nodes` is the estimated number of nodes
+    /// that report.
     pub fn review(
         &mut self,
         now: Timestamp,
@@ -169,7 +172,7 @@
         changes
     }
 
-    /// Instances that are set ejected, the worst first.
+    /// Returns the ejected instances, the worst first.
     #[must_use]
     pub fn outliers(&self) -> Vec<Cookie> {
         let held = self.evidence.iter();
@@ -181,7 +184,7 @@
     fn record(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         for tally in tallies {
             let is_held = self.evidence.contains_key(&tally.cookie);
-            // Good requests count only for those that something speaks against.
+            // Good requests are counted only for instances that already had a bad one.
             if !is_held && tally.bad() == 0 {
                 continue;
             }
@@ -253,7 +256,8 @@
         }
     }
 
-    /// Part of the requests that is bad at the median instance. Those without evidence have none.
+    /// Returns the fraction of bad requests at the median instance. Instances without evidence
+    /// count as zero.
     fn median_bad_fraction_of(&self, candidates: &BTreeSet<Cookie>, expected: f64) -> f64 {
         let fractions = candidates.iter().map(|cookie| {
             let evidence = self.evidence.get(cookie);
@@ -306,7 +310,8 @@
         })
     }
 
-    /// Lets those back that answer well, or of which nothing was heard for long.
+    /// Reinstates instances that answer well, or without reported requests for the evidence
+    /// timeout.
     fn reinstate(
         &mut self,
         now: Timestamp,
@@ -347,8 +352,9 @@
     }
 }
 
-/// Part of an instance's requests that is bad. Nodes tell of good requests only where there were bad ones,
-/// so that at least as many were requests as at others, on average.
+/// Returns the fraction of an instance's requests that are bad. Nodes report good requests only of
+/// instances with bad ones, so an instance is assumed to have had at least as many requests as the
+/// average of its service.
 fn bad_fraction(evidence: &Evidence, expected: f64) -> f64 {
     let requests = if evidence.ejected_at.is_some() {
         evidence.requests
--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -1,28 +1,29 @@
-//! Counts of samples by instance.
+//! Counts of request outcomes by instance.
 
 use crate::cookie::answers::{AnswerQuality, JudgedSample};
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::ServiceNumber;
 use std::collections::BTreeMap;
 
-/// Instances counted at once; samples of further ones are left out until the next report.
+/// Maximum number of instances counted at once; samples of further ones are ignored until the next
+/// report.
 const MAXIMUM_INSTANCES: usize = 1_024;
 
-/// What became of the requests to one instance since the last report.
+/// Outcomes of the requests to one instance since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceTally {
     /// The instance.
     pub cookie: Cookie,
-    /// Requests of which it is known what became.
+    /// Requests whose outcome is known.
     pub requests: u16,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: u16,
-    /// Those that were answered late.
+    /// Requests that were answered late.
     pub slow: u16,
 }
 
 impl InstanceTally {
-    /// Requests that speak against the instance.
+    /// Returns the number of bad requests: those that failed or were answered late.
     #[must_use]
     pub const fn bad(&self) -> u16 {
         self.failed.saturating_add(self.slow)
@@ -77,19 +78,19 @@
         }
     }
 
-    /// Whether nothing was counted since the last call of [`Self::take`].
+    /// Returns whether nothing was counted since the last call of [`Self::take`].
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.tallies.is_empty()
     }
 
-    /// What was counted since the last call.
+    /// Returns the tallies since the last call and resets them.
     pub fn take(&mut self) -> Vec<InstanceTally> {
         let tallies = std::mem::take(&mut self.tallies);
         tallies.into_values().collect()
     }
 
-    /// Counts tallies of another book.
+    /// Adds the tallies of another accumulator.
     pub fn add(&mut self, tallies: &[InstanceTally]) {
         for tally in tallies {
             let total = self.tallies.entry(tally.cookie).or_insert(InstanceTally {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Counts the requests of each service.
+/// Sums the requests of each service.
 pub(super) fn requests_by_service(
     tallies: &[InstanceTally],
     service_of: impl Fn(Cookie) -> Option<ServiceNumber>,
--- a/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
@@ -1,4 +1,4 @@
-//! The verdicts that a node has heard.
+//! The verdicts received from collectors.
 
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::{ForwardingTable, ServicePart};
@@ -8,32 +8,33 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long verdicts hold that aren't told again. Longer than two rounds of telling, so that a lost
-/// datagram changes nothing; short, so that nobody stays out for a collector that died.
+/// How long verdicts are valid unless they are repeated. Longer than two announcement intervals, so
+/// a lost datagram has no effect; short enough that instances are soon reinstated after their
+/// collector has failed.
 const VERDICT_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// Collectors whose verdicts are known.
+/// Maximum number of collectors whose verdicts are stored.
 const MAXIMUM_COLLECTORS: usize = 8;
 
-/// Which instances a collector holds for outliers.
+/// The outliers according to one collector.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Verdicts {
     /// The collector's peer address.
     pub collector: SocketAddrV4,
-    /// Rises with each telling.
+    /// Increases with each announcement.
     pub sequence: u64,
-    /// Cookies of the instances, the worst first.
+    /// Cookies of the outliers, the worst first.
     pub cookies: Vec<u32>,
 }
 
-/// The verdicts of a few collectors.
+/// The latest verdicts of a few collectors.
 #[derive(Debug, Default)]
 pub struct VerdictCache {
     by_collector: BTreeMap<SocketAddrV4, (Timestamp, Verdicts)>,
 }
 
 impl VerdictCache {
-    /// Notes what a collector told. Returns whether that is news, to be passed on.
+    /// Stores the verdicts of a collector. Returns whether they are new and are to be forwarded.
     pub fn record(&mut self, now: Timestamp, verdicts: &Verdicts) -> bool {
         self.expire(now);
         let known = self.by_collector.get(&verdicts.collector);
@@ -47,13 +48,14 @@
         true
     }
 
-    /// Forgets verdicts that weren't told again.
+    /// Removes verdicts that were not repeated in time.
     pub fn expire(&mut self, now: Timestamp) {
         self.by_collector
             .retain(|_, (received_at, _)| now.since(*received_at) < VERDICT_LIFETIME);
     }
 
-    /// The outliers, at most a share of each service's instances: those first that collectors put first.
+    /// Returns the outliers, at most a share of each service's instances. Those that collectors
+    /// rank worst come first.
     #[must_use]
     pub fn outliers(&self, table: &ForwardingTable, largest_share: f64) -> BTreeSet<Cookie> {
         let mut outliers = BTreeSet::new();
@@ -81,7 +83,7 @@
         outliers
     }
 
-    /// The best position of each instance in a collector's list.
+    /// Returns the best rank of each instance among all collectors.
     fn ranks(&self) -> BTreeMap<Cookie, usize> {
         let mut ranks: BTreeMap<Cookie, usize> = BTreeMap::new();
         for (_, verdicts) in self.by_collector.values() {
--- a/crates/bellyoke-core/src/cookie/reachability.rs
+++ b/crates/bellyoke-core/src/cookie/reachability.rs
@@ -1,19 +1,23 @@
-//! Which instances can't be reached, established by probes.
+//! Detects unreachable instances by active probes.
 //!
-//! A failed opening is no proof: the packet may have been lost, the instance may be full, or this
-//! node's own link may be. It only raises the question, which a probe answers: connections to the
-//! instance, several in a row, beside connections to other instances (controls). An instance is
-//! *unreachable* if none of its connections opened while all controls did, so that the fault is
-//! not this node's.
+//! A failed opening does not prove that an instance is unreachable: the packet may have been lost,
+//! the instance may be full, or this node's own link may be at fault. It only makes the instance a
+//! suspect. A probe then decides: it opens connections to the suspect, several in a row, and at the
+//! same time connections to other instances, the controls. An instance is *unreachable* if none of
+//! its connections opened while those of all controls did, which rules out a fault of this node.
 //!
-//! A node tells what its probe found, and the others act on it without probes of their own, so that what a dead
-//! instance costs doesn't grow with the nodes. What a peer found is worth less than what a node found itself:
+//! A node reports what its probe found. Other nodes act on the report without probes of their own,
+//! so the cost of a dead instance does not grow with the number of nodes. A peer's finding carries
+//! less weight than an own one:
 //!
-//! * New flows avoid an instance that a node of the own zone couldn't reach, or nodes of two zones.
-//! * Open flows end if the node's own probe came to nothing, or those of nodes of two zones. So whoever can't reach
-//!   an instance asks a peer of another zone to probe it, too. In a cluster of one zone two nodes are enough.
+//! * New flows avoid an instance that a node of the own zone, or nodes of two zones, could not
+//!   reach.
+//! * Open flows are ended if the node's own probe failed, or the probes of nodes in two zones. A
+//!   node that cannot reach an instance therefore also asks a peer of another zone to probe it. In
+//!   a cluster of one zone, two nodes are enough.
 //!
-//! Each finding holds for a moment. Those that probed do so again, so that it ends soon after its cause.
+//! A finding expires after [`VERDICT_LIFETIME`]. The nodes that probed repeat their probes, which
+//! ends the verdict soon after its cause.
 
 mod finding;
 mod monitor;
@@ -25,63 +29,67 @@
 
 use std::time::Duration;
 
-/// Connections in a row that a probe tries. With three of ten packets lost on this node's own link
-/// three fail while six of controls open in 3 of 1,000 probes.
+/// Connection attempts in a row per probe. If this node's own link loses three of ten packets, all
+/// three attempts fail while all six to the controls succeed in 3 of 1,000 probes.
 pub const PROBE_ATTEMPTS: usize = 3;
 
-/// Attempts for an instance that a peer can't reach, whose own probe speaks against it too.
+/// Connection attempts of a probe that a peer asked for, because its own probe failed.
 pub const CONFIRMATION_ATTEMPTS: usize = 2;
 
-/// Attempts to find out whether an instance is still unreachable.
+/// Connection attempts of a probe that checks whether an instance is still unreachable.
 pub const RECHECK_ATTEMPTS: usize = 1;
 
-/// How long one of them may take. Connections open within two round trips, some milliseconds; a
-/// process on a small share of a processor may get none for 100 ms.
+/// Timeout of one connection attempt. Connections open within two round trips, a few milliseconds;
+/// a process with a small CPU share may not be scheduled for 100 ms.
 pub const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time from the start of one attempt to that of the next, which overlap: silence for 200 ms is as long as
-/// that after which clients repeat themselves.
+/// Time between the starts of two attempts, which overlap. Three attempts cover 200 ms without an
+/// answer, as long as clients wait before they retransmit.
 pub const ATTEMPT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Other instances that a probe must reach at the same time.
+/// Controls that a probe must reach at the same time.
 pub const PROBE_CONTROLS: usize = 2;
 
-/// The same of probes that only confirm what another one found, or find out whether it still holds.
+/// Controls of a probe that only confirms a peer's finding or rechecks an unreachable instance.
 pub const CONFIRMATION_CONTROLS: usize = 1;
 
-/// Instances probed at once; further ones wait for the next probe.
+/// Maximum number of instances probed at once; further ones wait for the next probe.
 pub const MAXIMUM_SUSPECTS_PER_PROBE: usize = 64;
 
-/// How long a verdict holds. Shorter than the 4 s for which the paths to an instance must have been whole
-/// before users count an ended flow as the balancer's fault, so that none outlives a cut by as much.
+/// How long a verdict is valid. Users blame the balancer for an ended flow if the paths to the
+/// instance had been intact for 4 s, so a verdict must not outlive a network partition by that
+/// long.
 pub const VERDICT_LIFETIME: Duration = Duration::from_millis(3_000);
 
-/// Time after which an unreachable instance is probed again, so that the verdict goes on or ends. Two nodes do so until
-/// its record has gone: without it, a dead instance whose record stays, as in an outage of the store, is found anew by
-/// failing openings every seven seconds.
+/// Time after which an unreachable instance is probed again, which renews or ends the verdict. Two
+/// nodes do so until its record is deleted. Without the recheck, a dead instance whose record
+/// stays, as during an outage of the store, would be detected anew by failing openings every seven
+/// seconds.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Probes in a row that may find nothing out before the question is dropped. With a quarter of all instances
-/// dead at once, 44 of 100 probes have a dead control and one in 60 questions would have five.
+/// Number of inconclusive probes in a row after which an instance is no longer suspected. With a
+/// quarter of all instances dead at once, 44 of 100 probes have a dead control, and five
+/// inconclusive probes in a row occur for one in 60 suspects.
 const MAXIMUM_INCONCLUSIVE_PROBES: u32 = 5;
 
-/// How long openings avoid an instance after it took connections again: what answers there may be
-/// another instance that has taken over its address, of which the records tell later. Longer than
-/// the store is away mostly; until then a flow that goes on there proves that it lives.
+/// How long openings avoid an instance after it accepted connections again. The process that
+/// answers may be another instance that has taken over the address, which the records show only
+/// later. Longer than most outages of the store; until then, progress on an open flow proves that
+/// the instance is alive.
 const AVOIDANCE_DURATION: Duration = Duration::from_secs(10);
 
-/// An instance that was probed so lately isn't questioned again.
+/// An instance is not suspected again within this time after a probe or a sign of life.
 const SUSPICION_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a peer that was asked to confirm a finding has, before another one is asked. A probe of
-/// two attempts takes 150 ms, and what it finds some tens of milliseconds to come back.
+/// How long a peer has to confirm a finding before another one is asked. A probe of two attempts
+/// takes 150 ms, and its result arrives some tens of milliseconds later.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Peers that are asked at most to confirm a finding until the instance is probed again. One of them may have
-/// died with the instance, and a datagram may be lost.
+/// Maximum number of peers that are asked to confirm a finding before the instance is probed again.
+/// One of them may have failed together with the instance, and a datagram may be lost.
 const MAXIMUM_CONFIRMATION_REQUESTS: u32 = 3;
 
-/// How long peers have, once they were asked about an instance, to say that it lives, before its resting
-/// flows are ended. A peer that sees a few requests a second there knows within 300 ms; the word takes
-/// some ms, and 100 ms wherever a control thread waits for its tick.
+/// How long peers have to refute a suspicion before the idle flows of an instance are ended. A peer
+/// that sees a few requests a second there detects a sign of life within 300 ms; its message takes
+/// some milliseconds, plus 100 ms wherever a control thread waits for its tick.
 pub const REFUTATION_PERIOD: Duration = Duration::from_millis(400);
--- a/crates/bellyoke-core/src/cookie/reachability/finding.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/finding.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other that their probes found, and how much of it speaks for itself.
+//! Probe results that nodes report to each other, and how they are weighed.
 
 use super::VERDICT_LIFETIME;
 use crate::cookie::capacity::ZoneKey;
@@ -7,22 +7,24 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A finding of the same origin is news again once it is newer by so much: less than the time between two
-/// probes of one node, so that each of them is told on, and copies on other ways are not.
+/// A finding of the same origin is forwarded again if it is newer by at least this much. Less than
+/// the time between two probes of one node, so each of its findings is forwarded, and copies of one
+/// that arrive on several paths are not.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Who has found something.
+/// The node that made a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// The node's peer address.
     pub node: SocketAddrV4,
-    /// The zone that it stands in.
+    /// The zone that the node is located in.
     pub zone: ZoneKey,
 }
 
 impl Origin {
-    /// Whether what speaks against an instance here is not likely to be the fault that another origin saw: paths
-    /// differ between zones. Where all nodes stand in one zone, two of them must do.
+    /// Returns whether a finding of this origin is unlikely to have the same cause as one of
+    /// another origin. Network paths differ between zones, so the zones must differ. In a cluster
+    /// of a single zone, two different nodes are enough.
     #[must_use]
     pub fn is_independent_of(self, other: Self, single_zone: bool) -> bool {
         if single_zone {
@@ -33,31 +35,31 @@
     }
 }
 
-/// What a node's probe of an instance found.
+/// The result of a node's probe of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The instance.
     pub cookie: Cookie,
-    /// Who probed it.
+    /// The node that probed it.
     pub origin: Origin,
-    /// When.
+    /// When the probe ended.
     pub found_at: Timestamp,
-    /// Whether it took a connection, after it had taken none.
+    /// Whether the instance accepted a connection, after it had accepted none.
     pub reached: bool,
 }
 
-/// Findings of peers that speak against one instance: the newest of two independent origins.
+/// Findings of peers that could not reach one instance: the latest ones of two independent origins.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerFindings {
     entries: [Option<(Origin, Timestamp)>; 2],
-    /// When a finding was last withdrawn: copies of those before it count no longer, or all nodes would tell each other of
-    /// the finding and of its withdrawal in turn.
+    /// When a finding was last withdrawn. Copies of earlier findings are ignored; otherwise nodes
+    /// would keep forwarding the finding and its withdrawal to each other in turn.
     withdrawn_at: Option<Timestamp>,
 }
 
 impl PeerFindings {
-    /// Notes that a peer couldn't reach the instance. Returns whether that is news, to be told on: a third origin
-    /// is none.
+    /// Records that a peer could not reach the instance. Returns whether the finding is new and is
+    /// to be forwarded; one of a third origin is not.
     pub(super) fn record(&mut self, now: Timestamp, finding: &Finding, single_zone: bool) -> bool {
         let (origin, found_at) = (finding.origin, finding.found_at);
         let is_withdrawn = self.withdrawn_at.is_some_and(|at| found_at <= at);
@@ -84,8 +86,8 @@
         true
     }
 
-    /// Notes that a peer reaches the instance again: what it, or those beside it, found before counts no longer.
-    /// Returns whether anything did.
+    /// Records that a peer reaches the instance again, and removes the earlier findings of the same
+    /// or a dependent origin. Returns whether it removed any.
     pub(super) fn withdraw(&mut self, finding: &Finding, single_zone: bool) -> bool {
         let mut withdrawn = false;
         for entry in &mut self.entries {
@@ -107,29 +109,29 @@
         withdrawn
     }
 
-    /// Whether a finding that is independent of an origin holds.
+    /// Returns whether there is a valid finding that is independent of `origin`.
     pub(super) fn confirms(&self, now: Timestamp, origin: Origin, single_zone: bool) -> bool {
         let mut fresh = self.fresh(now);
         fresh.any(|entry| entry.is_independent_of(origin, single_zone))
     }
 
-    /// Whether two independent findings hold.
+    /// Returns whether there are two valid independent findings.
     pub(super) fn has_agreement(&self, now: Timestamp) -> bool {
         self.fresh(now).count() == self.entries.len()
     }
 
-    /// Whether two independent findings were both made since a time.
+    /// Returns whether two independent findings were both made after `since`.
     pub(super) fn has_agreement_since(&self, since: Timestamp) -> bool {
         let mut entries = self.entries.iter();
         entries.all(|entry| entry.is_some_and(|(_, found_at)| found_at > since))
     }
 
-    /// Whether a finding of a zone holds.
+    /// Returns whether there is a valid finding of a node in `zone`.
     pub(super) fn has_finding_from_zone(&self, now: Timestamp, zone: ZoneKey) -> bool {
         self.fresh(now).any(|entry| entry.zone == zone)
     }
 
-    /// Whether any finding holds.
+    /// Returns whether there is any valid finding.
     pub(super) fn has_any(&self, now: Timestamp) -> bool {
         self.fresh(now).next().is_some()
     }
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -1,4 +1,4 @@
-//! What one node holds of the instances in question.
+//! The reachability state that one node keeps per instance.
 
 use super::finding::{Finding, Origin, PeerFindings, is_fresh};
 use super::{
@@ -10,79 +10,81 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the records tell of an instance in question.
+/// The state of a suspected instance's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// Its record is there.
+    /// The record exists.
     Present,
-    /// Its record has gone.
+    /// The record was deleted.
     Deleted,
-    /// One that was created later is at its address: connections there tell nothing of it.
+    /// An instance created later uses the same address; connections there say nothing about this
+    /// one.
     AddressReused,
 }
 
-/// Who can't reach an instance.
+/// Why an instance is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionSource {
-    /// This node: an opening came to nothing.
+    /// An opening that this node sent has failed.
     OwnOpening,
-    /// A peer: its probe came to nothing.
+    /// A peer whose probe failed asks this node to probe the instance.
     PeerRequest,
 }
 
-/// A change of what is held of an instance.
+/// A change in the reachability of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReachabilityChange {
     /// The instance.
     pub cookie: Cookie,
-    /// Whether it is held to be unreachable now.
+    /// Whether it is now considered unreachable.
     pub unreachable: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct InstanceState {
-    /// Whether it waits for a probe, or one is under way.
+    /// Whether it waits for a probe, or one is running.
     suspected: bool,
-    /// Whether a peer has asked.
+    /// Whether a peer asked for the probe.
     requested_by_peer: bool,
     probe_running: bool,
-    /// The probe under way began at an earlier run of the instance.
+    /// Whether the running probe started during an earlier run of the instance.
     probe_is_stale: bool,
     probed_at: Option<Timestamp>,
     unreachable_at: Option<Timestamp>,
-    /// When peers were asked about it, or asked.
+    /// When the time for peers to refute the suspicion began.
     refutations_requested_at: Option<Timestamp>,
-    /// Its record went, or its address passed on, while it was unreachable: it has ended, unless the
-    /// record comes back.
+    /// The record was deleted, or the address was reused, while the instance was unreachable. It
+    /// has ended, unless the record reappears.
     ended: bool,
-    /// Another instance holds its address, so that probes tell nothing of it.
+    /// Whether another instance uses its address, which makes probes meaningless.
     address_reused: bool,
-    /// Until when openings avoid it though it takes connections again.
+    /// Until when openings avoid it although it accepts connections again.
     avoided_until: Timestamp,
-    /// When this node is to find out whether it is still unreachable; none if it isn't, by its own probe.
+    /// When this node rechecks whether it is still unreachable; `None` if the last own probe
+    /// reached it.
     recheck_at: Option<Timestamp>,
     inconclusive_probes: u32,
-    /// When its flows last showed that it lives.
+    /// When its flows last showed that it is alive.
     alive_at: Option<Timestamp>,
-    /// When a probe of this node last reached it: what peers found before counts no longer.
+    /// When a probe of this node last reached it. Earlier findings of peers are ignored.
     reached_at: Option<Timestamp>,
     peers: PeerFindings,
-    /// Peers that were asked to confirm the verdict, and when the next one may be.
+    /// Peers asked to confirm the verdict so far; the next field says when to ask another one.
     confirmation_requests: u32,
     next_confirmation_request_at: Timestamp,
 }
 
-/// What a node has established of the instances that were in question, and heard of them.
+/// Tracks suspected and unreachable instances by the findings of this node and its peers.
 #[derive(Debug)]
 pub struct ReachabilityMonitor {
     own: Origin,
-    /// Whether all nodes stand in one zone, as far as this one knows.
+    /// Whether all nodes known to this one are in a single zone.
     single_zone: bool,
     states: BTreeMap<Cookie, InstanceState>,
 }
 
 impl ReachabilityMonitor {
-    /// A node that has heard nothing.
+    /// Creates a monitor without any suspects.
     #[must_use]
     pub const fn new(own: Origin) -> Self {
         Self {
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Whether all nodes stand in one zone.
+    /// Sets whether all known nodes are in a single zone.
     pub const fn set_single_zone(&mut self, single_zone: bool) {
         self.single_zone = single_zone;
     }
 
-    /// The finding of this node's own probe.
+    /// Returns the finding of a probe of this node that ended at `now`.
     #[must_use]
     pub const fn own_finding(&self, now: Timestamp, cookie: Cookie, reached: bool) -> Finding {
         Finding {
@@ -108,14 +110,15 @@
         }
     }
 
-    /// Whether a probe of this node that ended at `now` couldn't reach an instance.
+    /// Returns whether a probe of this node that ended at `now` could not reach the instance.
     #[must_use]
     pub fn found_unreachable(&self, now: Timestamp, cookie: Cookie) -> bool {
         let state = self.states.get(&cookie);
         state.is_some_and(|state| state.unreachable_at == Some(now))
     }
 
-    /// A peer has told what its probe of a known instance found. Returns whether that is news, to be told on.
+    /// Records a peer's finding about a known instance. Returns whether it is new and is to be
+    /// forwarded.
     pub fn record_finding(&mut self, now: Timestamp, finding: &Finding) -> bool {
         let state = self.states.entry(finding.cookie).or_default();
         let alive_at = state.alive_at;
@@ -143,8 +146,8 @@
         withdrawn
     }
 
-    /// Instances that this node couldn't reach and that a peer is to be asked about now, since nobody has confirmed
-    /// it.
+    /// Returns the instances that this node could not reach and that nobody has confirmed yet. A
+    /// peer is to be asked about each of them now; the requests are counted.
     pub fn take_unconfirmed(&mut self, now: Timestamp) -> Vec<Cookie> {
         let (own, single_zone) = (self.own, self.single_zone);
         let states = self.states.iter_mut();
@@ -165,7 +168,8 @@
         asked.collect()
     }
 
-    /// Something speaks against an instance. Returns whether that is news, for peers.
+    /// Marks an instance as suspected. Returns `false` if it already is, was probed recently, or
+    /// has a verdict that a probe would not change.
     pub fn suspect(&mut self, now: Timestamp, cookie: Cookie, source: SuspicionSource) -> bool {
         let state = self.states.entry(cookie).or_default();
         let probed_at = state.probed_at;
@@ -184,13 +188,14 @@
         true
     }
 
-    /// The instances in question that are to be probed now.
+    /// Returns the suspected instances to probe now, and marks their probes as running.
     pub fn take_suspects(&mut self, source: SuspicionSource) -> Vec<Cookie> {
         let requested_by_peer = source == SuspicionSource::PeerRequest;
         self.start_probes(|state| state.suspected && state.requested_by_peer == requested_by_peer)
     }
 
-    /// The unreachable instances that are to be probed again, since nobody else has done so.
+    /// Returns the unreachable instances to probe again, unless two independent peers have done so
+    /// since, and marks their probes as running.
     pub fn take_rechecks(&mut self, now: Timestamp) -> Vec<Cookie> {
         self.start_probes(|state| {
             let found_at = state.unreachable_at.filter(|at| is_fresh(now, *at));
@@ -211,8 +216,8 @@
         started.collect()
     }
 
-    /// What the records tell of instances. One that was unreachable when its record went, or another
-    /// one came to its address, has ended; if the record comes back, it lives.
+    /// Updates the record states. An instance whose record was deleted, or whose address was
+    /// reused, while it was unreachable has ended; if the record reappears, it is considered alive.
     pub fn update_records(
         &mut self,
         now: Timestamp,
@@ -229,7 +234,7 @@
         });
     }
 
-    /// A probe of an instance is over. Returns what changed.
+    /// Records the outcome of a probe. Returns the change in reachability, if any.
     pub fn record_probe(
         &mut self,
         now: Timestamp,
@@ -280,8 +285,8 @@
         })
     }
 
-    /// Instances whose flows may be ended, resting ones too: they are held to be unreachable, and peers have
-    /// had time to object.
+    /// Returns the instances whose flows may be ended, including idle ones: those that are
+    /// considered unreachable and whose time for refutations has passed.
     #[must_use]
     pub fn ended(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let had_time = |state: &InstanceState| {
@@ -294,8 +299,8 @@
         ended.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Instances of which a sign of life would change something: they are in question, or held to be
-    /// unreachable and not ended.
+    /// Returns the instances for which a sign of life would matter: those that are suspected or
+    /// considered unreachable, and have not ended.
     #[must_use]
     pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let states = self.states.iter();
@@ -303,8 +308,8 @@
         suspected.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// An instance in question lives, as its flows show: drops question and verdict. Returns whether
-    /// there was any.
+    /// Records that the flows of an instance under verification show it to be alive, which clears
+    /// the suspicion and the verdict. Returns whether there was any.
     pub fn record_alive(&mut self, now: Timestamp, cookie: Cookie) -> bool {
         let Some(state) = self.states.get_mut(&cookie) else {
             return false;
@@ -321,7 +326,7 @@
         true
     }
 
-    /// Forgets what is held of an instance. A probe of it that is under way tells nothing.
+    /// Removes the state of an instance. The outcome of a running probe of it is ignored.
     pub fn forget(&mut self, cookie: Cookie) {
         if let Some(state) = self.states.get_mut(&cookie) {
             *state = InstanceState {
@@ -332,19 +337,19 @@
         }
     }
 
-    /// Whether an instance was ever in question.
+    /// Returns whether there is any state for the instance.
     #[must_use]
     pub fn contains(&self, cookie: Cookie) -> bool {
         self.states.contains_key(&cookie)
     }
 
-    /// Whether no instance was ever in question, of those still known.
+    /// Returns whether there is no state for any instance.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Instances that are held to be unreachable.
+    /// Returns the instances that are considered unreachable.
     #[must_use]
     pub fn unreachable(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let states = self.states.iter();
@@ -352,8 +357,8 @@
         unreachable.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Instances that openings avoid: the unreachable ones, those that were a while ago, and those that another node
-    /// of this zone can't reach.
+    /// Returns the instances that openings avoid: the unreachable ones, those that were unreachable
+    /// recently, and those that another node of this zone cannot reach.
     #[must_use]
     pub fn avoided(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let zone = self.own.zone;
@@ -365,7 +370,7 @@
         avoided.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Whether an instance is in question, or held to be unreachable.
+    /// Returns whether an instance is suspected or considered unreachable.
     #[must_use]
     pub fn is_suspected(&self, now: Timestamp, cookie: Cookie) -> bool {
         let state = self.states.get(&cookie);
@@ -374,7 +379,7 @@
         })
     }
 
-    /// Forgets what this node holds, since it stood still: nothing of it is fresh any more.
+    /// Clears all verdicts after a stall of this process, because none of them is up to date.
     pub fn reset_after_stall(&mut self) {
         for state in self.states.values_mut() {
             state.unreachable_at = None;
--- a/crates/bellyoke-core/src/cookie/reachability/probe.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/probe.rs
@@ -1,22 +1,22 @@
-//! Probes: connections to instances in question, beside connections to others.
+//! Probes: connections to suspected instances, and to others as controls.
 
 use super::PROBE_ATTEMPTS;
 use crate::cookie::instance::Cookie;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// What a probe found.
+/// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// A connection opened.
     Reached,
-    /// None opened, though those of all controls did.
+    /// No connection opened, while those to all controls did.
     Unreachable,
-    /// None opened, and not those of all controls: the fault may be this node's.
+    /// No connection opened, and neither did those to all controls: the fault may be this node's.
     Inconclusive,
 }
 
-/// One probe under way.
+/// A running probe.
 ///
 /// ```
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
@@ -43,7 +43,7 @@
 }
 
 impl ProbeBatch {
-    /// A probe of some instances beside controls.
+    /// Creates a probe of `suspects`, with `controls` for comparison.
     #[must_use]
     pub const fn new(suspects: Vec<(Cookie, SocketAddrV4)>, controls: Vec<SocketAddrV4>) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same with so many attempts.
+    /// Sets the number of connection attempts.
     #[must_use]
     pub fn with_attempts(self, attempts: usize) -> Self {
         Self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Where to connect in the next attempt.
+    /// Returns the addresses to connect to in the next attempt.
     #[must_use]
     pub fn next_addresses(&self) -> Vec<SocketAddrV4> {
         let suspects = self.suspects.iter().map(|(_, address)| *address);
@@ -72,20 +72,20 @@
         unreached.chain(self.controls.iter().copied()).collect()
     }
 
-    /// An attempt is over, and these connections opened.
+    /// Records a finished attempt, in which the connections to `opened` succeeded.
     pub fn record_attempt(&mut self, opened: &BTreeSet<SocketAddrV4>) {
         self.attempts_left = self.attempts_left.saturating_sub(1);
         self.controls_failed |= !self.controls.iter().all(|control| opened.contains(control));
         self.reached.extend(opened);
     }
 
-    /// Attempts that are not over yet.
+    /// Returns the number of attempts left.
     #[must_use]
     pub const fn attempts_left(&self) -> usize {
         self.attempts_left
     }
 
-    /// Whether no attempt is left that could tell more.
+    /// Returns whether further attempts cannot change the outcome, or none are left.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let mut suspects = self.suspects.iter();
@@ -93,7 +93,7 @@
         all_reached || self.controls_failed || self.attempts_left == 0
     }
 
-    /// What it found.
+    /// Returns the outcome for each suspect.
     #[must_use]
     pub fn outcomes(&self) -> Vec<(Cookie, ProbeOutcome)> {
         let suspects = self.suspects.iter();
--- a/crates/bellyoke-core/src/cookie/readiness.rs
+++ b/crates/bellyoke-core/src/cookie/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether a node wants new flows, and when it may stop.
+//! Whether a node accepts new flows, and when it may stop.
 
 use crate::cookie::replica::Versions;
 use crate::cookie::revision::Revision;
@@ -12,13 +12,13 @@
     NoConfiguration,
     /// It has no list of instances yet.
     NoInstances,
-    /// It doesn't know yet which zones are drained.
+    /// It does not know yet which zones are drained.
     NoZones,
     /// It is leaving.
     Leaving,
 }
 
-/// A node's way from start to stop.
+/// The lifecycle of a node from start to stop.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     leave_delay: Duration,
@@ -26,8 +26,8 @@
 }
 
 impl Lifecycle {
-    /// A node that forwards for `leave_delay` after it was asked to stop, so that routers have
-    /// noticed that it is not ready.
+    /// Creates the lifecycle of a node that continues to forward for `leave_delay` after a stop
+    /// request, which gives routers the time to detect that it is not ready.
     #[must_use]
     pub const fn new(leave_delay: Duration) -> Self {
         Self {
@@ -36,28 +36,28 @@
         }
     }
 
-    /// The node was asked to stop. A second request changes nothing.
+    /// Records a stop request. A second request has no effect.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving_since.get_or_insert(now);
     }
 
-    /// Whether the node is leaving.
+    /// Returns whether the node is leaving.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
-    /// When the process may stop, once it was asked to.
+    /// Returns when the process may stop, or `None` before a stop request.
     #[must_use]
     pub fn stop_at(&self) -> Option<Timestamp> {
         Some(self.leaving_since?.after(self.leave_delay))
     }
 
-    /// Whether the node, which knows so much, takes new flows.
+    /// Checks whether a node with the given versions accepts new flows.
     ///
     /// # Errors
     ///
-    /// Why it doesn't.
+    /// The reason why it does not.
     pub fn ready(&self, known: Versions) -> Result<(), Unready> {
         if self.is_leaving() {
             return Err(Unready::Leaving);
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes that gossip in virtual time.
+//! A cluster of nodes that gossip in virtual time.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, record};
 use bellyoke_core::cookie::capacity::{CapacityClass, NodePlace, ZoneKey};
@@ -27,12 +27,12 @@
     pub served: usize,
 }
 
-/// Where nodes stand.
+/// How nodes are distributed over zones.
 #[derive(Clone, Copy)]
 pub struct Layout {
-    /// Nodes stand in so many zones in turn.
+    /// Number of zones, to which nodes are assigned in turn.
     pub zones: usize,
-    /// So many of the first nodes are larger than the others.
+    /// Number of nodes, from the first on, that are larger than the others.
     pub large: usize,
     pub own_zone_first: bool,
 }
@@ -52,17 +52,17 @@
     }
 }
 
-/// Nodes whose messages arrive at once, driven in steps of [`TICK`] milliseconds.
+/// Nodes with immediate message delivery, driven in steps of [`TICK`] milliseconds.
 pub struct Cluster {
     pub nodes: BTreeMap<SocketAddrV4, Node>,
     pub now: u64,
     pub cut_links: Vec<(SocketAddrV4, SocketAddrV4)>,
-    /// Whether nodes that watch the store are told that nothing is newer.
+    /// Whether the store confirms to its watchers that nothing is newer.
     pub store_answers: bool,
     pub layout: Layout,
-    /// Bytes sent of each kind, within zones and between them.
+    /// Bytes sent by kind of message, within zones and between them.
     pub traffic: BTreeMap<&'static str, [usize; 2]>,
-    /// Datagrams on their way: who sent each, and to whom.
+    /// Datagrams in flight, with their sender and receiver.
     in_flight: VecDeque<(SocketAddrV4, SocketAddrV4, PeerDatagram)>,
 }
 
@@ -71,13 +71,13 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, high, low), 7_000)
 }
 
-/// The zone in which a node stands, of so many.
+/// Returns the zone of a node, in a cluster of `zones` zones.
 pub fn zone_of(address: SocketAddrV4, zones: usize) -> usize {
     let [.., high, low] = address.ip().octets();
     usize::from(u16::from_be_bytes([high, low])) % zones
 }
 
-/// The kind of a datagram, and its bytes.
+/// Returns the kind of a datagram and its encoded length.
 fn encoded(datagram: &PeerDatagram) -> (&'static str, usize) {
     let key = PeerKey::default();
     let (kind, bytes) = match datagram {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The store tells a node that watches it that nothing is newer.
+    /// Confirms to a node that watches the store that nothing is newer.
     pub fn confirm(&mut self, address: SocketAddrV4) {
         let now = at(self.now);
         let node = self.nodes.get_mut(&address).unwrap();
@@ -206,7 +206,7 @@
         self.perform(address, outcome);
     }
 
-    /// Does what a node wants, and what comes of it.
+    /// Performs the effects of a node, and all that follow from them.
     pub fn perform(&mut self, from: SocketAddrV4, outcome: Outcome) {
         self.begin(from, outcome);
         while let Some((from, to, datagram)) = self.in_flight.pop_front() {
@@ -323,7 +323,7 @@
     watching_cluster_in(size, ONE_ZONE)
 }
 
-/// Nodes that know a configuration and watch the store.
+/// Creates nodes that have a configuration and watch the store.
 pub fn watching_cluster_in(size: usize, layout: Layout) -> Cluster {
     let mut cluster = Cluster::with_layout(size, layout);
     cluster.store_answers = true;
@@ -339,7 +339,7 @@
     }
 }
 
-/// Nodes in five zones that know some instances.
+/// Creates nodes in five zones that have `instances` instances.
 pub fn in_five_zones(nodes: usize, instances: u64) -> Cluster {
     let layout = Layout {
         zones: 5,
--- a/crates/bellyoke-core/tests/cookie/health.rs
+++ b/crates/bellyoke-core/tests/cookie/health.rs
@@ -1,4 +1,4 @@
-//! Passive health from the progress of openings.
+//! Passive health checks from the progress of openings.
 
 use crate::support::at;
 use bellyoke_core::cookie::health::{
@@ -166,7 +166,7 @@
 }
 
 proptest! {
-    /// An instance of which every opening succeeds is never suspected, whatever others do.
+    /// An instance at which every opening succeeds is never suspected, no matter what others do.
     #[test]
     fn no_false_suspicion(outcomes in prop::collection::vec((1..4_u32, 0..400_u64), 1..200)) {
         let mut monitor = monitor();
--- a/crates/bellyoke-core/tests/cookie/outlier_placement.rs
+++ b/crates/bellyoke-core/tests/cookie/outlier_placement.rs
@@ -1,4 +1,4 @@
-//! New flows where some instances are outliers, and what the forwarder tells of answers.
+//! Placement of new flows when some instances are outliers, and the forwarder's tallies of answers.
 
 use crate::support::{at, configuration, flow, later, node, opening, record};
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder};
@@ -16,7 +16,7 @@
     Cookie::of(InstanceId(id))
 }
 
-/// Ten instances behind a route whose requests are of a kind.
+/// Ten instances behind a route with requests of a given kind.
 fn table(kind: RequestKind) -> ForwardingTable {
     let mut replica = node((1..=INSTANCES).map(|id| record(id, 1)).collect());
     let mut routes = configuration(2, &[("till", 1)]).routes;
@@ -51,7 +51,7 @@
     }
 }
 
-/// A flow opens at once and goes on.
+/// Opens a flow and sends a later packet of it.
 fn placed_flow(forwarder: &mut Forwarder, table: &ForwardingTable, number: u32) -> Cookie {
     let (cookie, _) = place(forwarder, table, number, 0);
     let now = at(10_001 + u64::from(number) * 10);
@@ -105,7 +105,7 @@
     assert_eq!(destination.cookie, cookie(1));
 }
 
-/// A flow with one request, which is answered with so many bytes.
+/// Opens a flow with one request, whose answer has `bytes` bytes.
 fn request(
     forwarder: &mut Forwarder,
     table: &ForwardingTable,
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -1,4 +1,4 @@
-//! Instances whose answers fail, unlike those of others.
+//! Detection of instances whose answers fail, unlike those of others.
 
 use crate::support::{at, node, record};
 use bellyoke_core::cookie::coordinator::Coordinator;
@@ -16,7 +16,7 @@
 /// Instances of the service.
 const INSTANCES: u64 = 20;
 
-/// Requests that each has in a quarter of a second.
+/// Requests to each instance in 250 ms.
 const ASKED: u16 = 3;
 
 fn table() -> ForwardingTable {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A collector that hears of all requests.
+/// A collector that receives the tallies of all requests.
 struct Collector {
     table: ForwardingTable,
     detector: OutlierDetector,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Time passes, in which each instance has requests of which `failed` tell how many fail.
+    /// Advances the time. Each instance receives requests, of which `failed` fail.
     fn pass(&mut self, milliseconds: u64, failed: impl Fn(u64) -> u16) {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -89,7 +89,7 @@
 fn a_failure_now_and_then_sets_nobody_aside() {
     let mut collector = Collector::new();
     for round in 0..40 {
-        // One in thirty fails, at each in turn.
+        // One request in thirty fails, at each instance in turn.
         collector.pass(250, |id| u16::from(id % 10 == round % 10));
         assert_eq!(collector.outliers(), BTreeSet::new());
     }
@@ -127,7 +127,7 @@
     let mut collector = Collector::new();
     collector.pass(4_000, |id| if id == 7 { 2 } else { 0 });
     assert_eq!(collector.outliers().len(), 1);
-    // Trials bring it a request a quarter of a second.
+    // Trials send it one request in 250 ms.
     for _ in 0..32 {
         collector.now += 250;
         collector.review(&[tally(7, 1, 0)]);
@@ -197,12 +197,12 @@
     assert_eq!(board.outliers(&table(), 0.4).len(), 8);
 }
 
-/// Nodes that each see a request now and then, and whose messages arrive at once.
+/// Nodes that each see few requests, with immediate message delivery.
 struct Fleet {
     table: ForwardingTable,
     nodes: BTreeMap<SocketAddrV4, Coordinator>,
     now: u64,
-    /// Requests of a node in a tick.
+    /// Requests of a node per tick.
     asked: u16,
     reports: usize,
     cut_off: BTreeSet<SocketAddrV4>,
@@ -235,7 +235,8 @@
         }
     }
 
-    /// Time passes in which each node has a request a tick, at each instance in turn.
+    /// Advances the time. Each node sends its requests of each tick to one instance after the
+    /// other.
     fn pass(&mut self, milliseconds: u64, fails: impl Fn(u64) -> bool) {
         let end = self.now + milliseconds;
         let addresses: Vec<_> = self.nodes.keys().copied().collect();
@@ -276,7 +277,7 @@
         }
     }
 
-    /// How many nodes hold just these instances for outliers.
+    /// Returns the number of nodes for which exactly these instances are outliers.
     fn holding(&self, ids: &[u64]) -> usize {
         let expected: BTreeSet<Cookie> = ids.iter().map(|id| cookie(*id)).collect();
         let nodes = self.nodes.values();
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -1,4 +1,4 @@
-//! What probes establish, and which flows are ended for it.
+//! Probes of suspected instances, and the flows that are ended because of their outcome.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, later, node, opening, record};
 use bellyoke_core::cookie::capacity::{NodePlace, ZoneKey};
@@ -36,7 +36,8 @@
     }
 }
 
-/// A probe of instance 1 beside 2 and 3, of which these connections open in each attempt.
+/// Probes instance 1 with controls 2 and 3. `opened` lists the connections that open in each
+/// attempt.
 fn probe(opened: [&[u64]; PROBE_ATTEMPTS]) -> ProbeOutcome {
     let suspects = vec![(cookie(1), address(1))];
     let mut batch = ProbeBatch::new(suspects, vec![address(2), address(3)]);
@@ -53,7 +54,7 @@
 fn an_instance_is_unreachable_if_only_it_can_not_be_reached() {
     assert_eq!(probe([&[2, 3]; 3]), ProbeOutcome::Unreachable);
     assert_eq!(probe([&[2, 3], &[2, 3], &[1, 2, 3]]), ProbeOutcome::Reached);
-    // This node's own link may be at fault if a control fails, be it once.
+    // A single failed control is enough to suspect this node's own link.
     assert_eq!(probe([&[2, 3], &[2], &[2, 3]]), ProbeOutcome::Inconclusive);
     assert_eq!(probe([&[], &[], &[]]), ProbeOutcome::Inconclusive);
 }
@@ -96,14 +97,14 @@
     assert!(!change.unwrap().unreachable);
 }
 
-/// A dead instance is probed a few times, not for as long as it is remembered.
+/// A dead instance is probed a few times only, not for as long as its tombstone is kept.
 #[test]
 fn an_instance_whose_record_went_while_it_was_unreachable_has_ended() {
     let mut monitor = established(1_000);
     monitor.update_records(at(2_000), |_| Some(RecordState::Deleted));
     assert_eq!(monitor.take_rechecks(at(60_000)), []);
     assert!(!monitor.unreachable(at(60_000)).is_empty());
-    // The record comes back: it lives, as after an outage of the store.
+    // The record reappears, as after an outage of the store: the instance is considered alive.
     monitor.update_records(at(60_001), |_| Some(RecordState::Present));
     assert!(monitor.unreachable(at(60_001)).is_empty());
 }
@@ -131,7 +132,7 @@
     assert!(monitor.unreachable(at(1_000)).is_empty());
 }
 
-/// A forwarder whose flow 1 is open at instance 1, which can't be reached.
+/// A forwarder with flow 1 open at instance 1, which is unreachable.
 fn forwarder(table: &ForwardingTable) -> Forwarder {
     let mut forwarder = Forwarder::new(HealthSettings::default());
     forwarder.decide(at(1_000), table, &data(1, 100, 7), false);
@@ -187,7 +188,7 @@
     let table = node(vec![record(1, 1), record(2, 2)]).table();
     let mut forwarder = forwarder(&table);
     forwarder.decide(at(4_000), &table, &data(2, 300, 50), false);
-    // The client of another flow acknowledges something new: the instance has answered.
+    // The client of another flow acknowledges new data: the instance has answered.
     forwarder.decide(at(4_900), &table, &data(2, 350, 90), false);
     forwarder.decide(at(5_000), &table, &data(1, 200, 7), false);
     for now in [5_200, 5_600, 9_000] {
@@ -209,7 +210,8 @@
     }
 }
 
-/// What takes connections there may be another instance, which takes none of the first one's flows.
+/// The process that accepts connections there may be another instance, which does not know the
+/// flows of the first one.
 #[test]
 fn openings_avoid_an_instance_that_was_unreachable_until_it_shows_life() {
     let mut monitor = established(1_000);
@@ -233,7 +235,7 @@
         let placed = decisions.any(|decision| {
             matches!(decision, Decision::Place { destination, .. } if destination.instance == InstanceId(1))
         });
-        // The client of a flow at 1 acknowledges something new.
+        // The client of a flow at instance 1 acknowledges new data.
         let number = u32::try_from(now).unwrap();
         forwarder.decide(at(now), &table, &data(60_000, number, number), false);
         placed
@@ -280,7 +282,7 @@
     questions.collect()
 }
 
-/// The instances that each report of findings tells of.
+/// Returns the instances in each report of findings.
 fn told(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
     let reports = effects.iter().filter_map(|effect| match effect {
         ExchangeEffect::SendFindings { report, .. } => {
@@ -317,7 +319,7 @@
     let ask = PeerDatagram::Question(question);
     let effects = other.handle_datagram(at(500), peer(), ask).effects;
     assert_eq!(effects, [], "only the one that was asked probes it");
-    // It finds out for itself: a peer's word alone ends no flow.
+    // It probes the instance itself: a peer's request alone ends no flow.
     assert!(other.unreachable(at(501)).is_empty());
     let batch = other.next_probe(at(501), &[]).unwrap();
     assert_eq!(batch.outcomes().len(), 1, "77 is not known");
@@ -335,7 +337,7 @@
     assert_eq!(outcomes.len(), 6, "7 and 8 are the controls");
 }
 
-/// Instance 9, created later than instance 1, comes to its address.
+/// Instance 9, created later than instance 1, takes over its address.
 fn address_passes_on(node: &mut Coordinator, now: u64) {
     let successor = InstanceRecord {
         address: address(1),
@@ -348,7 +350,8 @@
     node.apply_instances(at(now), update);
 }
 
-/// What takes connections at the address is the later instance: the earlier one has ended all the same.
+/// Connections to the address reach the later instance. That must not make the earlier one, which
+/// was unreachable, look alive again.
 #[test]
 fn an_instance_that_was_unreachable_when_its_address_passed_on_has_ended() {
     let mut node = coordinator();
--- a/crates/bellyoke-core/tests/cookie/support.rs
+++ b/crates/bellyoke-core/tests/cookie/support.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// A node that knows one route to the service `till` and these instances, as of revision 10.
+/// Creates the state of a node with one route to the service `till` and these instances, as of
+/// revision 10.
 pub fn node(records: Vec<InstanceRecord>) -> Replica {
     let mut replica = Replica::new(TOMBSTONE_LIFETIME);
     replica.adopt_configuration(configuration(1, &[("till", 1)]));
