--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -318,7 +318,7 @@
         let replica = &self.replica;
         let behind = |versions| replica.is_behind(versions);
         let mut effects = self.exchange.tick(now, replica.versions(), behind);
-        effects.extend(self.ask_for_confirmation(now));
+        effects.extend(self.request_confirmation(now));
         (Outcome { change, effects }, stalled)
     }
 
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -43,11 +43,11 @@
         if due.is_empty() {
             return None;
         }
-        let batch = self.probe_of(now, &due, healthy, controls);
+        let batch = self.build_probe(now, &due, healthy, controls);
         Some(batch.with_attempts(attempts))
     }
 
-    fn probe_of(
+    fn build_probe(
         &self,
         now: Timestamp,
         cookies: &[Cookie],
@@ -59,7 +59,7 @@
             let known = directory.find(*cookie)?;
             Some((*cookie, known.record.address))
         });
-        let controls = controls(now, directory, &self.reachability, healthy, count);
+        let controls = select_controls(now, directory, &self.reachability, healthy, count);
         ProbeBatch::new(suspects.collect(), controls)
     }
 
@@ -76,21 +76,24 @@
         for (cookie, outcome) in outcomes {
             let change = self.reachability.record_probe(now, *cookie, *outcome);
             let is_unreachable = self.reachability.found_unreachable(now, *cookie);
-            let is_back = change.is_some_and(|change| !change.unreachable);
-            if is_unreachable || is_back {
-                findings.push(self.reachability.own_finding(now, *cookie, is_back));
+            let is_reachable_again = change.is_some_and(|change| !change.unreachable);
+            if is_unreachable || is_reachable_again {
+                findings.push(
+                    self.reachability
+                        .own_finding(now, *cookie, is_reachable_again),
+                );
             }
             changes.extend(change);
         }
         self.update_records(now);
         let mut effects = self.exchange.tell_findings(now, findings);
-        effects.extend(self.ask_for_confirmation(now));
+        effects.extend(self.request_confirmation(now));
         (changes, effects)
     }
 
     /// Asks a peer of another zone to probe what this node could not reach, and another one if it
     /// does not confirm the finding.
-    pub(super) fn ask_for_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
+    pub(super) fn request_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         if self.reachability.is_empty() {
             return Vec::new();
         }
@@ -112,12 +115,12 @@
         let reachability = &mut self.reachability;
         let findings = report.findings_at(now);
         let known = findings.filter(|finding| directory.find(finding.cookie).is_some());
-        let news: Vec<Finding> = known
+        let new_findings: Vec<Finding> = known
             .filter(|finding| reachability.record_finding(now, finding))
             .collect();
         Outcome {
             change: StateChange::default(),
-            effects: self.exchange.tell_findings(now, news),
+            effects: self.exchange.tell_findings(now, new_findings),
         }
     }
 
@@ -154,11 +157,11 @@
         alive: &[Cookie],
     ) -> (Vec<Cookie>, Vec<ExchangeEffect>) {
         let alive = alive.iter().copied();
-        let dropped: Vec<Cookie> = alive
+        let refuted: Vec<Cookie> = alive
             .filter(|cookie| self.reachability.record_alive(now, *cookie))
             .collect();
-        let effects = self.exchange.tell_living(&dropped);
-        (dropped, effects)
+        let effects = self.exchange.tell_living(&refuted);
+        (refuted, effects)
     }
 
     /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
@@ -185,15 +188,15 @@
     /// Passes deleted records and reused addresses to the reachability monitor, which contains few
     /// instances most of the time.
     pub(super) fn update_records(&mut self, now: Timestamp) {
-        let held = &self.reachability;
-        if held.is_empty() {
+        let reachability = &self.reachability;
+        if reachability.is_empty() {
             return;
         }
         let directory = self.replica.directory();
-        let succeeded = directory.succeeded();
-        let state_of = |cookie| {
+        let address_reused = directory.succeeded();
+        let record_of = |cookie| {
             let known = directory.find(cookie)?;
-            Some(if succeeded.contains(&known.record.id) {
+            Some(if address_reused.contains(&known.record.id) {
                 RecordState::AddressReused
             } else if known.gone_at.is_some() {
                 RecordState::Deleted
@@ -201,14 +204,14 @@
                 RecordState::Present
             })
         };
-        self.reachability.update_records(now, state_of);
+        self.reachability.update_records(now, record_of);
     }
 
     /// Handles a peer's request to probe instances that it cannot reach.
     pub(super) fn handle_probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
-        let asked = question.cookies.iter();
-        let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
-        for cookie in asked {
+        let suspects = question.cookies.iter();
+        let suspects = suspects.filter_map(|bits| Cookie::from_bits(*bits));
+        for cookie in suspects {
             if self.replica.directory().find(cookie).is_some() {
                 self.reachability
                     .suspect(now, cookie, SuspicionSource::PeerRequest);
@@ -221,7 +224,7 @@
 
 /// Returns instances that are not suspected, as controls of a probe. Those known to be healthy come
 /// first; the others vary from probe to probe.
-fn controls(
+fn select_controls(
     now: Timestamp,
     directory: &Directory,
     reachability: &ReachabilityMonitor,
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -165,9 +165,9 @@
         }
         let is_known = |cookie| table.destination(cookie).is_some();
         let evidence_timeout = self.settings.evidence_timeout * (1 << MAXIMUM_TIMEOUT_DOUBLINGS);
-        self.evidence.retain(|cookie, held| {
-            let counts = held.ejected_at.is_some() || held.bad > NEGLIGIBLE_REQUESTS;
-            is_known(*cookie) && (counts || now.since(held.reported_at) < evidence_timeout)
+        self.evidence.retain(|cookie, evidence| {
+            let counts = evidence.ejected_at.is_some() || evidence.bad > NEGLIGIBLE_REQUESTS;
+            is_known(*cookie) && (counts || now.since(evidence.reported_at) < evidence_timeout)
         });
         changes
     }
@@ -175,17 +175,19 @@
     /// Returns the ejected instances, the worst first.
     #[must_use]
     pub fn outliers(&self) -> Vec<Cookie> {
-        let held = self.evidence.iter();
-        let mut held: Vec<_> = held.filter(|(_, held)| held.ejected_at.is_some()).collect();
-        held.sort_by(|(_, one), (_, other)| other.bad.total_cmp(&one.bad));
-        held.into_iter().map(|(cookie, _)| *cookie).collect()
+        let evidence = self.evidence.iter();
+        let mut ejected: Vec<_> = evidence
+            .filter(|(_, evidence)| evidence.ejected_at.is_some())
+            .collect();
+        ejected.sort_by(|(_, one), (_, other)| other.bad.total_cmp(&one.bad));
+        ejected.into_iter().map(|(cookie, _)| *cookie).collect()
     }
 
     fn record(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         for tally in tallies {
-            let is_held = self.evidence.contains_key(&tally.cookie);
+            let is_known = self.evidence.contains_key(&tally.cookie);
             // Good requests are counted only for instances that already had a bad one.
-            if !is_held && tally.bad() == 0 {
+            if !is_known && tally.bad() == 0 {
                 continue;
             }
             let evidence = self.evidence.entry(tally.cookie).or_default();
@@ -234,10 +236,10 @@
         let median_bad_fraction = self.median_bad_fraction_of(&candidates, expected);
         let maximum_ejected = (candidates.len() as f64 * self.settings.largest_share) as usize;
         self.reinstate(now, &candidates, median_bad_fraction, changes);
-        let held = |held: &Evidence| held.ejected_at.is_some();
+        let is_ejected = |evidence: &Evidence| evidence.ejected_at.is_some();
         let ejected = candidates
             .iter()
-            .filter(|cookie| self.evidence.get(cookie).is_some_and(held))
+            .filter(|cookie| self.evidence.get(cookie).is_some_and(is_ejected))
             .count();
         let mut worst: Vec<(f64, Cookie)> = candidates
             .iter()
@@ -278,11 +280,11 @@
         median_bad_fraction: f64,
     ) -> bool {
         let settings = &self.settings;
-        let part = bad_fraction(evidence, expected);
+        let fraction = bad_fraction(evidence, expected);
         evidence.ejected_at.is_none()
             && evidence.bad >= settings.minimum_bad_requests
-            && part >= settings.minimum_bad_fraction
-            && part >= median_bad_fraction * settings.minimum_median_factor
+            && fraction >= settings.minimum_bad_fraction
+            && fraction >= median_bad_fraction * settings.minimum_median_factor
     }
 
     fn eject(
@@ -294,8 +296,8 @@
         let evidence_timeout = self.settings.evidence_timeout;
         let evidence = self.evidence.get_mut(&cookie)?;
         evidence.ejected_at = Some(now);
-        let soon = |reinstated_at: Timestamp| now.since(reinstated_at) < evidence_timeout * 2;
-        evidence.re_ejections = if evidence.reinstated_at.is_some_and(soon) {
+        let is_recent = |reinstated_at: Timestamp| now.since(reinstated_at) < evidence_timeout * 2;
+        evidence.re_ejections = if evidence.reinstated_at.is_some_and(is_recent) {
             (evidence.re_ejections + 1).min(MAXIMUM_TIMEOUT_DOUBLINGS)
         } else {
             0
@@ -326,15 +328,15 @@
             let Some(evidence) = self.evidence.get_mut(cookie) else {
                 continue;
             };
-            let Some(since) = evidence.ejected_at else {
+            let Some(ejected_at) = evidence.ejected_at else {
                 continue;
             };
             let evidence_timeout = settings.evidence_timeout * (1 << evidence.re_ejections);
-            let forgotten = now.since(evidence.reported_at.max(since)) >= evidence_timeout;
+            let has_timed_out = now.since(evidence.reported_at.max(ejected_at)) >= evidence_timeout;
             let is_good = evidence.requests >= settings.minimum_bad_requests
                 && evidence.bad / evidence.requests < reinstatement_fraction;
-            let works = evidence.consecutive_good >= REINSTATEMENT_GOOD_REQUESTS;
-            if !(forgotten || is_good || works) {
+            let has_recovered = evidence.consecutive_good >= REINSTATEMENT_GOOD_REQUESTS;
+            if !(has_timed_out || is_good || has_recovered) {
                 continue;
             }
             changes.push(OutlierChange {
@@ -343,7 +345,7 @@
                 bad: evidence.bad,
                 requests: evidence.requests,
                 median_bad_fraction,
-                ejected_for: now.since(since),
+                ejected_for: now.since(ejected_at),
             });
             evidence.ejected_at = None;
             evidence.bad = 0.0;
--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -45,11 +45,11 @@
 ///     priority: 0,
 ///     fate: AnswerFate::Short { after: Duration::from_millis(2) },
 /// };
-/// let mut book = TallyAccumulator::default();
-/// book.record(&JudgedSample { sample, quality: AnswerQuality::Failed });
-/// let tallies = book.take();
+/// let mut accumulator = TallyAccumulator::default();
+/// accumulator.record(&JudgedSample { sample, quality: AnswerQuality::Failed });
+/// let tallies = accumulator.take();
 /// assert_eq!((tallies[0].requests, tallies[0].failed), (1, 1));
-/// assert!(book.is_empty());
+/// assert!(accumulator.is_empty());
 /// ```
 #[derive(Debug, Default)]
 pub struct TallyAccumulator {
--- a/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
@@ -38,9 +38,9 @@
     pub fn record(&mut self, now: Timestamp, verdicts: &Verdicts) -> bool {
         self.expire(now);
         let known = self.by_collector.get(&verdicts.collector);
-        let is_news = known.is_none_or(|(_, known)| known.sequence < verdicts.sequence);
+        let is_new = known.is_none_or(|(_, known)| known.sequence < verdicts.sequence);
         let has_room = known.is_some() || self.by_collector.len() < MAXIMUM_COLLECTORS;
-        if !is_news || !has_room {
+        if !is_new || !has_room {
             return false;
         }
         self.by_collector
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -129,11 +129,11 @@
         }
         if !finding.reached {
             let was_under_verification = state.is_under_verification(now);
-            let is_news = state.peers.record(now, finding, self.single_zone);
-            if is_news && !was_under_verification {
+            let is_new = state.peers.record(now, finding, self.single_zone);
+            if is_new && !was_under_verification {
                 state.refutations_requested_at = Some(now);
             }
-            return is_news;
+            return is_new;
         }
         let withdrawn = state.peers.withdraw(finding, self.single_zone);
         if withdrawn && !state.is_under_verification(now) {
@@ -160,12 +160,12 @@
                 && now >= state.next_confirmation_request_at
                 && !state.peers.confirms(now, own, single_zone)
         });
-        let asked = unconfirmed.map(|(cookie, state)| {
+        let requested = unconfirmed.map(|(cookie, state)| {
             state.confirmation_requests += 1;
             state.next_confirmation_request_at = now.after(CONFIRMATION_TIMEOUT);
             *cookie
         });
-        asked.collect()
+        requested.collect()
     }
 
     /// Marks an instance as suspected. Returns `false` if it already is, was probed recently, or
@@ -175,8 +175,8 @@
         let probed_at = state.probed_at;
         let recently_probed = probed_at.is_some_and(|at| now.since(at) < SUSPICION_INTERVAL);
         let is_answered = source == SuspicionSource::OwnOpening && state.peers.has_agreement(now);
-        let is_over = state.ended || state.address_reused || is_answered;
-        if state.suspected || state.probe_running || recently_probed || is_over {
+        let is_decided = state.ended || state.address_reused || is_answered;
+        if state.suspected || state.probe_running || recently_probed || is_decided {
             return false;
         }
         state.suspected = true;
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -192,29 +192,29 @@
         }
         let coordinator = &mut node.coordinator;
         let at_revision = coordinator.known_up_to(ObjectKind::Instances);
-        let nothing = Update::Changes {
+        let confirmation = Update::Changes {
             at: at_revision,
             events: Vec::new(),
         };
-        let mut outcome = coordinator.apply_instances(now, nothing);
-        let nothing = Update::Changes {
+        let mut outcome = coordinator.apply_instances(now, confirmation);
+        let confirmation = Update::Changes {
             at: at_revision,
             events: Vec::new(),
         };
-        let second = coordinator.apply_configurations(now, nothing);
+        let second = coordinator.apply_configurations(now, confirmation);
         outcome.effects.extend(second.effects);
         self.perform(address, outcome);
     }
 
     /// Performs the effects of a node, and all that follow from them.
     pub fn perform(&mut self, from: SocketAddrV4, outcome: Outcome) {
-        self.begin(from, outcome);
+        self.start_effects(from, outcome);
         while let Some((from, to, datagram)) = self.in_flight.pop_front() {
-            self.arrive(from, to, datagram);
+            self.receive(from, to, datagram);
         }
     }
 
-    fn begin(&mut self, from: SocketAddrV4, outcome: Outcome) {
+    fn start_effects(&mut self, from: SocketAddrV4, outcome: Outcome) {
         for effect in outcome.effects {
             match effect {
                 ExchangeEffect::Send { to, heartbeat } => {
@@ -256,13 +256,13 @@
         }
     }
 
-    fn arrive(&mut self, from: SocketAddrV4, to: SocketAddrV4, datagram: PeerDatagram) {
+    fn receive(&mut self, from: SocketAddrV4, to: SocketAddrV4, datagram: PeerDatagram) {
         let now = at(self.now);
         let Some(node) = self.nodes.get_mut(&to).filter(|node| node.alive) else {
             return;
         };
         let outcome = node.coordinator.handle_datagram(now, from, datagram);
-        self.begin(to, outcome);
+        self.start_effects(to, outcome);
     }
 
     pub fn fetch(&mut self, to: SocketAddrV4, from: SocketAddrV4) {
@@ -284,7 +284,7 @@
             return;
         };
         let outcome = node.coordinator.apply_snapshot(now, from, snapshot);
-        self.begin(to, outcome);
+        self.start_effects(to, outcome);
     }
 
     fn count(&mut self, kind: &'static str, from: SocketAddrV4, to: SocketAddrV4, length: usize) {
@@ -297,8 +297,9 @@
     }
 
     pub fn nodes_knowing(&self, revision: u64) -> usize {
-        let knows = |node: &&Node| node.alive && self.versions(node).configuration >= revision;
-        self.nodes.values().filter(knows).count()
+        let is_up_to_date =
+            |node: &&Node| node.alive && self.versions(node).configuration >= revision;
+        self.nodes.values().filter(is_up_to_date).count()
     }
 
     pub fn with_duty(&self, wanted: StoreDuty) -> Vec<SocketAddrV4> {
@@ -309,13 +310,13 @@
     }
 
     pub fn passive_nodes(&self) -> usize {
-        let rests = |node: &&Node| {
+        let is_passive = |node: &&Node| {
             let plan = node
                 .coordinator
                 .watch_plan(at(self.now), ObjectKind::Instances);
             matches!(plan, WatchPlan::RestUntil(until) if until > at(self.now))
         };
-        self.nodes.values().filter(rests).count()
+        self.nodes.values().filter(is_passive).count()
     }
 }
 
@@ -340,7 +341,7 @@
 }
 
 /// Creates nodes in five zones that have `instances` instances.
-pub fn in_five_zones(nodes: usize, instances: u64) -> Cluster {
+pub fn cluster_in_five_zones(nodes: usize, instances: u64) -> Cluster {
     let layout = Layout {
         zones: 5,
         large: 0,
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -1,6 +1,6 @@
 //! What nodes make of what other nodes' probes found, and what a dead instance costs them all.
 
-use crate::cluster::{TICK, address, in_five_zones};
+use crate::cluster::{TICK, address, cluster_in_five_zones};
 use crate::support::at;
 use bellyoke_core::cookie::capacity::ZoneKey;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId};
@@ -192,7 +192,7 @@
 /// One node's opening at an instance comes to nothing; probes of all nodes run for six seconds, by when its record
 /// has gone.
 fn cost_of_a_death(nodes: usize) -> Cost {
-    let mut cluster = in_five_zones(nodes, 50);
+    let mut cluster = cluster_in_five_zones(nodes, 50);
     cluster.traffic.clear();
     let began = cluster.now;
     let doubting = cluster.node(nodes / 2);
--- a/crates/bellyoke-core/tests/cookie/health.rs
+++ b/crates/bellyoke-core/tests/cookie/health.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn openings_in_a_row_that_come_to_nothing_make_an_instance_suspected() {
+fn an_instance_is_suspected_after_failed_openings_in_a_row() {
     let mut monitor = suspecting();
     assert!(monitor.is_suspected(at(310), cookie(1)));
     assert!(!monitor.is_suspected(at(310), cookie(2)));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn one_lost_opening_means_nothing() {
+fn a_single_lost_opening_causes_no_suspicion() {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.expire(at(1_000));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_flow_that_opens_clears_the_count() {
+fn a_completed_opening_resets_the_failure_count() {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.record_opening(at(160), 12, cookie(1));
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn packets_of_flows_that_were_open_before_prove_nothing() {
+fn packets_of_already_open_flows_do_not_end_a_suspicion() {
     let mut monitor = suspecting();
     monitor.record_progress(at(310), 99, cookie(1));
     assert!(monitor.is_suspected(at(311), cookie(1)));
 }
 
 #[test]
-fn a_copy_tells_that_the_first_opening_failed() {
+fn a_copy_of_an_opening_counts_the_first_one_as_failed() {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.record_opening(at(1), 12, cookie(1));
@@ -85,7 +85,7 @@
     monitor.record_opening(at(2_310), 21, cookie(1));
     assert!(
         monitor.is_suspected(at(2_311), cookie(1)),
-        "others wait for its outcome"
+        "only one trial at a time"
     );
     monitor.record_progress(at(2_312), 21, cookie(1));
     assert!(!monitor.is_suspected(at(2_312), cookie(1)));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn each_failed_trial_doubles_the_pause_to_the_next() {
+fn each_failed_trial_doubles_the_time_to_the_next() {
     let mut monitor = suspecting();
     let mut now = 2_310;
     for (trial, pause) in [4_000, 8_000, 16_000, 16_000, 16_000]
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn openings_that_fail_together_count_as_no_trial() {
+fn simultaneous_failures_do_not_count_as_failed_trials() {
     let mut monitor = monitor();
     for flow in 0..20 {
         monitor.record_opening(at(0), flow, cookie(1));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn openings_under_way_in_a_stall_are_not_judged() {
+fn pending_openings_are_discarded_after_a_stall() {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.record_opening(at(1), 12, cookie(1));
@@ -131,21 +131,21 @@
 }
 
 #[test]
-fn what_peers_suspect_is_suspected_without_a_failure_of_our_own() {
+fn instances_that_peers_suspect_are_suspected_without_own_failures() {
     let mut monitor = monitor();
     monitor.set_peer_suspicions(&suspected_by_peers(1));
     assert!(monitor.is_suspected(at(100), cookie(1)));
     assert_eq!(
         monitor.failing_instances().count(),
         0,
-        "what peers suspect is not told on"
+        "suspicions of peers are not announced again"
     );
     monitor.set_peer_suspicions(&BTreeSet::new());
     assert!(!monitor.is_suspected(at(200), cookie(1)));
 }
 
 #[test]
-fn a_success_of_our_own_counts_more_than_that_of_peers() {
+fn an_own_success_overrides_suspicions_of_peers() {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.record_progress(at(5), 11, cookie(1));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn what_is_held_is_bounded() {
+fn the_number_of_pending_openings_is_bounded() {
     let mut monitor = monitor();
     let openings = u64::try_from(MAXIMUM_PENDING_OPENINGS).unwrap() * 2;
     for number in 0..openings {
--- a/crates/bellyoke-core/tests/cookie/outlier_placement.rs
+++ b/crates/bellyoke-core/tests/cookie/outlier_placement.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_must_not_be_repeated_goes_to_no_outlier_and_neither_do_copies() {
+fn non_idempotent_requests_and_copies_of_openings_avoid_outliers() {
     let table = table(RequestKind::NonIdempotent);
     for number in 0..500 {
         let mut forwarder = forwarder(1..=3);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn few_flows_that_may_be_repeated_try_outliers() {
+fn a_few_flows_with_idempotent_requests_try_outliers() {
     let table = table(RequestKind::Idempotent);
     let mut forwarder = forwarder(1..=3);
     let tried = (0..3_200).filter(|number| {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn where_all_are_outliers_all_get_flows() {
+fn if_all_instances_are_outliers_all_get_flows() {
     let table = table(RequestKind::NonIdempotent);
     let mut forwarder = forwarder(1..=INSTANCES);
     let placed: BTreeSet<Cookie> = (0..300)
@@ -100,7 +100,7 @@
     let mut forwarder = forwarder([1]);
     let decision = forwarder.decide(at(10_000), &table, &later(1, cookie(1)), false);
     let Decision::Follow { destination, .. } = decision else {
-        panic!("not followed: {decision:?}");
+        panic!("not forwarded: {decision:?}");
     };
     assert_eq!(destination.cookie, cookie(1));
 }
@@ -114,45 +114,45 @@
 ) -> Cookie {
     let (cookie, _) = place(forwarder, table, number, 0);
     let sent = 10_001 + u64::from(number) * 10;
-    let asks = FlowPacket {
+    let request = FlowPacket {
         flow: flow(number),
         data_sequence: Some(1),
         data_length: 200,
         acknowledged: 500,
         ..later(number, cookie)
     };
-    forwarder.decide(at(sent), table, &asks, false);
-    let ends = FlowPacket {
+    forwarder.decide(at(sent), table, &request, false);
+    let end = FlowPacket {
         closes: true,
         acknowledged: 500 + bytes(cookie),
         ..later(number, cookie)
     };
-    forwarder.decide(at(sent + 5), table, &ends, false);
+    forwarder.decide(at(sent + 5), table, &end, false);
     cookie
 }
 
 #[test]
-fn the_forwarder_tells_what_became_of_requests() {
+fn the_forwarder_counts_request_outcomes() {
     let table = table(RequestKind::NonIdempotent);
     let mut forwarder = forwarder([]);
     for number in 0..200 {
         request(&mut forwarder, &table, number, |_| 1_000);
     }
     let tallies = forwarder.take_tallies();
-    let asked: u16 = tallies.iter().map(|tally| tally.requests).sum();
+    let requests: u16 = tallies.iter().map(|tally| tally.requests).sum();
     let bad: u16 = tallies.iter().map(|tally| tally.bad()).sum();
-    assert_eq!((asked, bad), (200, 0));
+    assert_eq!((requests, bad), (200, 0));
     assert!(forwarder.take_tallies().is_empty());
 }
 
 #[test]
-fn an_instance_that_fails_at_once_draws_no_flows() {
+fn an_instance_that_fails_fast_attracts_no_extra_flows() {
     let table = table(RequestKind::NonIdempotent);
     let mut forwarder = forwarder([]);
     for number in 0..200 {
         request(&mut forwarder, &table, number, |_| 1_000);
     }
-    let fails = |asked: Cookie| if asked == cookie(7) { 150 } else { 1_000 };
+    let fails = |instance: Cookie| if instance == cookie(7) { 150 } else { 1_000 };
     let placed =
         (200..600).filter(|number| request(&mut forwarder, &table, *number, fails) == cookie(7));
     let placed = placed.count();
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -17,7 +17,7 @@
 const INSTANCES: u64 = 20;
 
 /// Requests to each instance in 250 ms.
-const ASKED: u16 = 3;
+const REQUESTS: u16 = 3;
 
 fn table() -> ForwardingTable {
     node((1..=INSTANCES).map(|id| record(id, 1)).collect()).table()
@@ -53,12 +53,12 @@
     }
 
     /// Advances the time. Each instance receives requests, of which `failed` fail.
-    fn pass(&mut self, milliseconds: u64, failed: impl Fn(u64) -> u16) {
+    fn advance(&mut self, milliseconds: u64, failed: impl Fn(u64) -> u16) {
         let end = self.now + milliseconds;
         while self.now < end {
             self.now += 250;
             let tallies: Vec<_> = (1..=INSTANCES)
-                .map(|id| tally(id, ASKED, failed(id)))
+                .map(|id| tally(id, REQUESTS, failed(id)))
                 .collect();
             self.review(&tallies);
         }
@@ -77,55 +77,55 @@
 }
 
 #[test]
-fn an_instance_that_fails_most_requests_is_set_aside_within_a_second() {
+fn an_instance_that_fails_most_requests_is_ejected_within_a_second() {
     let mut collector = Collector::new();
-    collector.pass(5_000, |_| 0);
+    collector.advance(5_000, |_| 0);
     assert!(collector.detector.has_no_evidence());
-    collector.pass(1_000, |id| if id == 7 { 2 } else { 0 });
+    collector.advance(1_000, |id| if id == 7 { 2 } else { 0 });
     assert_eq!(collector.outliers(), BTreeSet::from([cookie(7)]));
 }
 
 #[test]
-fn a_failure_now_and_then_sets_nobody_aside() {
+fn occasional_failures_eject_no_instance() {
     let mut collector = Collector::new();
     for round in 0..40 {
         // One request in thirty fails, at each instance in turn.
-        collector.pass(250, |id| u16::from(id % 10 == round % 10));
+        collector.advance(250, |id| u16::from(id % 10 == round % 10));
         assert_eq!(collector.outliers(), BTreeSet::new());
     }
 }
 
 #[test]
-fn where_all_fail_nobody_stands_out() {
+fn no_instance_is_ejected_if_all_fail() {
     let mut collector = Collector::new();
-    collector.pass(10_000, |_| 2);
+    collector.advance(10_000, |_| 2);
     assert_eq!(collector.outliers(), BTreeSet::new());
 }
 
 #[test]
-fn where_nine_in_ten_fail_nobody_stands_out() {
+fn no_instance_is_ejected_if_nine_in_ten_fail() {
     let mut collector = Collector::new();
-    collector.pass(10_000, |id| if id <= 18 { 2 } else { 0 });
+    collector.advance(10_000, |id| if id <= 18 { 2 } else { 0 });
     assert_eq!(collector.outliers(), BTreeSet::new());
 }
 
 #[test]
-fn no_more_than_a_share_is_set_aside_the_worst_first() {
+fn the_worst_instances_are_ejected_up_to_the_largest_share() {
     let mut collector = Collector::new();
-    collector.pass(4_000, |id| match id {
+    collector.advance(4_000, |id| match id {
         1..=6 => 3,
         7..=9 => 2,
         _ => 0,
     });
     let outliers = collector.outliers();
-    assert_eq!(outliers.len(), 8, "two fifths of 20");
+    assert_eq!(outliers.len(), 8, "40 % of 20");
     assert!((1..=6).all(|id| outliers.contains(&cookie(id))));
 }
 
 #[test]
-fn an_instance_that_works_again_is_back_within_seconds() {
+fn a_recovered_instance_is_reinstated_within_seconds() {
     let mut collector = Collector::new();
-    collector.pass(4_000, |id| if id == 7 { 2 } else { 0 });
+    collector.advance(4_000, |id| if id == 7 { 2 } else { 0 });
     assert_eq!(collector.outliers().len(), 1);
     // Trials send it one request in 250 ms.
     for _ in 0..32 {
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn an_instance_of_which_nothing_is_heard_is_tried_in_the_end() {
+fn an_ejected_instance_without_requests_is_reinstated_eventually() {
     let mut collector = Collector::new();
-    collector.pass(2_000, |id| if id == 7 { 3 } else { 0 });
+    collector.advance(2_000, |id| if id == 7 { 3 } else { 0 });
     for _ in 0..44 {
         assert_eq!(collector.outliers().len(), 1);
         collector.now += 200;
@@ -150,13 +150,13 @@
 }
 
 #[test]
-fn without_a_share_nobody_is_set_aside() {
+fn a_largest_share_of_zero_disables_ejection() {
     let mut collector = Collector::new();
     collector.detector = OutlierDetector::new(OutlierSettings {
         largest_share: 0.0,
         ..OutlierSettings::default()
     });
-    collector.pass(4_000, |id| if id == 7 { 3 } else { 0 });
+    collector.advance(4_000, |id| if id == 7 { 3 } else { 0 });
     assert_eq!(collector.outliers(), BTreeSet::new());
 }
 
@@ -169,32 +169,32 @@
 }
 
 #[test]
-fn verdicts_are_passed_on_once_and_age_out() {
+fn verdicts_are_forwarded_once_and_expire() {
     let table = table();
-    let mut board = VerdictCache::default();
-    assert!(board.record(at(1_000), &verdicts(1, 1, [3])));
-    assert!(!board.record(at(1_010), &verdicts(1, 1, [3])), "known");
-    assert!(board.record(at(1_020), &verdicts(2, 9, [4])));
-    let held = board.outliers(&table, 0.4);
-    assert_eq!(held, BTreeSet::from([cookie(3), cookie(4)]));
-    board.expire(at(4_000));
-    assert!(board.outliers(&table, 0.4).is_empty());
+    let mut cache = VerdictCache::default();
+    assert!(cache.record(at(1_000), &verdicts(1, 1, [3])));
+    assert!(!cache.record(at(1_010), &verdicts(1, 1, [3])), "known");
+    assert!(cache.record(at(1_020), &verdicts(2, 9, [4])));
+    let outliers = cache.outliers(&table, 0.4);
+    assert_eq!(outliers, BTreeSet::from([cookie(3), cookie(4)]));
+    cache.expire(at(4_000));
+    assert!(cache.outliers(&table, 0.4).is_empty());
 }
 
 #[test]
-fn a_collector_takes_its_verdict_back() {
-    let mut board = VerdictCache::default();
-    board.record(at(1_000), &verdicts(1, 1, [3]));
-    board.record(at(1_100), &verdicts(1, 2, []));
-    assert!(board.outliers(&table(), 0.4).is_empty());
+fn a_collector_can_withdraw_its_verdict() {
+    let mut cache = VerdictCache::default();
+    cache.record(at(1_000), &verdicts(1, 1, [3]));
+    cache.record(at(1_100), &verdicts(1, 2, []));
+    assert!(cache.outliers(&table(), 0.4).is_empty());
 }
 
 #[test]
-fn collectors_that_disagree_set_aside_no_more_than_a_share() {
-    let mut board = VerdictCache::default();
-    board.record(at(1_000), &verdicts(1, 1, 1..=8));
-    board.record(at(1_000), &verdicts(2, 1, 9..=16));
-    assert_eq!(board.outliers(&table(), 0.4).len(), 8);
+fn disagreeing_collectors_eject_at_most_the_largest_share() {
+    let mut cache = VerdictCache::default();
+    cache.record(at(1_000), &verdicts(1, 1, 1..=8));
+    cache.record(at(1_000), &verdicts(2, 1, 9..=16));
+    assert_eq!(cache.outliers(&table(), 0.4).len(), 8);
 }
 
 /// Nodes that each see few requests, with immediate message delivery.
@@ -203,9 +203,9 @@
     nodes: BTreeMap<SocketAddrV4, Coordinator>,
     now: u64,
     /// Requests of a node per tick.
-    asked: u16,
+    requests_per_tick: u16,
     reports: usize,
-    cut_off: BTreeSet<SocketAddrV4>,
+    isolated: BTreeSet<SocketAddrV4>,
 }
 
 /// Milliseconds between two ticks of a node.
@@ -229,15 +229,15 @@
             table: table(),
             nodes: (1..=size).map(start).collect(),
             now: 10_000,
-            asked: 1,
+            requests_per_tick: 1,
             reports: 0,
-            cut_off: BTreeSet::new(),
+            isolated: BTreeSet::new(),
         }
     }
 
     /// Advances the time. Each node sends its requests of each tick to one instance after the
     /// other.
-    fn pass(&mut self, milliseconds: u64, fails: impl Fn(u64) -> bool) {
+    fn advance(&mut self, milliseconds: u64, fails: impl Fn(u64) -> bool) {
         let end = self.now + milliseconds;
         let addresses: Vec<_> = self.nodes.keys().copied().collect();
         while self.now < end {
@@ -245,7 +245,11 @@
             let now = at(self.now);
             for (number, address) in addresses.clone().into_iter().enumerate() {
                 let id = 1 + (self.now / TICK + number as u64 * 7) % INSTANCES;
-                let tallies = [tally(id, self.asked, self.asked * u16::from(fails(id)))];
+                let tallies = [tally(
+                    id,
+                    self.requests_per_tick,
+                    self.requests_per_tick * u16::from(fails(id)),
+                )];
                 let coordinator = self.nodes.get_mut(&address).unwrap();
                 coordinator.record_answers(now, &self.table, &tallies);
                 let (outcome, _) = coordinator.tick(now);
@@ -269,8 +273,8 @@
                 }
                 _ => continue,
             };
-            let is_cut = self.cut_off.contains(&from) || self.cut_off.contains(&to);
-            if let Some(coordinator) = self.nodes.get_mut(&to).filter(|_| !is_cut) {
+            let is_isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
+            if let Some(coordinator) = self.nodes.get_mut(&to).filter(|_| !is_isolated) {
                 let outcome = coordinator.handle_datagram(at(self.now), from, datagram);
                 self.perform(to, outcome.effects);
             }
@@ -278,7 +282,7 @@
     }
 
     /// Returns the number of nodes for which exactly these instances are outliers.
-    fn holding(&self, ids: &[u64]) -> usize {
+    fn nodes_with_outliers(&self, ids: &[u64]) -> usize {
         let expected: BTreeSet<Cookie> = ids.iter().map(|id| cookie(*id)).collect();
         let nodes = self.nodes.values();
         nodes.filter(|node| *node.outliers() == expected).count()
@@ -286,40 +290,43 @@
 }
 
 #[test]
-fn what_no_node_sees_alone_all_know_within_two_seconds() {
+fn all_nodes_know_within_two_seconds_what_none_sees_alone() {
     let mut fleet = Fleet::new(40);
-    fleet.pass(6_000, |_| false);
-    assert_eq!(fleet.holding(&[]), 40);
-    assert_eq!(fleet.reports, 0, "nothing on quiet days");
-    fleet.pass(2_000, |id| id == 7);
-    assert_eq!(fleet.holding(&[7]), 40);
+    fleet.advance(6_000, |_| false);
+    assert_eq!(fleet.nodes_with_outliers(&[]), 40);
+    assert_eq!(
+        fleet.reports, 0,
+        "nothing is reported while no request fails"
+    );
+    fleet.advance(2_000, |id| id == 7);
+    assert_eq!(fleet.nodes_with_outliers(&[7]), 40);
 }
 
 #[test]
-fn all_know_within_seconds_that_it_works_again() {
+fn all_nodes_reinstate_a_recovered_instance_within_seconds() {
     let mut fleet = Fleet::new(40);
-    fleet.pass(6_000, |_| false);
-    fleet.pass(4_000, |id| id == 7);
-    fleet.pass(8_000, |_| false);
-    assert_eq!(fleet.holding(&[]), 40);
+    fleet.advance(6_000, |_| false);
+    fleet.advance(4_000, |id| id == 7);
+    fleet.advance(8_000, |_| false);
+    assert_eq!(fleet.nodes_with_outliers(&[]), 40);
 }
 
 #[test]
-fn nodes_that_are_cut_off_go_by_what_they_hear_no_longer() {
+fn isolated_nodes_drop_verdicts_that_are_not_repeated() {
     let mut fleet = Fleet::new(40);
-    fleet.pass(6_000, |_| false);
-    fleet.pass(3_000, |id| id == 7);
-    fleet.cut_off.extend([address(9), address(11)]);
-    let held = |fleet: &Fleet, number| !fleet.nodes[&address(number)].outliers().is_empty();
-    assert!(held(&fleet, 9));
-    fleet.pass(3_000, |id| id == 7);
-    assert_eq!(fleet.holding(&[7]), 38);
+    fleet.advance(6_000, |_| false);
+    fleet.advance(3_000, |id| id == 7);
+    fleet.isolated.extend([address(9), address(11)]);
+    let has_outliers = |fleet: &Fleet, number| !fleet.nodes[&address(number)].outliers().is_empty();
+    assert!(has_outliers(&fleet, 9));
+    fleet.advance(3_000, |id| id == 7);
+    assert_eq!(fleet.nodes_with_outliers(&[7]), 38);
 }
 
 #[test]
-fn collectors_that_die_are_replaced_by_others() {
+fn failed_collectors_are_replaced() {
     let mut fleet = Fleet::new(40);
-    fleet.pass(6_000, |_| false);
+    fleet.advance(6_000, |_| false);
     let collectors: Vec<_> = fleet
         .nodes
         .iter()
@@ -330,21 +337,21 @@
     for collector in &collectors {
         fleet.nodes.remove(collector);
     }
-    fleet.pass(9_000, |id| id == 7);
-    assert_eq!(fleet.holding(&[7]), 37);
+    fleet.advance(9_000, |id| id == 7);
+    assert_eq!(fleet.nodes_with_outliers(&[7]), 37);
 }
 
 #[test]
-fn a_node_without_peers_goes_by_its_own_samples() {
+fn a_node_without_peers_uses_its_own_samples() {
     let mut fleet = Fleet::new(1);
-    fleet.asked = 3;
-    fleet.pass(3_000, |_| false);
-    fleet.pass(6_000, |id| id % 5 == 2);
-    assert_eq!(fleet.holding(&[2, 7, 12, 17]), 1);
+    fleet.requests_per_tick = 3;
+    fleet.advance(3_000, |_| false);
+    fleet.advance(6_000, |id| id % 5 == 2);
+    assert_eq!(fleet.nodes_with_outliers(&[2, 7, 12, 17]), 1);
 }
 
 #[test]
-fn with_the_share_at_zero_nothing_is_reported() {
+fn nothing_is_reported_if_ejection_is_disabled() {
     let mut fleet = Fleet::new(10);
     let off = OutlierSettings {
         largest_share: 0.0,
@@ -355,6 +362,6 @@
         .into_iter()
         .map(|(address, node)| (address, node.with_outlier_settings(off)))
         .collect();
-    fleet.pass(8_000, |id| id == 7);
-    assert_eq!((fleet.reports, fleet.holding(&[])), (0, 10));
+    fleet.advance(8_000, |id| id == 7);
+    assert_eq!((fleet.reports, fleet.nodes_with_outliers(&[])), (0, 10));
 }
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_instance_is_unreachable_if_only_it_can_not_be_reached() {
+fn an_instance_is_unreachable_only_if_all_controls_are_reached() {
     assert_eq!(probe([&[2, 3]; 3]), ProbeOutcome::Unreachable);
     assert_eq!(probe([&[2, 3], &[2, 3], &[1, 2, 3]]), ProbeOutcome::Reached);
     // A single failed control is enough to suspect this node's own link.
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn without_controls_nothing_is_established() {
+fn a_probe_without_controls_is_inconclusive() {
     let batch = ProbeBatch::new(vec![(cookie(1), address(1))], Vec::new());
     assert!(batch.is_complete());
     assert_eq!(batch.outcomes(), [(cookie(1), ProbeOutcome::Inconclusive)]);
 }
 
-fn established(now: u64) -> ReachabilityMonitor {
+fn monitor_with_verdict(now: u64) -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(origin());
     assert!(monitor.suspect(at(now), cookie(1), SuspicionSource::OwnOpening));
     assert!(
         !monitor.suspect(at(now), cookie(1), SuspicionSource::PeerRequest),
-        "asked already"
+        "already suspected"
     );
     assert_eq!(
         monitor.take_suspects(SuspicionSource::OwnOpening),
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn a_verdict_ends_unless_it_is_renewed() {
-    let mut monitor = established(1_000);
+fn a_verdict_expires_unless_it_is_renewed() {
+    let mut monitor = monitor_with_verdict(1_000);
     let ends = 1_000 + u64::try_from(VERDICT_LIFETIME.as_millis()).unwrap();
     assert!(!monitor.unreachable(at(ends - 1)).is_empty());
     assert!(monitor.unreachable(at(ends)).is_empty());
@@ -99,8 +99,8 @@
 
 /// A dead instance is probed a few times only, not for as long as its tombstone is kept.
 #[test]
-fn an_instance_whose_record_went_while_it_was_unreachable_has_ended() {
-    let mut monitor = established(1_000);
+fn an_unreachable_instance_whose_record_is_deleted_has_ended() {
+    let mut monitor = monitor_with_verdict(1_000);
     monitor.update_records(at(2_000), |_| Some(RecordState::Deleted));
     assert_eq!(monitor.take_rechecks(at(60_000)), []);
     assert!(!monitor.unreachable(at(60_000)).is_empty());
@@ -110,14 +110,14 @@
 }
 
 #[test]
-fn a_node_that_stood_still_holds_nobody_unreachable() {
-    let mut monitor = established(1_000);
+fn a_stall_clears_all_verdicts() {
+    let mut monitor = monitor_with_verdict(1_000);
     monitor.reset_after_stall();
     assert!(monitor.unreachable(at(1_001)).is_empty());
 }
 
 #[test]
-fn a_probe_that_finds_nothing_out_is_made_again_a_few_times() {
+fn an_inconclusive_probe_is_repeated_a_few_times() {
     let mut monitor = ReachabilityMonitor::new(origin());
     monitor.suspect(at(1_000), cookie(1), SuspicionSource::OwnOpening);
     let mut probes = 0;
@@ -154,25 +154,28 @@
 }
 
 #[test]
-fn a_flow_whose_client_repeats_itself_to_an_unreachable_instance_is_ended() {
+fn a_flow_whose_client_retransmits_to_an_unreachable_instance_is_reset() {
     let table = node(vec![record(1, 1), record(2, 2)]).table();
     let mut forwarder = forwarder(&table);
     let mut decide = |now, packet| forwarder.decide(at(now), &table, &packet, false);
-    assert!(!is_reset(decide(5_000, data(1, 200, 7))), "sent once");
+    assert!(
+        !is_reset(decide(5_000, data(1, 200, 7))),
+        "the first transmission"
+    );
     assert!(
         !is_reset(decide(5_020, data(1, 200, 7))),
-        "the network's copy"
+        "a duplicate made by the network"
     );
     assert!(is_reset(decide(5_200, data(1, 200, 7))));
     assert!(
         is_reset(decide(5_600, data(1, 200, 7))),
-        "the reset was lost"
+        "repeated in case the reset was lost"
     );
     assert!(!is_reset(decide(5_700, later(1, cookie(1)))), "no data");
 }
 
 #[test]
-fn a_repeat_is_known_from_before_the_verdict() {
+fn data_sent_before_the_verdict_counts_for_a_retransmission() {
     let table = node(vec![record(1, 1), record(2, 2)]).table();
     let mut forwarder = forwarder(&table);
     assert!(is_reset(forwarder.decide(
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn no_flow_of_an_instance_that_showed_life_is_ended() {
+fn no_flow_of_a_responsive_instance_is_reset() {
     let table = node(vec![record(1, 1), record(2, 2)]).table();
     let mut forwarder = forwarder(&table);
     forwarder.decide(at(4_000), &table, &data(2, 300, 50), false);
@@ -213,13 +216,13 @@
 /// The process that accepts connections there may be another instance, which does not know the
 /// flows of the first one.
 #[test]
-fn openings_avoid_an_instance_that_was_unreachable_until_it_shows_life() {
-    let mut monitor = established(1_000);
+fn openings_avoid_a_formerly_unreachable_instance_until_a_flow_makes_progress() {
+    let mut monitor = monitor_with_verdict(1_000);
     monitor.suspect(at(3_500), cookie(1), SuspicionSource::OwnOpening);
     monitor.record_probe(at(3_500), cookie(1), ProbeOutcome::Reached);
     assert!(
         monitor.unreachable(at(3_500)).is_empty(),
-        "no flow is ended"
+        "flows are not reset"
     );
     assert!(monitor.avoided(at(13_499)).contains(&cookie(1)));
     assert!(monitor.avoided(at(13_500)).is_empty());
@@ -241,7 +244,10 @@
         placed
     };
     assert!(!placed_at_1(4_000));
-    assert!(!placed_at_1(4_060), "the flow's first packet tells nothing");
+    assert!(
+        !placed_at_1(4_060),
+        "the first packet of a flow proves nothing"
+    );
     assert!(placed_at_1(4_120));
 }
 
@@ -274,16 +280,16 @@
     SocketAddrV4::new([10, 1, 0, 2].into(), 7_000)
 }
 
-fn questions(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
-    let questions = effects.iter().filter_map(|effect| match effect {
+fn requested_probes(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
+    let requests = effects.iter().filter_map(|effect| match effect {
         ExchangeEffect::SendQuestion { question, .. } => Some(question.cookies.clone()),
         _ => None,
     });
-    questions.collect()
+    requests.collect()
 }
 
 /// Returns the instances in each report of findings.
-fn told(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
+fn reported_instances(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
     let reports = effects.iter().filter_map(|effect| match effect {
         ExchangeEffect::SendFindings { report, .. } => {
             let cookies = report.findings.iter().map(|finding| finding.cookie);
@@ -295,7 +301,7 @@
 }
 
 #[test]
-fn a_verdict_is_told_to_peers_and_one_is_asked_to_confirm_it() {
+fn a_finding_is_reported_to_peers_and_one_is_asked_to_confirm_it() {
     let mut node = coordinator();
     node.suspect(at(100), &[cookie(1)]);
     let batch = node.next_probe(at(100), &[cookie(5), cookie(6)]).unwrap();
@@ -304,13 +310,17 @@
     assert_eq!(
         addresses,
         BTreeSet::from(expected),
-        "sound ones as controls"
+        "healthy instances as controls"
+    );
+    assert_eq!(
+        node.next_probe(at(100), &[]),
+        None,
+        "the probe is already running"
     );
-    assert_eq!(node.next_probe(at(100), &[]), None, "it is under way");
     let (changes, effects) = node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
     assert_eq!(changes.len(), 1);
-    assert_eq!(questions(&effects), [vec![cookie(1).bits()]]);
-    assert_eq!(told(&effects), [vec![cookie(1).bits()]]);
+    assert_eq!(requested_probes(&effects), [vec![cookie(1).bits()]]);
+    assert_eq!(reported_instances(&effects), [vec![cookie(1).bits()]]);
 
     let mut other = coordinator();
     let question = Question {
@@ -318,27 +328,27 @@
     };
     let ask = PeerDatagram::Question(question);
     let effects = other.handle_datagram(at(500), peer(), ask).effects;
-    assert_eq!(effects, [], "only the one that was asked probes it");
+    assert_eq!(effects, [], "a request is not forwarded");
     // It probes the instance itself: a peer's request alone ends no flow.
     assert!(other.unreachable(at(501)).is_empty());
     let batch = other.next_probe(at(501), &[]).unwrap();
-    assert_eq!(batch.outcomes().len(), 1, "77 is not known");
+    assert_eq!(batch.outcomes().len(), 1, "instance 77 is unknown");
 }
 
 #[test]
-fn controls_are_others_than_the_instances_in_question() {
+fn suspected_instances_are_not_used_as_controls() {
     let mut node = coordinator();
-    let doubted: Vec<Cookie> = (1..=6).map(cookie).collect();
-    node.suspect(at(100), &doubted);
+    let suspects: Vec<Cookie> = (1..=6).map(cookie).collect();
+    node.suspect(at(100), &suspects);
     let batch = node.next_probe(at(100), &[cookie(2), cookie(3)]).unwrap();
     let addresses: BTreeSet<SocketAddrV4> = batch.next_addresses().into_iter().collect();
     assert_eq!(addresses, (1..=8).map(address).collect());
     let outcomes = batch.outcomes();
-    assert_eq!(outcomes.len(), 6, "7 and 8 are the controls");
+    assert_eq!(outcomes.len(), 6, "7 and 8 are controls");
 }
 
 /// Instance 9, created later than instance 1, takes over its address.
-fn address_passes_on(node: &mut Coordinator, now: u64) {
+fn reuse_address(node: &mut Coordinator, now: u64) {
     let successor = InstanceRecord {
         address: address(1),
         ..record(9, 20)
@@ -353,14 +363,14 @@
 /// Connections to the address reach the later instance. That must not make the earlier one, which
 /// was unreachable, look alive again.
 #[test]
-fn an_instance_that_was_unreachable_when_its_address_passed_on_has_ended() {
+fn an_unreachable_instance_whose_address_is_reused_has_ended() {
     let mut node = coordinator();
     node.suspect(at(100), &[cookie(1)]);
     assert!(node.next_probe(at(100), &[]).is_some());
     node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
     node.suspect(at(1_500), &[cookie(1)]);
     assert!(node.next_probe(at(1_500), &[]).is_some());
-    address_passes_on(&mut node, 1_600);
+    reuse_address(&mut node, 1_600);
     node.record_probes(at(1_800), &[(cookie(1), ProbeOutcome::Reached)]);
     assert!(node.unreachable(at(60_000)).contains(&cookie(1)));
     node.suspect(at(60_000), &[cookie(1)]);
@@ -368,13 +378,13 @@
 }
 
 #[test]
-fn probes_of_an_address_that_passed_on_tell_nothing_of_the_earlier_instance() {
+fn probes_of_a_reused_address_do_not_count_for_the_earlier_instance() {
     let mut node = coordinator();
     node.suspect(at(100), &[cookie(1)]);
     assert!(node.next_probe(at(100), &[]).is_some());
-    address_passes_on(&mut node, 200);
+    reuse_address(&mut node, 200);
     let (changes, effects) = node.record_probes(at(400), &[(cookie(1), ProbeOutcome::Unreachable)]);
     assert_eq!(changes, []);
-    assert_eq!(questions(&effects), Vec::<Vec<u32>>::new());
+    assert_eq!(requested_probes(&effects), Vec::<Vec<u32>>::new());
     assert!(node.unreachable(at(400)).is_empty());
 }
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -1,7 +1,7 @@
 //! What a node believes after the store has come back from an older copy, which its operators and instances then write
 //! up to date.
 
-use crate::cluster::{Cluster, address, in_five_zones};
+use crate::cluster::{Cluster, address, cluster_in_five_zones};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, draining, node, record};
 use bellyoke_core::cookie::directory::Directory;
 use bellyoke_core::cookie::era::{EraTracker, Standing};
@@ -412,7 +412,7 @@
 #[test]
 fn all_nodes_learn_of_a_restoration_within_a_second_whatever_their_number() {
     let costs = [10, 100, 1_000].map(|nodes| {
-        let mut cluster = in_five_zones(nodes, 400);
+        let mut cluster = cluster_in_five_zones(nodes, 400);
         let (adopted, bytes) = adopted_within(&mut cluster, 1_000, 400);
         assert_eq!(adopted, nodes, "of {nodes}");
         let era = cluster.nodes[&address(nodes - 1)].coordinator.era();
@@ -425,7 +425,7 @@
 
 #[test]
 fn a_node_that_learned_of_a_restoration_reads_the_newest_state_for_a_while() {
-    let mut cluster = in_five_zones(10, 40);
+    let mut cluster = cluster_in_five_zones(10, 40);
     adopted_within(&mut cluster, 1_000, 40);
     let backup = cluster.with_duty(StoreDuty::Backup)[0];
     let plan = |cluster: &Cluster, now: u64| {
--- a/crates/bellyoke-core/tests/cookie/spread.rs
+++ b/crates/bellyoke-core/tests/cookie/spread.rs
@@ -1,6 +1,6 @@
 //! What it costs to spread changes of instances, by the number of nodes.
 
-use crate::cluster::{Cluster, TICK, address, in_five_zones};
+use crate::cluster::{Cluster, TICK, address, cluster_in_five_zones};
 use crate::support::{at, record};
 use bellyoke_core::cookie::exchange::StoreDuty;
 use bellyoke_core::cookie::follower::Update;
@@ -51,7 +51,7 @@
 }
 
 fn cost_of_a_replacement(nodes: usize) -> Cost {
-    let mut cluster = in_five_zones(nodes, INSTANCES);
+    let mut cluster = cluster_in_five_zones(nodes, INSTANCES);
     cluster.traffic.clear();
     for node in cluster.nodes.values_mut() {
         node.sent = 0;
