--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -32,7 +32,7 @@
     pub minimum_bad_requests: f64,
     /// Minimum fraction of an instance's requests that are bad for an ejection.
     pub minimum_bad_fraction: f64,
-    /// The minimum bad fraction as a multiple of that of the service's median instance.
+    /// Minimum ratio of that fraction to the one of the service's median instance for an ejection.
     pub minimum_median_factor: f64,
     /// An outlier without any reported request for this long is reinstated.
     pub evidence_timeout: Duration,
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -60,8 +60,8 @@
     address_reused: bool,
     /// Until when openings avoid it although it accepts connections again.
     avoided_until: Timestamp,
-    /// When this node rechecks whether it is still unreachable; `None` if the last own probe
-    /// reached it.
+    /// When this node rechecks whether it is still unreachable; `None` unless an own probe found
+    /// that.
     recheck_at: Option<Timestamp>,
     inconclusive_probes: u32,
     /// When its flows last showed that it is alive.
@@ -69,7 +69,8 @@
     /// When a probe of this node last reached it. Earlier findings of peers are ignored.
     reached_at: Option<Timestamp>,
     peers: PeerFindings,
-    /// Peers asked to confirm the verdict so far; the next field says when to ask another one.
+    /// Number of peers asked to confirm the verdict, and the time before which no other one is
+    /// asked.
     confirmation_requests: u32,
     next_confirmation_request_at: Timestamp,
 }
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -15,8 +15,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const TICK: u64 = 50;
-pub const WATCH_WAIT: u64 = 750;
+pub const TICK_MS: u64 = 50;
+pub const WATCH_WAIT_MS: u64 = 750;
 
 pub struct Node {
     pub coordinator: Coordinator,
@@ -33,13 +33,13 @@
     /// Number of zones, to which nodes are assigned in turn.
     pub zones: usize,
     /// Number of nodes, from the first on, that are larger than the others.
-    pub large: usize,
+    pub large_nodes: usize,
     pub own_zone_first: bool,
 }
 
 pub const ONE_ZONE: Layout = Layout {
     zones: 1,
-    large: 0,
+    large_nodes: 0,
     own_zone_first: true,
 };
 
@@ -47,12 +47,12 @@
     fn place(self, number: usize) -> NodePlace {
         NodePlace {
             zone: ZoneKey(u16::try_from(number % self.zones).unwrap()),
-            class: CapacityClass::new(if number < self.large { 3 } else { 1 }),
+            class: CapacityClass::new(if number < self.large_nodes { 3 } else { 1 }),
         }
     }
 }
 
-/// Nodes with immediate message delivery, driven in steps of [`TICK`] milliseconds.
+/// Nodes with immediate message delivery, driven in steps of [`TICK_MS`] milliseconds.
 pub struct Cluster {
     pub nodes: BTreeMap<SocketAddrV4, Node>,
     pub now: u64,
@@ -166,7 +166,7 @@
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_MS;
             let now = at(self.now);
             for from in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let node = self.nodes.get_mut(&from).unwrap();
@@ -175,7 +175,7 @@
                 }
                 let (outcome, _) = node.coordinator.tick(now);
                 self.perform(from, outcome);
-                if self.now.is_multiple_of(WATCH_WAIT) {
+                if self.now.is_multiple_of(WATCH_WAIT_MS) {
                     self.confirm(from);
                 }
             }
@@ -344,7 +344,7 @@
 pub fn cluster_in_five_zones(nodes: usize, instances: u64) -> Cluster {
     let layout = Layout {
         zones: 5,
-        large: 0,
+        large_nodes: 0,
         own_zone_first: true,
     };
     let mut cluster = Cluster::with_layout(nodes, layout);
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -1,6 +1,6 @@
 //! Gossip between nodes, in virtual time.
 
-use crate::cluster::{Cluster, TICK, address, suggestion, watching_cluster};
+use crate::cluster::{Cluster, TICK_MS, address, suggestion, watching_cluster};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration};
 use bellyoke_core::cookie::capacity::NodePlace;
 use bellyoke_core::cookie::coordinator::{Coordinator, Outcome};
@@ -174,7 +174,7 @@
         let mut cluster = watching_cluster(size);
         let mut rested = 0;
         for _ in 0..40 {
-            cluster.run(TICK);
+            cluster.run(TICK_MS);
             rested += cluster.passive_nodes();
         }
         let possible = 40 * (size - WATCHERS);
@@ -223,7 +223,7 @@
     let mut cluster = Cluster::new(60);
     cluster.store_answers = true;
     for _ in 0..100 {
-        cluster.run(TICK);
+        cluster.run(TICK_MS);
         let readers = cluster.with_duty(StoreDuty::Reader).len();
         assert!(readers <= 2, "{readers} at {}", cluster.now);
     }
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -1,7 +1,7 @@
 //! Gossip within and between zones: what it costs, and that no zone is left behind.
 
 use crate::cluster::{
-    Cluster, Layout, ONE_ZONE, TICK, address, watching_cluster, watching_cluster_in, zone_of,
+    Cluster, Layout, ONE_ZONE, TICK_MS, address, watching_cluster, watching_cluster_in, zone_of,
 };
 use crate::support::at;
 use bellyoke_core::cookie::capacity::{CapacityClass, MachineCapacity, NodePlace, ZoneKey};
@@ -48,7 +48,7 @@
         cluster.learn(change * 7 % size, revision);
         let began = cluster.now;
         while cluster.nodes_knowing(revision) < size {
-            cluster.run(TICK);
+            cluster.run(TICK_MS);
         }
         times.push(cluster.now - began);
         cluster.run(1_000);
@@ -79,7 +79,7 @@
         println!(
             "{size} nodes in {count}: {mean} {longest}, off: {mean_without} {longest_without}"
         );
-        assert!(mean <= mean_without + TICK && longest <= longest_without.max(1_000));
+        assert!(mean <= mean_without + TICK_MS && longest <= longest_without.max(1_000));
     }
 }
 
@@ -118,8 +118,8 @@
     }
     let mut times = 0;
     while cluster.nodes_knowing(50) < 300 {
-        cluster.run(TICK);
-        times += TICK;
+        cluster.run(TICK_MS);
+        times += TICK_MS;
     }
     let served: Vec<usize> = cluster.nodes.values().map(|node| node.served).collect();
     let by_seeds = served[..3].iter().sum::<usize>();
@@ -139,7 +139,7 @@
             cluster.cut_links.push((address(dying), other));
         }
         cluster.learn(dying, 50);
-        cluster.run(TICK);
+        cluster.run(TICK_MS);
         assert_eq!(cluster.nodes_knowing(50), 1, "it told nobody");
         cluster.node(dying).alive = false;
         cluster.cut_links.clear();
@@ -188,7 +188,7 @@
         let mut cluster = watching_cluster_in(120, zones(count));
         let mut rested = 0;
         for _ in 0..40 {
-            cluster.run(TICK);
+            cluster.run(TICK_MS);
             rested += cluster.passive_nodes();
         }
         let possible = 40 * (120 - WATCHERS);
@@ -200,7 +200,7 @@
 fn the_largest_machines_watch_spread_over_zones() {
     for count in [1, 3] {
         let layout = Layout {
-            large: 6,
+            large_nodes: 6,
             ..zones(count)
         };
         let cluster = watching_cluster_in(90, layout);
@@ -231,7 +231,7 @@
 #[test]
 fn a_watcher_that_is_busy_gives_way_and_comes_back() {
     let layout = Layout {
-        large: 4,
+        large_nodes: 4,
         ..zones(3)
     };
     let mut cluster = watching_cluster_in(30, layout);
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -1,6 +1,6 @@
 //! What nodes make of what other nodes' probes found, and what a dead instance costs them all.
 
-use crate::cluster::{TICK, address, cluster_in_five_zones};
+use crate::cluster::{TICK_MS, address, cluster_in_five_zones};
 use crate::support::at;
 use bellyoke_core::cookie::capacity::ZoneKey;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId};
@@ -215,7 +215,7 @@
                 cluster.perform(address(node), outcome);
             }
         }
-        cluster.run(TICK);
+        cluster.run(TICK_MS);
         if cluster.now == began + 500 {
             let now = at(cluster.now);
             let all = cluster.nodes.values();
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -209,7 +209,7 @@
 }
 
 /// Milliseconds between two ticks of a node.
-const TICK: u64 = 100;
+const TICK_MS: u64 = 100;
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7_000)
@@ -241,10 +241,10 @@
         let end = self.now + milliseconds;
         let addresses: Vec<_> = self.nodes.keys().copied().collect();
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_MS;
             let now = at(self.now);
             for (number, address) in addresses.clone().into_iter().enumerate() {
-                let id = 1 + (self.now / TICK + number as u64 * 7) % INSTANCES;
+                let id = 1 + (self.now / TICK_MS + number as u64 * 7) % INSTANCES;
                 let tallies = [tally(
                     id,
                     self.requests_per_tick,
--- a/crates/bellyoke-core/tests/cookie/spread.rs
+++ b/crates/bellyoke-core/tests/cookie/spread.rs
@@ -1,6 +1,6 @@
 //! What it costs to spread changes of instances, by the number of nodes.
 
-use crate::cluster::{Cluster, TICK, address, cluster_in_five_zones};
+use crate::cluster::{Cluster, TICK_MS, address, cluster_in_five_zones};
 use crate::support::{at, record};
 use bellyoke_core::cookie::exchange::StoreDuty;
 use bellyoke_core::cookie::follower::Update;
@@ -84,7 +84,7 @@
 /// Each node tells four others once, however many there are.
 #[test]
 fn a_replaced_service_costs_a_node_as_much_in_a_large_cluster_as_in_a_small_one() {
-    assert_eq!(TICK, 50);
+    assert_eq!(TICK_MS, 50);
     let costs = [20, 200, 1_000].map(cost_of_a_replacement);
     let [small, _, _] = &costs;
     for cost in &costs {
