--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -158,7 +158,7 @@
     }
 
     /// Checks whether a reply of the store is current. Any other reply must not be applied.
-    pub fn judge_reply<Item, Event>(
+    pub fn classify_reply<Item, Event>(
         &mut self,
         now: Timestamp,
         context: CallContext,
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -85,19 +85,20 @@
 #[test]
 fn a_verdict_expires_unless_it_is_renewed() {
     let mut monitor = monitor_with_verdict(1_000);
-    let ends = 1_000 + u64::try_from(VERDICT_LIFETIME.as_millis()).unwrap();
-    assert!(!monitor.unreachable(at(ends - 1)).is_empty());
-    assert!(monitor.unreachable(at(ends)).is_empty());
+    let expires_at = 1_000 + u64::try_from(VERDICT_LIFETIME.as_millis()).unwrap();
+    assert!(!monitor.unreachable(at(expires_at - 1)).is_empty());
+    assert!(monitor.unreachable(at(expires_at)).is_empty());
     assert_eq!(monitor.take_rechecks(at(2_900)), []);
     assert_eq!(monitor.take_rechecks(at(3_000)), [cookie(1)]);
     monitor.record_probe(at(3_000), cookie(1), ProbeOutcome::Unreachable);
-    assert!(!monitor.unreachable(at(ends)).is_empty());
+    assert!(!monitor.unreachable(at(expires_at)).is_empty());
     assert_eq!(monitor.take_rechecks(at(5_000)), [cookie(1)]);
     let change = monitor.record_probe(at(5_000), cookie(1), ProbeOutcome::Reached);
     assert!(!change.unwrap().unreachable);
 }
 
-/// A dead instance is probed a few times only, not for as long as its tombstone is kept.
+/// Guards against probing a dead instance for as long as its tombstone is kept: once its record is
+/// deleted, its state is final and no recheck is due.
 #[test]
 fn an_unreachable_instance_whose_record_is_deleted_has_ended() {
     let mut monitor = monitor_with_verdict(1_000);
@@ -213,8 +214,8 @@
     }
 }
 
-/// The process that accepts connections there may be another instance, which does not know the
-/// flows of the first one.
+/// Guards against placing flows at an instance only because its address accepts connections again:
+/// another instance may have taken over the address, which rejects the flows of the first one.
 #[test]
 fn openings_avoid_a_formerly_unreachable_instance_until_a_flow_makes_progress() {
     let mut monitor = monitor_with_verdict(1_000);
@@ -326,8 +327,8 @@
     let question = Question {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
-    let ask = PeerDatagram::Question(question);
-    let effects = other.handle_datagram(at(500), peer(), ask).effects;
+    let request = PeerDatagram::Question(question);
+    let effects = other.handle_datagram(at(500), peer(), request).effects;
     assert_eq!(effects, [], "a request is not forwarded");
     // It probes the instance itself: a peer's request alone ends no flow.
     assert!(other.unreachable(at(501)).is_empty());
@@ -360,8 +361,8 @@
     node.apply_instances(at(now), update);
 }
 
-/// Connections to the address reach the later instance. That must not make the earlier one, which
-/// was unreachable, look alive again.
+/// Guards against a probe that revives an ended instance: after its address was reused, connections
+/// there reach the later instance.
 #[test]
 fn an_unreachable_instance_whose_address_is_reused_has_ended() {
     let mut node = coordinator();
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -457,7 +457,7 @@
         }
         let standing = self
             .coordinator
-            .judge_reply(now, call.context, &call.read, &reply);
+            .classify_reply(now, call.context, &call.read, &reply);
         standing.counting(reply.answer)
     }
 
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -59,7 +59,7 @@
     }
 
     /// What a reply of the store counts for.
-    pub fn judge_reply<Item, Event>(
+    pub fn classify_reply<Item, Event>(
         &mut self,
         kind: ObjectKind,
         context: CallContext,
@@ -67,7 +67,7 @@
         reply: &Reply<Item, Event>,
     ) -> Standing {
         let now = self.clock.now();
-        let standing = self.coordinator.judge_reply(now, context, read, reply);
+        let standing = self.coordinator.classify_reply(now, context, read, reply);
         self.note_era(Source::Store);
         if standing == Standing::Outdated {
             self.log_outdated_reply(kind, context, reply.era);
