--- a/crates/bellyoke-core/tests/cookie/health.rs
+++ b/crates/bellyoke-core/tests/cookie/health.rs
@@ -17,7 +17,7 @@
 }
 
 /// A monitor that suspects instance 1 until 2,310 ms.
-fn suspecting() -> OpeningMonitor {
+fn monitor_with_suspicion() -> OpeningMonitor {
     let mut monitor = monitor();
     monitor.record_opening(at(0), 11, cookie(1));
     monitor.record_opening(at(160), 12, cookie(1));
@@ -31,7 +31,7 @@
 
 #[test]
 fn an_instance_is_suspected_after_failed_openings_in_a_row() {
-    let mut monitor = suspecting();
+    let mut monitor = monitor_with_suspicion();
     assert!(monitor.is_suspected(at(310), cookie(1)));
     assert!(!monitor.is_suspected(at(310), cookie(2)));
     let suspected = HealthChange::Suspected {
@@ -63,7 +63,7 @@
 
 #[test]
 fn packets_of_already_open_flows_do_not_end_a_suspicion() {
-    let mut monitor = suspecting();
+    let mut monitor = monitor_with_suspicion();
     monitor.record_progress(at(310), 99, cookie(1));
     assert!(monitor.is_suspected(at(311), cookie(1)));
 }
@@ -81,7 +81,7 @@
 
 #[test]
 fn one_opening_at_a_time_tries_a_suspected_instance_again() {
-    let mut monitor = suspecting();
+    let mut monitor = monitor_with_suspicion();
     monitor.record_opening(at(2_310), 21, cookie(1));
     assert!(
         monitor.is_suspected(at(2_311), cookie(1)),
@@ -95,7 +95,7 @@
 
 #[test]
 fn each_failed_trial_doubles_the_time_to_the_next() {
-    let mut monitor = suspecting();
+    let mut monitor = monitor_with_suspicion();
     let mut now = 2_310;
     for (trial, pause) in [4_000, 8_000, 16_000, 16_000, 16_000]
         .into_iter()
