--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -1,4 +1,4 @@
-//! The coordinator's part in finding out which instances can't be reached.
+//! Detection of unreachable instances by the coordinator.
 
 use super::{Coordinator, Outcome};
 use crate::cookie::directory::{Directory, KnownInstance};
@@ -6,8 +6,9 @@
 use crate::cookie::instance::{Cookie, InstanceState};
 use crate::cookie::placement::mix;
 use crate::cookie::reachability::{
-    ATTEMPTS, ATTEMPTS_AGAIN, ATTEMPTS_FOR_PEERS, CONTROLS, CONTROLS_AGAIN, Doubter, Finding,
-    ProbeBatch, ProbeOutcome, ReachabilityChange, ReachabilityMonitor, RecordState,
+    CONFIRMATION_ATTEMPTS, CONFIRMATION_CONTROLS, Finding, PROBE_ATTEMPTS, PROBE_CONTROLS,
+    ProbeBatch, ProbeOutcome, RECHECK_ATTEMPTS, ReachabilityChange, ReachabilityMonitor,
+    RecordState, SuspicionSource,
 };
 use crate::cookie::replica::StateChange;
 use crate::time::Timestamp;
@@ -15,39 +16,42 @@
 use std::net::SocketAddrV4;
 
 impl Coordinator {
-    /// Openings of this node at some instances came to nothing.
-    pub fn doubt(&mut self, now: Timestamp, cookies: &[Cookie]) {
+    /// Marks instances as suspected because openings of this node failed there.
+    pub fn suspect(&mut self, now: Timestamp, cookies: &[Cookie]) {
         for cookie in cookies {
-            self.reachability.question(now, *cookie, Doubter::Node);
+            self.reachability
+                .suspect(now, *cookie, SuspicionSource::OwnOpening);
         }
-        self.note_records(now);
+        self.update_records(now);
     }
 
-    /// The probe to begin now; none if no instance is in question. `sound` are instances at which
-    /// this node's openings completed a moment ago.
-    pub fn next_probe(&mut self, now: Timestamp, sound: &[Cookie]) -> Option<ProbeBatch> {
-        let mut due = self.reachability.questioned(Doubter::Node);
-        let (mut attempts, mut controls) = (ATTEMPTS, CONTROLS);
+    /// Returns the probe to start now, or `None` if no instance needs one. `healthy` are instances
+    /// at which openings of this node completed recently.
+    pub fn next_probe(&mut self, now: Timestamp, healthy: &[Cookie]) -> Option<ProbeBatch> {
+        let mut due = self.reachability.take_suspects(SuspicionSource::OwnOpening);
+        let (mut attempts, mut controls) = (PROBE_ATTEMPTS, PROBE_CONTROLS);
         if due.is_empty() {
-            due = self.reachability.questioned(Doubter::Peer);
-            (attempts, controls) = (ATTEMPTS_FOR_PEERS, CONTROLS_AGAIN);
+            due = self
+                .reachability
+                .take_suspects(SuspicionSource::PeerRequest);
+            (attempts, controls) = (CONFIRMATION_ATTEMPTS, CONFIRMATION_CONTROLS);
         }
         if due.is_empty() {
-            due = self.reachability.due_again(now);
-            (attempts, controls) = (ATTEMPTS_AGAIN, CONTROLS_AGAIN);
+            due = self.reachability.take_rechecks(now);
+            (attempts, controls) = (RECHECK_ATTEMPTS, CONFIRMATION_CONTROLS);
         }
         if due.is_empty() {
             return None;
         }
-        let batch = self.probe_of(now, &due, sound, controls);
+        let batch = self.build_probe(now, &due, healthy, controls);
         Some(batch.with_attempts(attempts))
     }
 
-    fn probe_of(
+    fn build_probe(
         &self,
         now: Timestamp,
         cookies: &[Cookie],
-        sound: &[Cookie],
+        healthy: &[Cookie],
         count: usize,
     ) -> ProbeBatch {
         let directory = self.replica.directory();
@@ -55,176 +59,189 @@
             let known = directory.find(*cookie)?;
             Some((*cookie, known.record.address))
         });
-        let controls = controls(now, directory, &self.reachability, sound, count);
+        let controls = select_controls(now, directory, &self.reachability, healthy, count);
         ProbeBatch::new(suspects.collect(), controls)
     }
 
-    /// A probe is over. Returns what changed, and what to tell and ask peers.
-    pub fn probed(
+    /// Records the outcomes of a probe. Returns the changes in reachability, and the reports and
+    /// probe requests for peers.
+    pub fn record_probes(
         &mut self,
         now: Timestamp,
         outcomes: &[(Cookie, ProbeOutcome)],
     ) -> (Vec<ReachabilityChange>, Vec<ExchangeEffect>) {
-        self.note_records(now);
+        self.update_records(now);
         let mut changes = Vec::new();
         let mut findings = Vec::new();
         for (cookie, outcome) in outcomes {
-            let change = self.reachability.probed(now, *cookie, *outcome);
-            let is_unreachable = self.reachability.was_found(now, *cookie);
-            let is_back = change.is_some_and(|change| !change.unreachable);
-            if is_unreachable || is_back {
-                findings.push(self.reachability.own_finding(now, *cookie, is_back));
+            let change = self.reachability.record_probe(now, *cookie, *outcome);
+            let is_unreachable = self.reachability.found_unreachable(now, *cookie);
+            let is_reachable_again = change.is_some_and(|change| !change.unreachable);
+            if is_unreachable || is_reachable_again {
+                findings.push(
+                    self.reachability
+                        .own_finding(now, *cookie, is_reachable_again),
+                );
             }
             changes.extend(change);
         }
-        self.note_records(now);
+        self.update_records(now);
         let mut effects = self.exchange.tell_findings(now, findings);
-        effects.extend(self.ask_for_confirmation(now));
+        effects.extend(self.request_confirmation(now));
         (changes, effects)
     }
 
-    /// Asks a peer of another zone to probe what this node couldn't reach, and another one if it doesn't confirm it.
-    pub(super) fn ask_for_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
+    /// Asks a peer of another zone to probe what this node could not reach, and another one if it
+    /// does not confirm the finding.
+    pub(super) fn request_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         if self.reachability.is_empty() {
             return Vec::new();
         }
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
-        let unconfirmed = self.reachability.unconfirmed(now);
+            .set_single_zone(self.exchange.stands_in_only_zone());
+        let unconfirmed = self.reachability.take_unconfirmed(now);
         self.exchange.ask_peer(&unconfirmed)
     }
 
-    /// A peer tells what nodes couldn't reach, or reach again. What is news goes on to others.
-    pub(super) fn findings(&mut self, now: Timestamp, report: &ReachabilityReport) -> Outcome {
+    /// Records the findings in a peer's report, and forwards those that are new.
+    pub(super) fn handle_findings(
+        &mut self,
+        now: Timestamp,
+        report: &ReachabilityReport,
+    ) -> Outcome {
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
+            .set_single_zone(self.exchange.stands_in_only_zone());
         let directory = self.replica.directory();
         let reachability = &mut self.reachability;
-        let told = report.findings_at(now);
-        let known = told.filter(|finding| directory.find(finding.cookie).is_some());
-        let news: Vec<Finding> = known
-            .filter(|finding| reachability.note_finding(now, finding))
+        let findings = report.findings_at(now);
+        let known = findings.filter(|finding| directory.find(finding.cookie).is_some());
+        let new_findings: Vec<Finding> = known
+            .filter(|finding| reachability.record_finding(now, finding))
             .collect();
         Outcome {
             change: StateChange::default(),
-            effects: self.exchange.tell_findings(now, news),
+            effects: self.exchange.tell_findings(now, new_findings),
         }
     }
 
-    /// Instances that openings avoid: those that this node can't reach, or couldn't a while ago.
+    /// Returns the instances that openings avoid: those that this node cannot reach, or could not
+    /// reach recently.
     #[must_use]
     pub fn avoided(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.avoided(now)
     }
 
-    /// Instances that this node can't reach.
+    /// Returns the instances that this node cannot reach.
     #[must_use]
     pub fn unreachable(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.unreachable(now)
     }
 
-    /// Instances whose flows may be ended, resting ones too.
+    /// Returns the instances whose flows may be ended, including idle ones.
     #[must_use]
     pub fn ended(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.ended(now)
     }
 
-    /// Instances of which a sign of life would change something.
+    /// Returns the instances for which a sign of life would matter.
     #[must_use]
-    pub fn in_question(&self, now: Timestamp) -> BTreeSet<Cookie> {
-        self.reachability.in_question(now)
+    pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
+        self.reachability.under_verification(now)
     }
 
-    /// Flows of some instances have gone on a moment ago. Returns those that were in question, and what to
-    /// tell peers.
-    pub fn object(
+    /// Records that flows of some instances have recently made progress. Returns those that were
+    /// under verification, and the messages to peers.
+    pub fn report_alive(
         &mut self,
         now: Timestamp,
-        living: &[Cookie],
+        alive: &[Cookie],
     ) -> (Vec<Cookie>, Vec<ExchangeEffect>) {
-        let living = living.iter().copied();
-        let dropped: Vec<Cookie> = living
-            .filter(|cookie| self.reachability.lives(now, *cookie))
+        let alive = alive.iter().copied();
+        let refuted: Vec<Cookie> = alive
+            .filter(|cookie| self.reachability.record_alive(now, *cookie))
             .collect();
-        let effects = self.exchange.tell_living(&dropped);
-        (dropped, effects)
+        let effects = self.exchange.tell_living(&refuted);
+        (refuted, effects)
     }
 
-    /// A peer objects: some instances live. What is news goes on to others.
-    pub(super) fn objection(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
-        let living = objection.cookies.iter();
-        let living: Vec<Cookie> = living.filter_map(|bits| Cookie::from_bits(*bits)).collect();
-        let (_, effects) = self.object(now, &living);
+    /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
+    /// new.
+    pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
+        let alive = objection.cookies.iter();
+        let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
+        let (_, effects) = self.report_alive(now, &alive);
         Outcome {
             change: StateChange::default(),
             effects,
         }
     }
 
-    /// Forgets what was found of instances that have started again since.
+    /// Removes the findings about instances that have restarted since.
     pub(super) fn forget_earlier_runs(&mut self) {
         for id in self.replica.take_restarted() {
             let cookie = Cookie::of(id);
             self.reachability.forget(cookie);
-            self.outlying.forget(cookie);
+            self.outlier_state.forget(cookie);
         }
     }
 
-    /// Tells the reachability monitor whose records have gone, or whose addresses passed on. It holds few instances mostly.
-    pub(super) fn note_records(&mut self, now: Timestamp) {
-        let held = &self.reachability;
-        if held.is_empty() {
+    /// Passes deleted records and reused addresses to the reachability monitor, which contains few
+    /// instances most of the time.
+    pub(super) fn update_records(&mut self, now: Timestamp) {
+        let reachability = &self.reachability;
+        if reachability.is_empty() {
             return;
         }
         let directory = self.replica.directory();
-        let succeeded = directory.succeeded();
-        let state_of = |cookie| {
+        let address_reused = directory.succeeded();
+        let record_of = |cookie| {
             let known = directory.find(cookie)?;
-            Some(if succeeded.contains(&known.record.id) {
-                RecordState::Succeeded
+            Some(if address_reused.contains(&known.record.id) {
+                RecordState::AddressReused
             } else if known.gone_at.is_some() {
-                RecordState::Gone
+                RecordState::Deleted
             } else {
                 RecordState::Present
             })
         };
-        self.reachability.note_records(now, state_of);
+        self.reachability.update_records(now, record_of);
     }
 
-    /// A peer can't reach some instances, and asks this node to probe them too.
-    pub(super) fn question(&mut self, now: Timestamp, question: &Question) -> Outcome {
-        let asked = question.cookies.iter();
-        let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
-        for cookie in asked {
+    /// Handles a peer's request to probe instances that it cannot reach.
+    pub(super) fn handle_probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
+        let suspects = question.cookies.iter();
+        let suspects = suspects.filter_map(|bits| Cookie::from_bits(*bits));
+        for cookie in suspects {
             if self.replica.directory().find(cookie).is_some() {
-                self.reachability.question(now, cookie, Doubter::Peer);
+                self.reachability
+                    .suspect(now, cookie, SuspicionSource::PeerRequest);
             }
         }
-        self.note_records(now);
+        self.update_records(now);
         Outcome::default()
     }
 }
 
-/// Instances that nothing speaks against, as controls of a probe: those that were known to be sound
-/// last go first. Which they are changes from probe to probe.
-fn controls(
+/// Returns instances that are not suspected, as controls of a probe. Those known to be healthy come
+/// first; the others vary from probe to probe.
+fn select_controls(
     now: Timestamp,
     directory: &Directory,
     reachability: &ReachabilityMonitor,
-    proven: &[Cookie],
+    healthy: &[Cookie],
     count: usize,
 ) -> Vec<SocketAddrV4> {
-    let is_sound = |known: &&KnownInstance| {
+    let is_healthy = |known: &&KnownInstance| {
         let cookie = Cookie::of(known.record.id);
         let serves = known.gone_at.is_none() && known.record.state == InstanceState::Ready;
-        serves && known.warm_at <= now && !reachability.is_in_doubt(now, cookie)
+        serves && known.warm_at <= now && !reachability.is_suspected(now, cookie)
     };
-    let proven_first = proven.iter().filter_map(|cookie| directory.find(*cookie));
+    let healthy_first = healthy.iter().filter_map(|cookie| directory.find(*cookie));
     let start = mix(now.as_micros()) as usize % directory.len().max(1);
     let others = directory.instances().skip(start);
     let others = others.chain(directory.instances().take(start));
     let mut chosen: Vec<SocketAddrV4> = Vec::with_capacity(count);
-    for known in proven_first.chain(others).filter(is_sound) {
+    for known in healthy_first.chain(others).filter(is_healthy) {
         if chosen.len() == count {
             break;
         }
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -1,40 +1,41 @@
-//! The comparison of instances by what nodes report of them.
+//! Compares instances by the requests that nodes report.
 
-use super::tally::{InstanceTally, asked_by_service};
+use super::tally::{InstanceTally, requests_by_service};
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::{ForwardingTable, ServiceNumber, ServicePart};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests counted at most by instance; what happened long ago is gone sooner then.
-const MAXIMUM_COUNT: f64 = 1_000.0;
+/// Upper bound on the counts of an instance, which makes old requests lose their weight sooner.
+const MAXIMUM_REQUEST_COUNT: f64 = 1_000.0;
 
-/// Below so much a count is nothing.
-const NOTHING: f64 = 0.05;
+/// Counts of bad requests at or below this value are treated as zero.
+const NEGLIGIBLE_REQUESTS: f64 = 0.05;
 
-/// An outlier with so many good requests in a row works again. One that fails half of them gets there by
-/// luck once in 256 times.
-const GOOD_IN_ROW: u32 = 8;
+/// Good requests in a row after which an outlier is reinstated. An instance that fails half of its
+/// requests reaches this number by chance once in 256 times.
+const REINSTATEMENT_GOOD_REQUESTS: u32 = 8;
 
-/// How often a held outlier may double the time until it is tried without evidence.
-const MOST_DOUBLINGS: u32 = 2;
+/// How often the evidence timeout of an ejected instance may double.
+const MAXIMUM_TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// When an instance stands out, and what follows.
+/// Thresholds for ejecting and reinstating instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
-    /// Largest part of a service's instances that are set aside; zero for none.
+    /// Largest share of a service's instances that may be ejected at a time; zero disables
+    /// ejection.
     pub largest_share: f64,
-    /// Time in which counts halve.
+    /// Half-life of the request counts.
     pub half_life: Duration,
-    /// Bad requests that an instance must have had lately.
-    pub least_bad: f64,
-    /// Part of its requests that must be bad.
-    pub least_part: f64,
-    /// The same, as a multiple of what is bad at the service's median instance.
-    pub least_factor: f64,
-    /// An outlier of which nothing was heard for so long is one no longer.
-    pub memory: Duration,
+    /// Minimum count of recent bad requests for an ejection.
+    pub minimum_bad_requests: f64,
+    /// Minimum fraction of an instance's requests that are bad for an ejection.
+    pub minimum_bad_fraction: f64,
+    /// Minimum ratio of that fraction to the one of the service's median instance for an ejection.
+    pub minimum_median_factor: f64,
+    /// An outlier without any reported request for this long is reinstated.
+    pub evidence_timeout: Duration,
 }
 
 impl Default for OutlierSettings {
@@ -42,101 +43,108 @@
         Self {
             largest_share: 0.4,
             half_life: Duration::from_secs(2),
-            least_bad: 2.5,
-            least_part: 0.2,
-            least_factor: 3.0,
-            // Trials bring a request in two seconds to one of many outliers; with 4 s one in ten came back for want of any.
-            memory: Duration::from_secs(10),
+            minimum_bad_requests: 2.5,
+            minimum_bad_fraction: 0.2,
+            minimum_median_factor: 3.0,
+            // With many outliers, trial flows send each of them one request in two seconds; at 4 s,
+            // one in ten was reinstated for lack of requests.
+            evidence_timeout: Duration::from_secs(10),
         }
     }
 }
 
-/// A change of what is believed of an instance.
+/// An ejection or reinstatement of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierChange {
     /// The instance.
     pub cookie: Cookie,
-    /// Whether it is set aside from now on.
+    /// Whether it was ejected; otherwise it was reinstated.
     pub is_outlier: bool,
-    /// Bad requests lately.
+    /// Decayed count of bad requests.
     pub bad: f64,
-    /// Requests lately, as far as known.
-    pub asked: f64,
-    /// Part that is bad at the service's median instance.
-    pub usual_part: f64,
-    /// How long it was set aside.
-    pub held: Duration,
+    /// Decayed count of the reported requests.
+    pub requests: f64,
+    /// Fraction of bad requests at the service's median instance.
+    pub median_bad_fraction: f64,
+    /// How long it had been ejected.
+    pub ejected_for: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Evidence {
-    asked: f64,
+    requests: f64,
     bad: f64,
     /// Requests reported since the last bad one.
-    good_in_row: u32,
-    /// Since when it is set aside.
-    since: Option<Timestamp>,
+    consecutive_good: u32,
+    /// Since when it has been ejected.
+    ejected_at: Option<Timestamp>,
     /// When a request to it was last reported.
-    heard_at: Timestamp,
-    /// When it was last let back.
-    back_at: Option<Timestamp>,
-    /// How often it was set aside again soon after it was let back.
-    returns: u32,
+    reported_at: Timestamp,
+    /// When it was last reinstated.
+    reinstated_at: Option<Timestamp>,
+    /// How often in a row it was ejected soon after its reinstatement.
+    re_ejections: u32,
 }
 
-/// Compares the instances of each service by decaying counts of what nodes report.
+/// Compares the instances of each service by decaying counts of reported requests.
 #[derive(Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
     evidence: BTreeMap<Cookie, Evidence>,
-    /// This node's own requests by service, decaying.
-    own_asked: BTreeMap<ServiceNumber, f64>,
+    /// Decayed count of this node's own requests to each service.
+    own_requests: BTreeMap<ServiceNumber, f64>,
     decayed_at: Timestamp,
 }
 
 impl OutlierDetector {
-    /// A detector that has heard nothing.
+    /// Creates a detector without any evidence.
     #[must_use]
     pub const fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
             evidence: BTreeMap::new(),
-            own_asked: BTreeMap::new(),
+            own_requests: BTreeMap::new(),
             decayed_at: Timestamp::ZERO,
         }
     }
 
-    /// Whether nobody is set aside.
+    /// Returns whether there is evidence against no instance.
     #[must_use]
-    pub fn is_calm(&self) -> bool {
+    pub fn has_no_evidence(&self) -> bool {
         self.evidence.is_empty()
     }
 
-    /// How many requests this node itself saw, from which it tells how many there are in all.
-    pub fn note_own(&mut self, now: Timestamp, table: &ForwardingTable, tallies: &[InstanceTally]) {
+    /// Counts this node's own requests, from which the total of all nodes is estimated.
+    pub fn record_own_requests(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+        tallies: &[InstanceTally],
+    ) {
         self.decay(now);
-        for (service, asked) in asked_by_service(tallies, |cookie| table.service_of(cookie)) {
-            *self.own_asked.entry(service).or_default() += asked;
+        for (service, requests) in requests_by_service(tallies, |cookie| table.service_of(cookie)) {
+            *self.own_requests.entry(service).or_default() += requests;
         }
     }
 
-    /// This node collects no longer.
-    pub fn forget_reports(&mut self) {
+    /// Clears the reports when this node no longer collects them.
+    pub fn clear_reports(&mut self) {
         self.evidence.clear();
     }
 
-    /// Forgets what was reported of an instance.
+    /// Removes what was reported about an instance.
     pub fn forget(&mut self, cookie: Cookie) {
         self.evidence.remove(&cookie);
     }
 
-    /// What a node reports.
-    pub fn note_report(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
+    /// Adds a report of a node.
+    pub fn record_report(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         self.decay(now);
-        self.note(now, tallies);
+        self.record(now, tallies);
     }
 
-    /// Compares the instances, and returns what changed. `nodes` report, as far as known.
+    /// Compares the instances and returns the changes. `nodes` is the estimated number of nodes
+    /// that report.
     pub fn review(
         &mut self,
         now: Timestamp,
@@ -156,38 +164,43 @@
             self.review_service(now, table, service, nodes, &mut changes);
         }
         let is_known = |cookie| table.destination(cookie).is_some();
-        let memory = self.settings.memory * (1 << MOST_DOUBLINGS);
-        self.evidence.retain(|cookie, held| {
-            let counts = held.since.is_some() || held.bad > NOTHING;
-            is_known(*cookie) && (counts || now.since(held.heard_at) < memory)
+        let evidence_timeout = self.settings.evidence_timeout * (1 << MAXIMUM_TIMEOUT_DOUBLINGS);
+        self.evidence.retain(|cookie, evidence| {
+            let counts = evidence.ejected_at.is_some() || evidence.bad > NEGLIGIBLE_REQUESTS;
+            is_known(*cookie) && (counts || now.since(evidence.reported_at) < evidence_timeout)
         });
         changes
     }
 
-    /// Instances that are set aside, the worst first.
+    /// Returns the ejected instances, the worst first.
     #[must_use]
     pub fn outliers(&self) -> Vec<Cookie> {
-        let held = self.evidence.iter();
-        let mut held: Vec<_> = held.filter(|(_, held)| held.since.is_some()).collect();
-        held.sort_by(|(_, one), (_, other)| other.bad.total_cmp(&one.bad));
-        held.into_iter().map(|(cookie, _)| *cookie).collect()
+        let evidence = self.evidence.iter();
+        let mut ejected: Vec<_> = evidence
+            .filter(|(_, evidence)| evidence.ejected_at.is_some())
+            .collect();
+        ejected.sort_by(|(_, one), (_, other)| other.bad.total_cmp(&one.bad));
+        ejected.into_iter().map(|(cookie, _)| *cookie).collect()
     }
 
-    fn note(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
+    fn record(&mut self, now: Timestamp, tallies: &[InstanceTally]) {
         for tally in tallies {
-            let is_held = self.evidence.contains_key(&tally.cookie);
-            // Good requests count only for those that something speaks against.
-            if !is_held && tally.bad() == 0 {
+            let is_known = self.evidence.contains_key(&tally.cookie);
+            // Good requests are counted only for instances that already had a bad one.
+            if !is_known && tally.bad() == 0 {
                 continue;
             }
             let evidence = self.evidence.entry(tally.cookie).or_default();
-            evidence.asked = (evidence.asked + f64::from(tally.asked)).min(MAXIMUM_COUNT);
-            evidence.bad = (evidence.bad + f64::from(tally.bad())).min(MAXIMUM_COUNT);
-            evidence.good_in_row = match tally.bad() {
-                0 => evidence.good_in_row.saturating_add(u32::from(tally.asked)),
+            evidence.requests =
+                (evidence.requests + f64::from(tally.requests)).min(MAXIMUM_REQUEST_COUNT);
+            evidence.bad = (evidence.bad + f64::from(tally.bad())).min(MAXIMUM_REQUEST_COUNT);
+            evidence.consecutive_good = match tally.bad() {
+                0 => evidence
+                    .consecutive_good
+                    .saturating_add(u32::from(tally.requests)),
                 _ => 0,
             };
-            evidence.heard_at = now;
+            evidence.reported_at = now;
         }
     }
 
@@ -196,11 +209,11 @@
         self.decayed_at = now;
         let factor = (-passed / self.settings.half_life.as_secs_f64()).exp2();
         for evidence in self.evidence.values_mut() {
-            evidence.asked *= factor;
+            evidence.requests *= factor;
             evidence.bad *= factor;
         }
-        for asked in self.own_asked.values_mut() {
-            *asked *= factor;
+        for requests in self.own_requests.values_mut() {
+            *requests *= factor;
         }
     }
 
@@ -218,62 +231,74 @@
             .iter()
             .map(|candidate| candidate.cookie)
             .collect();
-        let own = self.own_asked.get(&service).copied().unwrap_or_default();
+        let own = self.own_requests.get(&service).copied().unwrap_or_default();
         let expected = own * nodes / (candidates.len().max(1) as f64);
-        let usual_part = self.median_part(&candidates, expected);
-        let most = (candidates.len() as f64 * self.settings.largest_share) as usize;
-        self.let_back(now, &candidates, usual_part, changes);
-        let held = |held: &Evidence| held.since.is_some();
-        let aside = candidates
+        let median_bad_fraction = self.median_bad_fraction_of(&candidates, expected);
+        let maximum_ejected = (candidates.len() as f64 * self.settings.largest_share) as usize;
+        self.reinstate(now, &candidates, median_bad_fraction, changes);
+        let is_ejected = |evidence: &Evidence| evidence.ejected_at.is_some();
+        let ejected = candidates
             .iter()
-            .filter(|cookie| self.evidence.get(cookie).is_some_and(held))
+            .filter(|cookie| self.evidence.get(cookie).is_some_and(is_ejected))
             .count();
         let mut worst: Vec<(f64, Cookie)> = candidates
             .iter()
             .filter_map(|cookie| {
                 let evidence = self.evidence.get(cookie)?;
-                self.stands_out(evidence, expected, usual_part)
+                self.exceeds_thresholds(evidence, expected, median_bad_fraction)
                     .then_some((evidence.bad, *cookie))
             })
             .collect();
         worst.sort_by(|one, other| other.0.total_cmp(&one.0));
-        for (_, cookie) in worst.into_iter().take(most.saturating_sub(aside)) {
-            changes.extend(self.set_aside(now, cookie, usual_part));
+        for (_, cookie) in worst
+            .into_iter()
+            .take(maximum_ejected.saturating_sub(ejected))
+        {
+            changes.extend(self.eject(now, cookie, median_bad_fraction));
         }
     }
 
-    /// Part of the requests that is bad at the median instance. Those without evidence have none.
-    fn median_part(&self, candidates: &BTreeSet<Cookie>, expected: f64) -> f64 {
-        let parts = candidates.iter().map(|cookie| {
+    /// Returns the fraction of bad requests at the median instance. Instances without evidence
+    /// count as zero.
+    fn median_bad_fraction_of(&self, candidates: &BTreeSet<Cookie>, expected: f64) -> f64 {
+        let fractions = candidates.iter().map(|cookie| {
             let evidence = self.evidence.get(cookie);
-            evidence.map_or(0.0, |evidence| part_of(evidence, expected))
+            evidence.map_or(0.0, |evidence| bad_fraction(evidence, expected))
         });
-        let mut parts: Vec<f64> = parts.collect();
-        parts.sort_by(f64::total_cmp);
-        parts.get(parts.len() / 2).copied().unwrap_or_default()
+        let mut fractions: Vec<f64> = fractions.collect();
+        fractions.sort_by(f64::total_cmp);
+        fractions
+            .get(fractions.len() / 2)
+            .copied()
+            .unwrap_or_default()
     }
 
-    fn stands_out(&self, evidence: &Evidence, expected: f64, usual_part: f64) -> bool {
+    fn exceeds_thresholds(
+        &self,
+        evidence: &Evidence,
+        expected: f64,
+        median_bad_fraction: f64,
+    ) -> bool {
         let settings = &self.settings;
-        let part = part_of(evidence, expected);
-        evidence.since.is_none()
-            && evidence.bad >= settings.least_bad
-            && part >= settings.least_part
-            && part >= usual_part * settings.least_factor
+        let fraction = bad_fraction(evidence, expected);
+        evidence.ejected_at.is_none()
+            && evidence.bad >= settings.minimum_bad_requests
+            && fraction >= settings.minimum_bad_fraction
+            && fraction >= median_bad_fraction * settings.minimum_median_factor
     }
 
-    fn set_aside(
+    fn eject(
         &mut self,
         now: Timestamp,
         cookie: Cookie,
-        usual_part: f64,
+        median_bad_fraction: f64,
     ) -> Option<OutlierChange> {
-        let memory = self.settings.memory;
+        let evidence_timeout = self.settings.evidence_timeout;
         let evidence = self.evidence.get_mut(&cookie)?;
-        evidence.since = Some(now);
-        let soon = |back_at: Timestamp| now.since(back_at) < memory * 2;
-        evidence.returns = if evidence.back_at.is_some_and(soon) {
-            (evidence.returns + 1).min(MOST_DOUBLINGS)
+        evidence.ejected_at = Some(now);
+        let is_recent = |reinstated_at: Timestamp| now.since(reinstated_at) < evidence_timeout * 2;
+        evidence.re_ejections = if evidence.reinstated_at.is_some_and(is_recent) {
+            (evidence.re_ejections + 1).min(MAXIMUM_TIMEOUT_DOUBLINGS)
         } else {
             0
         };
@@ -281,62 +306,65 @@
             cookie,
             is_outlier: true,
             bad: evidence.bad,
-            asked: evidence.asked,
-            usual_part,
-            held: Duration::ZERO,
+            requests: evidence.requests,
+            median_bad_fraction,
+            ejected_for: Duration::ZERO,
         })
     }
 
-    /// Lets those back that answer well, or of which nothing was heard for long.
-    fn let_back(
+    /// Reinstates instances that answer well, or without reported requests for the evidence
+    /// timeout.
+    fn reinstate(
         &mut self,
         now: Timestamp,
         candidates: &BTreeSet<Cookie>,
-        usual_part: f64,
+        median_bad_fraction: f64,
         changes: &mut Vec<OutlierChange>,
     ) {
         let settings = self.settings;
-        let good_part = (settings.least_part / 2.0).max(usual_part * settings.least_factor / 2.0);
+        let reinstatement_fraction = (settings.minimum_bad_fraction / 2.0)
+            .max(median_bad_fraction * settings.minimum_median_factor / 2.0);
         for cookie in candidates {
             let Some(evidence) = self.evidence.get_mut(cookie) else {
                 continue;
             };
-            let Some(since) = evidence.since else {
+            let Some(ejected_at) = evidence.ejected_at else {
                 continue;
             };
-            let memory = settings.memory * (1 << evidence.returns);
-            let forgotten = now.since(evidence.heard_at.max(since)) >= memory;
-            let is_good =
-                evidence.asked >= settings.least_bad && evidence.bad / evidence.asked < good_part;
-            let works = evidence.good_in_row >= GOOD_IN_ROW;
-            if !(forgotten || is_good || works) {
+            let evidence_timeout = settings.evidence_timeout * (1 << evidence.re_ejections);
+            let has_timed_out = now.since(evidence.reported_at.max(ejected_at)) >= evidence_timeout;
+            let is_good = evidence.requests >= settings.minimum_bad_requests
+                && evidence.bad / evidence.requests < reinstatement_fraction;
+            let has_recovered = evidence.consecutive_good >= REINSTATEMENT_GOOD_REQUESTS;
+            if !(has_timed_out || is_good || has_recovered) {
                 continue;
             }
             changes.push(OutlierChange {
                 cookie: *cookie,
                 is_outlier: false,
                 bad: evidence.bad,
-                asked: evidence.asked,
-                usual_part,
-                held: now.since(since),
+                requests: evidence.requests,
+                median_bad_fraction,
+                ejected_for: now.since(ejected_at),
             });
-            evidence.since = None;
+            evidence.ejected_at = None;
             evidence.bad = 0.0;
-            evidence.back_at = Some(now);
+            evidence.reinstated_at = Some(now);
         }
     }
 }
 
-/// Part of an instance's requests that is bad. Nodes tell of good requests only where there were bad ones,
-/// so that at least as many were asked as at others, on average.
-fn part_of(evidence: &Evidence, expected: f64) -> f64 {
-    let asked = if evidence.since.is_some() {
-        evidence.asked
+/// Returns the fraction of an instance's requests that are bad. Nodes report good requests only of
+/// instances with bad ones, so an instance is assumed to have had at least as many requests as the
+/// average of its service.
+fn bad_fraction(evidence: &Evidence, expected: f64) -> f64 {
+    let requests = if evidence.ejected_at.is_some() {
+        evidence.requests
     } else {
-        evidence.asked.max(expected)
+        evidence.requests.max(expected)
     };
-    if asked > 0.0 {
-        (evidence.bad / asked).min(1.0)
+    if requests > 0.0 {
+        (evidence.bad / requests).min(1.0)
     } else {
         0.0
     }
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -1,102 +1,106 @@
-//! What one node holds of the instances in question.
+//! The reachability state that one node keeps per instance.
 
 use super::finding::{Finding, Origin, PeerFindings, is_fresh};
 use super::{
-    AVOIDANCE, CONFIRMATION_TIME, CONFIRMERS, INCONCLUSIVE_PROBES, MAXIMUM_SUSPECTS,
-    OBJECTION_TIME, ProbeOutcome, QUESTION_INTERVAL, RECHECK_INTERVAL,
+    AVOIDANCE_DURATION, CONFIRMATION_TIMEOUT, MAXIMUM_CONFIRMATION_REQUESTS,
+    MAXIMUM_INCONCLUSIVE_PROBES, MAXIMUM_SUSPECTS_PER_PROBE, ProbeOutcome, RECHECK_INTERVAL,
+    REFUTATION_PERIOD, SUSPICION_INTERVAL,
 };
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the records tell of an instance in question.
+/// The state of a suspected instance's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// Its record is there.
+    /// The record exists.
     Present,
-    /// Its record has gone.
-    Gone,
-    /// One that was created later is at its address: connections there tell nothing of it.
-    Succeeded,
+    /// The record was deleted.
+    Deleted,
+    /// An instance created later uses the same address; connections there say nothing about this
+    /// one.
+    AddressReused,
 }
 
-/// Who can't reach an instance.
+/// Why an instance is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubter {
-    /// This node: an opening came to nothing.
-    Node,
-    /// A peer: its probe came to nothing.
-    Peer,
+pub enum SuspicionSource {
+    /// An opening that this node sent has failed.
+    OwnOpening,
+    /// A peer whose probe failed asks this node to probe the instance.
+    PeerRequest,
 }
 
-/// A change of what is held of an instance.
+/// A change in the reachability of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReachabilityChange {
     /// The instance.
     pub cookie: Cookie,
-    /// Whether it is held to be unreachable now.
+    /// Whether it is now considered unreachable.
     pub unreachable: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct InstanceState {
-    /// Whether it waits for a probe, or one is under way.
-    questioned: bool,
-    /// Whether a peer has asked.
-    by_peer: bool,
-    under_way: bool,
-    /// The probe under way began at an earlier run of the instance.
-    is_void: bool,
+    /// Whether it waits for a probe, or one is running.
+    suspected: bool,
+    /// Whether a peer asked for the probe.
+    requested_by_peer: bool,
+    probe_running: bool,
+    /// Whether the running probe started during an earlier run of the instance.
+    probe_is_stale: bool,
     probed_at: Option<Timestamp>,
     unreachable_at: Option<Timestamp>,
-    /// When peers were asked about it, or asked.
-    asked_at: Option<Timestamp>,
-    /// Its record went, or its address passed on, while it was unreachable: it has ended, unless the
-    /// record comes back.
-    settled: bool,
-    /// Another instance holds its address, so that probes tell nothing of it.
-    succeeded: bool,
-    /// Until when openings avoid it though it takes connections again.
+    /// When the time for peers to refute the suspicion began.
+    refutations_requested_at: Option<Timestamp>,
+    /// The record was deleted, or the address was reused, while the instance was unreachable. It
+    /// has ended, unless the record reappears.
+    ended: bool,
+    /// Whether another instance uses its address, which makes probes meaningless.
+    address_reused: bool,
+    /// Until when openings avoid it although it accepts connections again.
     avoided_until: Timestamp,
-    /// When this node is to find out whether it is still unreachable; none if it isn't, by its own probe.
+    /// When this node rechecks whether it is still unreachable; `None` unless an own probe found
+    /// that.
     recheck_at: Option<Timestamp>,
-    inconclusive: u32,
-    /// When its flows last showed that it lives.
-    lived_at: Option<Timestamp>,
-    /// When a probe of this node last reached it: what peers found before counts no longer.
+    inconclusive_probes: u32,
+    /// When its flows last showed that it is alive.
+    alive_at: Option<Timestamp>,
+    /// When a probe of this node last reached it. Earlier findings of peers are ignored.
     reached_at: Option<Timestamp>,
     peers: PeerFindings,
-    /// Peers that were asked to confirm the verdict, and when the next one may be.
-    confirmers_asked: u32,
-    next_confirmer_at: Timestamp,
+    /// Number of peers asked to confirm the verdict, and the time before which no other one is
+    /// asked.
+    confirmation_requests: u32,
+    next_confirmation_request_at: Timestamp,
 }
 
-/// What a node has established of the instances that were in question, and heard of them.
+/// Tracks suspected and unreachable instances by the findings of this node and its peers.
 #[derive(Debug)]
 pub struct ReachabilityMonitor {
     own: Origin,
-    /// Whether all nodes stand in one zone, as far as this one knows.
-    one_zone: bool,
+    /// Whether all nodes known to this one are in a single zone.
+    single_zone: bool,
     states: BTreeMap<Cookie, InstanceState>,
 }
 
 impl ReachabilityMonitor {
-    /// A node that has heard nothing.
+    /// Creates a monitor without any suspects.
     #[must_use]
     pub const fn new(own: Origin) -> Self {
         Self {
             own,
-            one_zone: true,
+            single_zone: true,
             states: BTreeMap::new(),
         }
     }
 
-    /// Whether all nodes stand in one zone.
-    pub const fn set_one_zone(&mut self, one_zone: bool) {
-        self.one_zone = one_zone;
+    /// Sets whether all known nodes are in a single zone.
+    pub const fn set_single_zone(&mut self, single_zone: bool) {
+        self.single_zone = single_zone;
     }
 
-    /// The finding of this node's own probe.
+    /// Returns the finding of a probe of this node that ended at `now`.
     #[must_use]
     pub const fn own_finding(&self, now: Timestamp, cookie: Cookie, reached: bool) -> Finding {
         Finding {
@@ -107,109 +111,115 @@
         }
     }
 
-    /// Whether a probe of this node that ended at `now` couldn't reach an instance.
+    /// Returns whether a probe of this node that ended at `now` could not reach the instance.
     #[must_use]
-    pub fn was_found(&self, now: Timestamp, cookie: Cookie) -> bool {
+    pub fn found_unreachable(&self, now: Timestamp, cookie: Cookie) -> bool {
         let state = self.states.get(&cookie);
         state.is_some_and(|state| state.unreachable_at == Some(now))
     }
 
-    /// A peer has told what its probe of a known instance found. Returns whether that is news, to be told on.
-    pub fn note_finding(&mut self, now: Timestamp, finding: &Finding) -> bool {
+    /// Records a peer's finding about a known instance. Returns whether it is new and is to be
+    /// forwarded.
+    pub fn record_finding(&mut self, now: Timestamp, finding: &Finding) -> bool {
         let state = self.states.entry(finding.cookie).or_default();
-        let lived_at = state.lived_at;
-        let lives = lived_at.is_some_and(|at| now.since(at) < QUESTION_INTERVAL);
+        let alive_at = state.alive_at;
+        let is_alive = alive_at.is_some_and(|at| now.since(at) < SUSPICION_INTERVAL);
         let reached = state.reached_at.is_some_and(|at| finding.found_at <= at);
-        if state.settled || state.succeeded || lives || reached {
+        if state.ended || state.address_reused || is_alive || reached {
             return false;
         }
         if !finding.reached {
-            let was_in_question = state.is_in_question(now);
-            let is_news = state.peers.note(now, finding, self.one_zone);
-            if is_news && !was_in_question {
-                state.asked_at = Some(now);
+            let was_under_verification = state.is_under_verification(now);
+            let is_new = state.peers.record(now, finding, self.single_zone);
+            if is_new && !was_under_verification {
+                state.refutations_requested_at = Some(now);
             }
-            return is_news;
+            return is_new;
         }
-        let withdrawn = state.peers.withdraw(finding, self.one_zone);
-        if withdrawn && !state.is_in_question(now) {
-            state.asked_at = None;
-            state.avoided_until = finding.found_at.after(AVOIDANCE).max(state.avoided_until);
+        let withdrawn = state.peers.withdraw(finding, self.single_zone);
+        if withdrawn && !state.is_under_verification(now) {
+            state.refutations_requested_at = None;
+            state.avoided_until = finding
+                .found_at
+                .after(AVOIDANCE_DURATION)
+                .max(state.avoided_until);
         }
         withdrawn
     }
 
-    /// Instances that this node couldn't reach and that a peer is to be asked about now, since nobody has confirmed
-    /// it.
-    pub fn unconfirmed(&mut self, now: Timestamp) -> Vec<Cookie> {
-        let (own, one_zone) = (self.own, self.one_zone);
+    /// Returns the instances that this node could not reach and that nobody has confirmed yet. A
+    /// peer is to be asked about each of them now; the requests are counted.
+    pub fn take_unconfirmed(&mut self, now: Timestamp) -> Vec<Cookie> {
+        let (own, single_zone) = (self.own, self.single_zone);
         let states = self.states.iter_mut();
         let unconfirmed = states.filter(|(_, state)| {
             let found = state.unreachable_at;
-            let is_open = found.is_some_and(|at| is_fresh(now, at)) && !state.settled;
+            let is_open = found.is_some_and(|at| is_fresh(now, at)) && !state.ended;
             is_open
-                && !state.by_peer
-                && state.confirmers_asked < CONFIRMERS
-                && now >= state.next_confirmer_at
-                && !state.peers.confirm(now, own, one_zone)
+                && !state.requested_by_peer
+                && state.confirmation_requests < MAXIMUM_CONFIRMATION_REQUESTS
+                && now >= state.next_confirmation_request_at
+                && !state.peers.confirms(now, own, single_zone)
         });
-        let asked = unconfirmed.map(|(cookie, state)| {
-            state.confirmers_asked += 1;
-            state.next_confirmer_at = now.after(CONFIRMATION_TIME);
+        let requested = unconfirmed.map(|(cookie, state)| {
+            state.confirmation_requests += 1;
+            state.next_confirmation_request_at = now.after(CONFIRMATION_TIMEOUT);
             *cookie
         });
-        asked.collect()
+        requested.collect()
     }
 
-    /// Something speaks against an instance. Returns whether that is news, for peers.
-    pub fn question(&mut self, now: Timestamp, cookie: Cookie, doubter: Doubter) -> bool {
+    /// Marks an instance as suspected. Returns `false` if it already is, was probed recently, or
+    /// has a verdict that a probe would not change.
+    pub fn suspect(&mut self, now: Timestamp, cookie: Cookie, source: SuspicionSource) -> bool {
         let state = self.states.entry(cookie).or_default();
         let probed_at = state.probed_at;
-        let lately = probed_at.is_some_and(|at| now.since(at) < QUESTION_INTERVAL);
-        let is_answered = doubter == Doubter::Node && state.peers.agree(now);
-        let is_over = state.settled || state.succeeded || is_answered;
-        if state.questioned || state.under_way || lately || is_over {
+        let recently_probed = probed_at.is_some_and(|at| now.since(at) < SUSPICION_INTERVAL);
+        let is_answered = source == SuspicionSource::OwnOpening && state.peers.has_agreement(now);
+        let is_decided = state.ended || state.address_reused || is_answered;
+        if state.suspected || state.probe_running || recently_probed || is_decided {
             return false;
         }
-        state.questioned = true;
-        state.by_peer = doubter == Doubter::Peer;
-        if state.by_peer || !state.peers.any(now) {
-            state.asked_at = state.by_peer.then_some(now);
+        state.suspected = true;
+        state.requested_by_peer = source == SuspicionSource::PeerRequest;
+        if state.requested_by_peer || !state.peers.has_any(now) {
+            state.refutations_requested_at = state.requested_by_peer.then_some(now);
         }
-        state.inconclusive = 0;
+        state.inconclusive_probes = 0;
         true
     }
 
-    /// The instances in question that are to be probed now.
-    pub fn questioned(&mut self, doubter: Doubter) -> Vec<Cookie> {
-        let by_peer = doubter == Doubter::Peer;
-        self.begin(|state| state.questioned && state.by_peer == by_peer)
+    /// Returns the suspected instances to probe now, and marks their probes as running.
+    pub fn take_suspects(&mut self, source: SuspicionSource) -> Vec<Cookie> {
+        let requested_by_peer = source == SuspicionSource::PeerRequest;
+        self.start_probes(|state| state.suspected && state.requested_by_peer == requested_by_peer)
     }
 
-    /// The unreachable instances that are to be probed again, since nobody else has done so.
-    pub fn due_again(&mut self, now: Timestamp) -> Vec<Cookie> {
-        self.begin(|state| {
+    /// Returns the unreachable instances to probe again, unless two independent peers have done so
+    /// since, and marks their probes as running.
+    pub fn take_rechecks(&mut self, now: Timestamp) -> Vec<Cookie> {
+        self.start_probes(|state| {
             let found_at = state.unreachable_at.filter(|at| is_fresh(now, *at));
             let is_due = state.recheck_at.is_some_and(|at| now >= at);
-            let is_open = !state.settled && !state.succeeded;
-            let is_renewed = |found_at| state.peers.agree_since(found_at);
+            let is_open = !state.ended && !state.address_reused;
+            let is_renewed = |found_at| state.peers.has_agreement_since(found_at);
             is_due && is_open && found_at.is_some_and(|found_at| !is_renewed(found_at))
         })
     }
 
-    fn begin(&mut self, is_due: impl Fn(&InstanceState) -> bool) -> Vec<Cookie> {
+    fn start_probes(&mut self, is_due: impl Fn(&InstanceState) -> bool) -> Vec<Cookie> {
         let states = self.states.iter_mut();
-        let due = states.filter(|(_, state)| !state.under_way && is_due(state));
-        let begun = due.take(MAXIMUM_SUSPECTS).map(|(cookie, state)| {
-            state.under_way = true;
+        let due = states.filter(|(_, state)| !state.probe_running && is_due(state));
+        let started = due.take(MAXIMUM_SUSPECTS_PER_PROBE).map(|(cookie, state)| {
+            state.probe_running = true;
             *cookie
         });
-        begun.collect()
+        started.collect()
     }
 
-    /// What the records tell of instances. One that was unreachable when its record went, or another
-    /// one came to its address, has ended; if the record comes back, it lives.
-    pub fn note_records(
+    /// Updates the record states. An instance whose record was deleted, or whose address was
+    /// reused, while it was unreachable has ended; if the record reappears, it is considered alive.
+    pub fn update_records(
         &mut self,
         now: Timestamp,
         record_of: impl Fn(Cookie) -> Option<RecordState>,
@@ -218,15 +228,15 @@
             let Some(record) = record_of(*cookie) else {
                 return false;
             };
-            state.settled = record != RecordState::Present && state.is_unreachable(now);
-            state.succeeded = record == RecordState::Succeeded;
-            state.questioned &= !state.succeeded;
+            state.ended = record != RecordState::Present && state.is_unreachable(now);
+            state.address_reused = record == RecordState::AddressReused;
+            state.suspected &= !state.address_reused;
             true
         });
     }
 
-    /// A probe of an instance is over. Returns what changed.
-    pub fn probed(
+    /// Records the outcome of a probe. Returns the change in reachability, if any.
+    pub fn record_probe(
         &mut self,
         now: Timestamp,
         cookie: Cookie,
@@ -234,39 +244,39 @@
     ) -> Option<ReachabilityChange> {
         let state = self.states.entry(cookie).or_default();
         let was_unreachable = state.is_unreachable(now);
-        state.under_way = false;
-        if std::mem::take(&mut state.is_void) {
+        state.probe_running = false;
+        if std::mem::take(&mut state.probe_is_stale) {
             return None;
         }
         state.probed_at = Some(now);
-        let lived = state.lived_at;
-        let lives = lived.is_some_and(|at| now.since(at) < QUESTION_INTERVAL);
-        if state.succeeded || (lives && outcome == ProbeOutcome::Unreachable) {
+        let alive_at = state.alive_at;
+        let is_alive = alive_at.is_some_and(|at| now.since(at) < SUSPICION_INTERVAL);
+        if state.address_reused || (is_alive && outcome == ProbeOutcome::Unreachable) {
             return None;
         }
         if outcome == ProbeOutcome::Inconclusive {
-            state.inconclusive += 1;
-            if state.inconclusive >= INCONCLUSIVE_PROBES {
-                state.questioned = false;
+            state.inconclusive_probes += 1;
+            if state.inconclusive_probes >= MAXIMUM_INCONCLUSIVE_PROBES {
+                state.suspected = false;
                 state.recheck_at = None;
             }
             return None;
         }
-        state.questioned = false;
-        state.inconclusive = 0;
+        state.suspected = false;
+        state.inconclusive_probes = 0;
         if outcome == ProbeOutcome::Reached {
             if was_unreachable {
-                state.avoided_until = now.after(AVOIDANCE);
+                state.avoided_until = now.after(AVOIDANCE_DURATION);
             }
             state.unreachable_at = None;
             state.reached_at = Some(now);
             state.peers = PeerFindings::default();
-            state.settled = false;
+            state.ended = false;
             state.recheck_at = None;
         } else {
             state.unreachable_at = Some(now);
-            state.confirmers_asked = 0;
-            state.asked_at.get_or_insert(now);
+            state.confirmation_requests = 0;
+            state.refutations_requested_at.get_or_insert(now);
             state.recheck_at = Some(now.after(RECHECK_INTERVAL));
         }
         let unreachable = state.is_unreachable(now);
@@ -276,70 +286,71 @@
         })
     }
 
-    /// Instances whose flows may be ended, resting ones too: they are held to be unreachable, and peers have
-    /// had time to object.
+    /// Returns the instances whose flows may be ended, including idle ones: those that are
+    /// considered unreachable and whose time for refutations has passed.
     #[must_use]
     pub fn ended(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let had_time = |state: &InstanceState| {
-            let asked_at = state.asked_at;
-            state.settled || asked_at.is_some_and(|at| now.since(at) >= OBJECTION_TIME)
+            let refutations_requested_at = state.refutations_requested_at;
+            state.ended
+                || refutations_requested_at.is_some_and(|at| now.since(at) >= REFUTATION_PERIOD)
         };
         let states = self.states.iter();
         let ended = states.filter(|(_, state)| state.is_unreachable(now) && had_time(state));
         ended.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Instances of which a sign of life would change something: they are in question, or held to be
-    /// unreachable and not settled.
+    /// Returns the instances for which a sign of life would matter: those that are suspected or
+    /// considered unreachable, and have not ended.
     #[must_use]
-    pub fn in_question(&self, now: Timestamp) -> BTreeSet<Cookie> {
+    pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let states = self.states.iter();
-        let questioned = states.filter(|(_, state)| state.is_in_question(now));
-        questioned.map(|(cookie, _)| *cookie).collect()
+        let suspected = states.filter(|(_, state)| state.is_under_verification(now));
+        suspected.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// An instance in question lives, as its flows show: drops question and verdict. Returns whether
-    /// there was any.
-    pub fn lives(&mut self, now: Timestamp, cookie: Cookie) -> bool {
+    /// Records that the flows of an instance under verification show it to be alive, which clears
+    /// the suspicion and the verdict. Returns whether there was any.
+    pub fn record_alive(&mut self, now: Timestamp, cookie: Cookie) -> bool {
         let Some(state) = self.states.get_mut(&cookie) else {
             return false;
         };
-        if !state.is_in_question(now) {
+        if !state.is_under_verification(now) {
             return false;
         }
         *state = InstanceState {
-            under_way: state.under_way,
-            lived_at: Some(now),
+            probe_running: state.probe_running,
+            alive_at: Some(now),
             probed_at: Some(now),
             ..InstanceState::default()
         };
         true
     }
 
-    /// Forgets what is held of an instance. A probe of it that is under way tells nothing.
+    /// Removes the state of an instance. The outcome of a running probe of it is ignored.
     pub fn forget(&mut self, cookie: Cookie) {
         if let Some(state) = self.states.get_mut(&cookie) {
             *state = InstanceState {
-                under_way: state.under_way,
-                is_void: state.under_way,
+                probe_running: state.probe_running,
+                probe_is_stale: state.probe_running,
                 ..InstanceState::default()
             };
         }
     }
 
-    /// Whether an instance was ever in question.
+    /// Returns whether there is any state for the instance.
     #[must_use]
-    pub fn holds(&self, cookie: Cookie) -> bool {
+    pub fn contains(&self, cookie: Cookie) -> bool {
         self.states.contains_key(&cookie)
     }
 
-    /// Whether no instance was ever in question, of those still known.
+    /// Returns whether there is no state for any instance.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Instances that are held to be unreachable.
+    /// Returns the instances that are considered unreachable.
     #[must_use]
     pub fn unreachable(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let states = self.states.iter();
@@ -347,48 +358,48 @@
         unreachable.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Instances that openings avoid: the unreachable ones, those that were a while ago, and those that another node
-    /// of this zone can't reach.
+    /// Returns the instances that openings avoid: the unreachable ones, those that were unreachable
+    /// recently, and those that another node of this zone cannot reach.
     #[must_use]
     pub fn avoided(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let zone = self.own.zone;
         let states = self.states.iter();
         let avoided = states.filter(|(_, state)| {
-            let is_open = !state.succeeded && state.peers.speak_for(now, zone);
+            let is_open = !state.address_reused && state.peers.has_finding_from_zone(now, zone);
             is_open || state.is_unreachable(now) || now < state.avoided_until
         });
         avoided.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Whether an instance is in question, or held to be unreachable.
+    /// Returns whether an instance is suspected or considered unreachable.
     #[must_use]
-    pub fn is_in_doubt(&self, now: Timestamp, cookie: Cookie) -> bool {
+    pub fn is_suspected(&self, now: Timestamp, cookie: Cookie) -> bool {
         let state = self.states.get(&cookie);
         state.is_some_and(|state| {
-            state.questioned || state.is_unreachable(now) || state.peers.any(now)
+            state.suspected || state.is_unreachable(now) || state.peers.has_any(now)
         })
     }
 
-    /// Forgets what this node holds, since it stood still: nothing of it is fresh any more.
-    pub fn stalled(&mut self) {
+    /// Clears all verdicts after a stall of this process, because none of them is up to date.
+    pub fn reset_after_stall(&mut self) {
         for state in self.states.values_mut() {
             state.unreachable_at = None;
             state.peers = PeerFindings::default();
             state.avoided_until = Timestamp::ZERO;
-            state.settled = false;
+            state.ended = false;
         }
     }
 }
 
 impl InstanceState {
-    fn is_in_question(&self, now: Timestamp) -> bool {
-        let is_open = self.questioned || self.is_unreachable(now) || self.peers.any(now);
-        is_open && !self.settled && !self.succeeded
+    fn is_under_verification(&self, now: Timestamp) -> bool {
+        let is_open = self.suspected || self.is_unreachable(now) || self.peers.has_any(now);
+        is_open && !self.ended && !self.address_reused
     }
 
     fn is_unreachable(&self, now: Timestamp) -> bool {
         let verdict = self.unreachable_at;
         let found = verdict.is_some_and(|at| is_fresh(now, at));
-        self.settled || found || self.peers.agree(now)
+        self.ended || found || self.peers.has_agreement(now)
     }
 }
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes that gossip in virtual time.
+//! A cluster of nodes that gossip in virtual time.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, record};
 use bellyoke_core::cookie::capacity::{CapacityClass, NodePlace, ZoneKey};
@@ -15,8 +15,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const TICK: u64 = 50;
-pub const WATCH_WAIT: u64 = 750;
+pub const TICK_MS: u64 = 50;
+pub const WATCH_WAIT_MS: u64 = 750;
 
 pub struct Node {
     pub coordinator: Coordinator,
@@ -27,19 +27,19 @@
     pub served: usize,
 }
 
-/// Where nodes stand.
+/// How nodes are distributed over zones.
 #[derive(Clone, Copy)]
 pub struct Layout {
-    /// Nodes stand in so many zones in turn.
+    /// Number of zones, to which nodes are assigned in turn.
     pub zones: usize,
-    /// So many of the first nodes are larger than the others.
-    pub large: usize,
+    /// Number of nodes, from the first on, that are larger than the others.
+    pub large_nodes: usize,
     pub own_zone_first: bool,
 }
 
 pub const ONE_ZONE: Layout = Layout {
     zones: 1,
-    large: 0,
+    large_nodes: 0,
     own_zone_first: true,
 };
 
@@ -47,23 +47,23 @@
     fn place(self, number: usize) -> NodePlace {
         NodePlace {
             zone: ZoneKey(u16::try_from(number % self.zones).unwrap()),
-            class: CapacityClass::new(if number < self.large { 3 } else { 1 }),
+            class: CapacityClass::new(if number < self.large_nodes { 3 } else { 1 }),
         }
     }
 }
 
-/// Nodes whose messages arrive at once, driven in steps of [`TICK`] milliseconds.
+/// Nodes with immediate message delivery, driven in steps of [`TICK_MS`] milliseconds.
 pub struct Cluster {
     pub nodes: BTreeMap<SocketAddrV4, Node>,
     pub now: u64,
-    pub lost: Vec<(SocketAddrV4, SocketAddrV4)>,
-    /// Whether nodes that watch the store are told that nothing is newer.
+    pub cut_links: Vec<(SocketAddrV4, SocketAddrV4)>,
+    /// Whether the store confirms to its watchers that nothing is newer.
     pub store_answers: bool,
     pub layout: Layout,
-    /// Bytes sent of each kind, within zones and between them.
+    /// Bytes sent by kind of message, within zones and between them.
     pub traffic: BTreeMap<&'static str, [usize; 2]>,
-    /// Datagrams on their way: who sent each, and to whom.
-    under_way: VecDeque<(SocketAddrV4, SocketAddrV4, PeerDatagram)>,
+    /// Datagrams in flight, with their sender and receiver.
+    in_flight: VecDeque<(SocketAddrV4, SocketAddrV4, PeerDatagram)>,
 }
 
 pub fn address(number: usize) -> SocketAddrV4 {
@@ -71,13 +71,13 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, high, low), 7_000)
 }
 
-/// The zone in which a node stands, of so many.
+/// Returns the zone of a node, in a cluster of `zones` zones.
 pub fn zone_of(address: SocketAddrV4, zones: usize) -> usize {
     let [.., high, low] = address.ip().octets();
     usize::from(u16::from_be_bytes([high, low])) % zones
 }
 
-/// The kind of a datagram, and its bytes.
+/// Returns the kind of a datagram and its encoded length.
 fn encoded(datagram: &PeerDatagram) -> (&'static str, usize) {
     let key = PeerKey::default();
     let (kind, bytes) = match datagram {
@@ -93,18 +93,18 @@
 
 impl Cluster {
     pub fn new(size: usize) -> Self {
-        Self::laid_out(size, ONE_ZONE)
+        Self::with_layout(size, ONE_ZONE)
     }
 
-    pub fn laid_out(size: usize, layout: Layout) -> Self {
+    pub fn with_layout(size: usize, layout: Layout) -> Self {
         let mut cluster = Self {
             nodes: BTreeMap::new(),
             now: 0,
-            lost: Vec::new(),
+            cut_links: Vec::new(),
             store_answers: false,
             layout,
             traffic: BTreeMap::new(),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
         };
         for number in 0..size {
             cluster.start(number);
@@ -142,7 +142,7 @@
             at: Revision::new(revision),
             items: vec![configuration(revision, &[("till", 1)])],
         };
-        let mut outcome = node.coordinator.configurations(now, configurations);
+        let mut outcome = node.coordinator.apply_configurations(now, configurations);
         let known = node.coordinator.known_up_to(ObjectKind::Instances);
         let instances = if known == Revision::default() {
             Update::Whole {
@@ -158,7 +158,7 @@
                 ],
             }
         };
-        let second = node.coordinator.instances(now, instances);
+        let second = node.coordinator.apply_instances(now, instances);
         outcome.effects.extend(second.effects);
         self.perform(address(number), outcome);
     }
@@ -166,7 +166,7 @@
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_MS;
             let now = at(self.now);
             for from in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let node = self.nodes.get_mut(&from).unwrap();
@@ -175,14 +175,14 @@
                 }
                 let (outcome, _) = node.coordinator.tick(now);
                 self.perform(from, outcome);
-                if self.now.is_multiple_of(WATCH_WAIT) {
+                if self.now.is_multiple_of(WATCH_WAIT_MS) {
                     self.confirm(from);
                 }
             }
         }
     }
 
-    /// The store tells a node that watches it that nothing is newer.
+    /// Confirms to a node that watches the store that nothing is newer.
     pub fn confirm(&mut self, address: SocketAddrV4) {
         let now = at(self.now);
         let node = self.nodes.get_mut(&address).unwrap();
@@ -192,29 +192,29 @@
         }
         let coordinator = &mut node.coordinator;
         let at_revision = coordinator.known_up_to(ObjectKind::Instances);
-        let nothing = Update::Changes {
+        let confirmation = Update::Changes {
             at: at_revision,
             events: Vec::new(),
         };
-        let mut outcome = coordinator.instances(now, nothing);
-        let nothing = Update::Changes {
+        let mut outcome = coordinator.apply_instances(now, confirmation);
+        let confirmation = Update::Changes {
             at: at_revision,
             events: Vec::new(),
         };
-        let second = coordinator.configurations(now, nothing);
+        let second = coordinator.apply_configurations(now, confirmation);
         outcome.effects.extend(second.effects);
         self.perform(address, outcome);
     }
 
-    /// Does what a node wants, and what comes of it.
+    /// Performs the effects of a node, and all that follow from them.
     pub fn perform(&mut self, from: SocketAddrV4, outcome: Outcome) {
-        self.begin(from, outcome);
-        while let Some((from, to, datagram)) = self.under_way.pop_front() {
-            self.arrive(from, to, datagram);
+        self.start_effects(from, outcome);
+        while let Some((from, to, datagram)) = self.in_flight.pop_front() {
+            self.receive(from, to, datagram);
         }
     }
 
-    fn begin(&mut self, from: SocketAddrV4, outcome: Outcome) {
+    fn start_effects(&mut self, from: SocketAddrV4, outcome: Outcome) {
         for effect in outcome.effects {
             match effect {
                 ExchangeEffect::Send { to, heartbeat } => {
@@ -251,18 +251,18 @@
         self.nodes.get_mut(&from).unwrap().sent += 1;
         let (kind, length) = encoded(&datagram);
         self.count(kind, from, to, length);
-        if !self.lost.contains(&(from, to)) {
-            self.under_way.push_back((from, to, datagram));
+        if !self.cut_links.contains(&(from, to)) {
+            self.in_flight.push_back((from, to, datagram));
         }
     }
 
-    fn arrive(&mut self, from: SocketAddrV4, to: SocketAddrV4, datagram: PeerDatagram) {
+    fn receive(&mut self, from: SocketAddrV4, to: SocketAddrV4, datagram: PeerDatagram) {
         let now = at(self.now);
         let Some(node) = self.nodes.get_mut(&to).filter(|node| node.alive) else {
             return;
         };
-        let outcome = node.coordinator.datagram(now, from, datagram);
-        self.begin(to, outcome);
+        let outcome = node.coordinator.handle_datagram(now, from, datagram);
+        self.start_effects(to, outcome);
     }
 
     pub fn fetch(&mut self, to: SocketAddrV4, from: SocketAddrV4) {
@@ -283,8 +283,8 @@
             node.coordinator.fetch_failed(from);
             return;
         };
-        let outcome = node.coordinator.snapshot(now, from, snapshot);
-        self.begin(to, outcome);
+        let outcome = node.coordinator.apply_snapshot(now, from, snapshot);
+        self.start_effects(to, outcome);
     }
 
     fn count(&mut self, kind: &'static str, from: SocketAddrV4, to: SocketAddrV4, length: usize) {
@@ -296,9 +296,10 @@
         node.coordinator.replica().versions()
     }
 
-    pub fn knowing(&self, revision: u64) -> usize {
-        let knows = |node: &&Node| node.alive && self.versions(node).configuration >= revision;
-        self.nodes.values().filter(knows).count()
+    pub fn nodes_knowing(&self, revision: u64) -> usize {
+        let is_up_to_date =
+            |node: &&Node| node.alive && self.versions(node).configuration >= revision;
+        self.nodes.values().filter(is_up_to_date).count()
     }
 
     pub fn with_duty(&self, wanted: StoreDuty) -> Vec<SocketAddrV4> {
@@ -308,24 +309,24 @@
         found.map(|(address, _)| *address).collect()
     }
 
-    pub fn resting(&self) -> usize {
-        let rests = |node: &&Node| {
+    pub fn passive_nodes(&self) -> usize {
+        let is_passive = |node: &&Node| {
             let plan = node
                 .coordinator
                 .watch_plan(at(self.now), ObjectKind::Instances);
             matches!(plan, WatchPlan::RestUntil(until) if until > at(self.now))
         };
-        self.nodes.values().filter(rests).count()
+        self.nodes.values().filter(is_passive).count()
     }
 }
 
-pub fn watched(size: usize) -> Cluster {
-    watched_in(size, ONE_ZONE)
+pub fn watching_cluster(size: usize) -> Cluster {
+    watching_cluster_in(size, ONE_ZONE)
 }
 
-/// Nodes that know a configuration and watch the store.
-pub fn watched_in(size: usize, layout: Layout) -> Cluster {
-    let mut cluster = Cluster::laid_out(size, layout);
+/// Creates nodes that have a configuration and watch the store.
+pub fn watching_cluster_in(size: usize, layout: Layout) -> Cluster {
+    let mut cluster = Cluster::with_layout(size, layout);
     cluster.store_answers = true;
     cluster.learn(0, 5);
     cluster.run(10_000);
@@ -339,14 +340,14 @@
     }
 }
 
-/// Nodes in five zones that know some instances.
-pub fn in_five_zones(nodes: usize, instances: u64) -> Cluster {
+/// Creates nodes in five zones that have `instances` instances.
+pub fn cluster_in_five_zones(nodes: usize, instances: u64) -> Cluster {
     let layout = Layout {
         zones: 5,
-        large: 0,
+        large_nodes: 0,
         own_zone_first: true,
     };
-    let mut cluster = Cluster::laid_out(nodes, layout);
+    let mut cluster = Cluster::with_layout(nodes, layout);
     cluster.store_answers = true;
     let records: Vec<InstanceRecord> = (1..=instances).map(|id| record(id, id)).collect();
     let revision = Revision::new(instances + 1);
@@ -354,7 +355,7 @@
         let coordinator = &mut node.coordinator;
         let configuration = configuration(revision.number(), &[("till", 1)]);
         let items = vec![configuration];
-        coordinator.configurations(
+        coordinator.apply_configurations(
             at(0),
             Update::Whole {
                 at: revision,
@@ -362,7 +363,7 @@
             },
         );
         let items = records.clone();
-        coordinator.instances(
+        coordinator.apply_instances(
             at(0),
             Update::Whole {
                 at: revision,
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -216,7 +216,7 @@
     ) -> Vec<ExchangeEffect> {
         let told = update.at();
         let known = self.known_up_to(ObjectKind::Instances);
-        let outcome = self.coordinator.instances(self.clock.now(), update);
+        let outcome = self.coordinator.apply_instances(self.clock.now(), update);
         if told < known {
             self.log_old_state(ObjectKind::Instances, told, known);
         }
@@ -229,7 +229,9 @@
         update: Update<Configuration, Configuration>,
     ) -> Vec<ExchangeEffect> {
         let told = update.last().map(|last| (last.version, last.revision));
-        let outcome = self.coordinator.configurations(self.clock.now(), update);
+        let outcome = self
+            .coordinator
+            .apply_configurations(self.clock.now(), update);
         if let Some((version, revision)) = told {
             self.log_ignored_configuration(version, revision);
         }
@@ -238,14 +240,16 @@
 
     /// The store tells of drained zones.
     pub fn zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
-        let outcome = self.coordinator.zones(self.clock.now(), update);
+        let outcome = self.coordinator.apply_zones(self.clock.now(), update);
         self.take(outcome, Source::Store)
     }
 
     /// A peer's snapshot has come.
     pub fn snapshot(&mut self, from: SocketAddrV4, snapshot: Snapshot) -> Vec<ExchangeEffect> {
         self.metrics.snapshots_fetched.inc();
-        let outcome = self.coordinator.snapshot(self.clock.now(), from, snapshot);
+        let outcome = self
+            .coordinator
+            .apply_snapshot(self.clock.now(), from, snapshot);
         log_event(
             EventCode::SnapshotFetched,
             format_args!(
@@ -258,7 +262,8 @@
 
     /// A part of a peer's snapshot has come.
     pub fn fetch_progressed(&mut self, from: SocketAddrV4) {
-        self.coordinator.fetch_progressed(self.clock.now(), from);
+        self.coordinator
+            .record_fetch_progress(self.clock.now(), from);
     }
 
     /// A peer's snapshot could not be read.
@@ -296,7 +301,7 @@
             datagram,
             PeerDatagram::Question(_) | PeerDatagram::Objection(_) | PeerDatagram::Findings(_)
         );
-        let outcome = self.coordinator.datagram(now, from, datagram);
+        let outcome = self.coordinator.handle_datagram(now, from, datagram);
         if is_verdict && now >= self.next_showing {
             self.show_unreachable(now);
         }
@@ -311,7 +316,7 @@
 
     /// The traffic thread's openings at some instances came to nothing.
     pub fn doubt(&mut self, cookies: &[Cookie]) {
-        self.coordinator.doubt(self.clock.now(), cookies);
+        self.coordinator.suspect(self.clock.now(), cookies);
     }
 
     /// The probe to begin now, if an instance is in question.
@@ -324,7 +329,7 @@
     pub fn probed(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.count_probes(outcomes);
-        let (changes, effects) = self.coordinator.probed(now, outcomes);
+        let (changes, effects) = self.coordinator.record_probes(now, outcomes);
         for change in changes {
             self.log_reachability(now, change);
         }
@@ -353,7 +358,7 @@
         effects.extend(self.review_outliers(now));
         self.show_unreachable(now);
         self.note_duty(now);
-        let nodes = self.coordinator.nodes_at_most(now).ceil();
+        let nodes = self.coordinator.node_count_upper_bound(now).ceil();
         self.shared.nodes.store(nodes as u64, Ordering::Relaxed);
         self.show_state(now);
         effects
@@ -417,7 +422,7 @@
         if **self.shared.ended.load() != ended {
             self.shared.ended.store(Arc::new(ended));
         }
-        let in_question = self.coordinator.in_question(now);
+        let in_question = self.coordinator.under_verification(now);
         if **self.shared.in_question.load() != in_question {
             self.shared.in_question.store(Arc::new(in_question));
         }
@@ -433,7 +438,7 @@
         if living.is_empty() {
             return Vec::new();
         }
-        let (dropped, effects) = self.coordinator.object(now, &living);
+        let (dropped, effects) = self.coordinator.report_alive(now, &living);
         for cookie in dropped {
             self.log_objection(now, cookie);
         }
@@ -450,7 +455,7 @@
             .map(|mut held| std::mem::take(&mut *held));
         let tallies = tallies.unwrap_or_default();
         self.count_answers(&tallies);
-        self.coordinator.note_answers(now, &table, &tallies);
+        self.coordinator.record_answers(now, &table, &tallies);
         let (changes, effects) = self.coordinator.review_outliers(now, &table);
         for change in changes {
             self.log_outlier(now, &change);
