--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -40,7 +40,7 @@
             at: Revision::new(FIRST_REVISION_AFTER_LIST + u64::from(number)),
             events: vec![InstanceEvent::Put(record)],
         };
-        black_box(node.instances(time_of(number), update));
+        black_box(node.apply_instances(time_of(number), update));
     });
     row("table after a change", |node, _| {
         black_box(node.replica().table());
@@ -53,10 +53,10 @@
             cookies: vec![cookie(number).bits()],
         };
         let peer = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7_000);
-        black_box(node.datagram(time_of(number), peer, PeerDatagram::Question(question)));
+        black_box(node.handle_datagram(time_of(number), peer, PeerDatagram::Question(question)));
     });
     row("suspicion and its probe", |node, number| {
-        node.doubt(time_of(number), &[cookie(number)]);
+        node.suspect(time_of(number), &[cookie(number)]);
         black_box(node.next_probe(time_of(number), &[]));
     });
     print!("{:<32}", "bytes of a snapshot");
@@ -100,12 +100,12 @@
         at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: items.collect(),
     };
-    node.instances(time_of(0), list);
+    node.apply_instances(time_of(0), list);
     let configuration = Update::Whole {
         at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: vec![configuration()],
     };
-    node.configurations(time_of(0), configuration);
+    node.apply_configurations(time_of(0), configuration);
     node
 }
 
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -13,7 +13,7 @@
 use crate::cookie::instance::Cookie;
 use crate::cookie::load::LoadMeter;
 use crate::cookie::locality::{SpillChange, ZonePlacements, ZonePreference, imbalance};
-use crate::cookie::outliers::{InstanceTally, TallyBook};
+use crate::cookie::outliers::{InstanceTally, TallyAccumulator};
 use crate::cookie::packet::{Destination, FlowPacket, PacketRole};
 use crate::cookie::placement::Suitability;
 use crate::cookie::seen::SeenTable;
