--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -6,7 +6,7 @@
 
 use bellyoke_core::cookie::coordinator::Coordinator;
 use bellyoke_core::cookie::exchange::{
-    Exchange, ExchangeSettings, PeerDatagram, PeerKey, Question, encode_snapshot,
+    Exchange, ExchangeSettings, PeerDatagram, PeerKey, ProbeRequest, encode_snapshot,
 };
 use bellyoke_core::cookie::follower::Update;
 use bellyoke_core::cookie::instance::{
@@ -48,11 +48,11 @@
         black_box(node.tick(time(number)));
     });
     row("question of a peer", |node, number| {
-        let question = Question {
+        let question = ProbeRequest {
             cookies: vec![cookie(number).bits()],
         };
         let peer = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7_000);
-        black_box(node.datagram(time(number), peer, PeerDatagram::Question(question)));
+        black_box(node.datagram(time(number), peer, PeerDatagram::ProbeRequest(question)));
     });
     row("doubt and its probe", |node, number| {
         node.doubt(time(number), &[cookie(number)]);
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -182,17 +182,17 @@
     #[must_use]
     pub fn may_ask(&self, now: Timestamp, kind: ObjectKind) -> bool {
         let knows_all = !self.replica.versions().is_empty();
-        self.exchange.may_ask(now, kind, knows_all)
+        self.exchange.may_call_store(now, kind, knows_all)
     }
 
     /// A call to the store for objects of a kind begins.
     pub fn note_asked(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
-        self.exchange.note_asked(now, kind, freshness);
+        self.exchange.record_store_call(now, kind, freshness);
     }
 
     /// Whether the store answered the last call for objects of a kind.
     pub fn note_store(&mut self, now: Timestamp, kind: ObjectKind, usable: bool) {
-        self.exchange.note_answered(now, usable);
+        self.exchange.record_store_answer(now, usable);
         self.store_usable[kind as usize] = usable;
         self.exchange
             .set_store_usable(self.store_usable == [true; ObjectKind::COUNT]);
@@ -264,8 +264,8 @@
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => self.heartbeat(now, from, &heartbeat),
             PeerDatagram::Delta(message) => self.delta(now, from, message),
-            PeerDatagram::Question(question) => self.question(now, &question),
-            PeerDatagram::Objection(objection) => self.objection(now, &objection),
+            PeerDatagram::ProbeRequest(question) => self.question(now, &question),
+            PeerDatagram::Refutation(objection) => self.objection(now, &objection),
             PeerDatagram::Findings(report) => self.findings(now, &report),
             PeerDatagram::Outliers(message) => self.outlier_message(now, &message),
         }
@@ -275,7 +275,7 @@
     pub fn snapshot(&mut self, now: Timestamp, from: SocketAddrV4, snapshot: Snapshot) -> Outcome {
         let before = self.replica.versions();
         self.note_versions(now, snapshot.versions);
-        self.exchange.fetched(from, snapshot.versions);
+        self.exchange.fetch_succeeded(from, snapshot.versions);
         let change = self.replica.merge(now, snapshot);
         self.changed(now, before, change)
     }
@@ -320,7 +320,7 @@
     /// How many nodes there are, rather too many than too few.
     #[must_use]
     pub fn nodes_at_most(&self, now: Timestamp) -> f64 {
-        self.exchange.nodes_at_most(now)
+        self.exchange.node_count_upper_bound(now)
     }
 
     /// Instances that peers suspect.
@@ -349,14 +349,14 @@
         FetchRequest {
             known: self.replica.versions(),
             zone: self.exchange.place().zone,
-            wants_all_gone: self.exchange.is_newcomer(),
+            wants_all_tombstones: self.exchange.started_recently(),
         }
     }
 
     /// The answer to a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
-        let gone_since = if request.wants_all_gone {
+        let gone_since = if request.wants_all_tombstones {
             Revision::default()
         } else {
             request.known.directory_as_of
@@ -369,9 +369,9 @@
         self.replica.confirm(heartbeat.versions);
         let replica = &self.replica;
         let behind = |versions| replica.is_behind(versions);
-        let effects = self
-            .exchange
-            .heartbeat(now, from, heartbeat, replica.versions(), behind);
+        let effects =
+            self.exchange
+                .handle_heartbeat(now, from, heartbeat, replica.versions(), behind);
         Outcome {
             change: StateChange::default(),
             effects,
@@ -383,7 +383,7 @@
         self.note_versions(now, message.versions);
         let change = self.replica.merge_delta(now, message.delta);
         self.replica.confirm(message.versions);
-        self.exchange.note_versions(from, message.versions);
+        self.exchange.record_versions(from, message.versions);
         self.changed(now, before, change)
     }
 
@@ -409,7 +409,7 @@
         }
         let effects = if change.any() {
             let own = self.replica.versions();
-            self.exchange.changed(now, before, own)
+            self.exchange.push_changes(now, before, own)
         } else {
             Vec::new()
         };
--- a/crates/bellyoke-core/src/cookie/coordinator/outlying.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlying.rs
@@ -108,7 +108,7 @@
         if now >= self.outlying.next_review {
             self.outlying.next_review = now.after(REVIEW_INTERVAL);
             if self.exchange.collects_reports() {
-                let nodes = self.exchange.nodes_at_most(now);
+                let nodes = self.exchange.node_count_upper_bound(now);
                 changes = self.outlying.detector.review(now, table, nodes);
                 effects.extend(self.tell(now));
             }
@@ -138,7 +138,7 @@
             OutlierMessage::Verdicts(verdicts) => {
                 if self.outlying.board.note(now, verdicts) {
                     self.outlying.has_news = true;
-                    effects = self.exchange.pass_verdicts(verdicts);
+                    effects = self.exchange.forward_verdicts(verdicts);
                 }
             }
         }
@@ -170,9 +170,9 @@
         self.outlying.sequence += 1;
         let verdicts = self
             .exchange
-            .own_verdicts(self.outlying.sequence, &outliers);
+            .build_verdicts(self.outlying.sequence, &outliers);
         self.outlying.told = outliers;
         self.outlying.board.note(now, &verdicts);
-        self.exchange.pass_verdicts(&verdicts)
+        self.exchange.forward_verdicts(&verdicts)
     }
 }
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -2,7 +2,7 @@
 
 use super::{Coordinator, Outcome};
 use crate::cookie::directory::{Directory, KnownInstance};
-use crate::cookie::exchange::{ExchangeEffect, Objection, Question, ReachabilityReport};
+use crate::cookie::exchange::{ExchangeEffect, ProbeRequest, ReachabilityReport, Refutation};
 use crate::cookie::instance::{Cookie, InstanceState};
 use crate::cookie::placement::mix;
 use crate::cookie::reachability::{
@@ -78,7 +78,7 @@
             changes.extend(change);
         }
         self.note_records(now);
-        let mut effects = self.exchange.tell_findings(now, findings);
+        let mut effects = self.exchange.report_findings(now, findings);
         effects.extend(self.ask_for_confirmation(now));
         (changes, effects)
     }
@@ -89,15 +89,15 @@
             return Vec::new();
         }
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
+            .set_one_zone(self.exchange.knows_only_own_zone());
         let unconfirmed = self.reachability.unconfirmed(now);
-        self.exchange.ask_peer(&unconfirmed)
+        self.exchange.request_probes(&unconfirmed)
     }
 
     /// A peer tells what nodes couldn't reach, or reach again. What is news goes on to others.
     pub(super) fn findings(&mut self, now: Timestamp, report: &ReachabilityReport) -> Outcome {
         self.reachability
-            .set_one_zone(self.exchange.stands_in_only_zone());
+            .set_one_zone(self.exchange.knows_only_own_zone());
         let directory = self.replica.directory();
         let reachability = &mut self.reachability;
         let told = report.findings_at(now);
@@ -107,7 +107,7 @@
             .collect();
         Outcome {
             change: StateChange::default(),
-            effects: self.exchange.tell_findings(now, news),
+            effects: self.exchange.report_findings(now, news),
         }
     }
 
@@ -146,12 +146,12 @@
         let dropped: Vec<Cookie> = living
             .filter(|cookie| self.reachability.lives(now, *cookie))
             .collect();
-        let effects = self.exchange.tell_living(&dropped);
+        let effects = self.exchange.refute_suspicions(&dropped);
         (dropped, effects)
     }
 
     /// A peer objects: some instances live. What is news goes on to others.
-    pub(super) fn objection(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
+    pub(super) fn objection(&mut self, now: Timestamp, objection: &Refutation) -> Outcome {
         let living = objection.cookies.iter();
         let living: Vec<Cookie> = living.filter_map(|bits| Cookie::from_bits(*bits)).collect();
         let (_, effects) = self.object(now, &living);
@@ -192,7 +192,7 @@
     }
 
     /// A peer can't reach some instances, and asks this node to probe them too.
-    pub(super) fn question(&mut self, now: Timestamp, question: &Question) -> Outcome {
+    pub(super) fn question(&mut self, now: Timestamp, question: &ProbeRequest) -> Outcome {
         let asked = question.cookies.iter();
         let asked = asked.filter_map(|bits| Cookie::from_bits(*bits));
         for cookie in asked {
--- a/crates/bellyoke-core/src/cookie/exchange/asking.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/asking.rs
@@ -110,7 +110,7 @@
     /// Whether this node may call the store for a kind now, as far as the nodes' shared budget
     /// goes. `knows_all` tells whether it has routes and instances.
     #[must_use]
-    pub fn may_ask(&self, now: Timestamp, kind: ObjectKind, knows_all: bool) -> bool {
+    pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind, knows_all: bool) -> bool {
         let pacer = &self.pacer;
         // A node that hears nobody finds out just when its state has grown stale.
         let bound = self.settings.freshness_bound;
@@ -145,7 +145,7 @@
     }
 
     /// A call to the store for a kind begins. If it fails, this says when the next may begin.
-    pub fn note_asked(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
+    pub fn record_store_call(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
         self.pacer.asked[kind as usize] = freshness;
         let turn = self.random.random_range(0.0..1.0);
         let turn = self.turn_time(FAILED_INTERVAL).mul_f64(turn);
@@ -153,7 +153,7 @@
     }
 
     /// A call to the store has ended, with an answer or not.
-    pub const fn note_answered(&mut self, now: Timestamp, answered: bool) {
+    pub const fn record_store_answer(&mut self, now: Timestamp, answered: bool) {
         self.pacer.served_at = if answered { Some(now) } else { None };
     }
 
--- a/crates/bellyoke-core/src/cookie/exchange/doubts.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/doubts.rs
@@ -1,7 +1,7 @@
 //! What peers tell each other of instances that may be dead: whose openings fail, which are in question, and
 //! which live.
 
-use super::{Exchange, ExchangeEffect, Heartbeat, Objection, Question, ReachabilityReport};
+use super::{Exchange, ExchangeEffect, Heartbeat, ProbeRequest, ReachabilityReport, Refutation};
 use crate::cookie::instance::Cookie;
 use crate::cookie::reachability::{Finding, Origin};
 use crate::time::Timestamp;
@@ -25,20 +25,24 @@
     }
 
     /// Asks one peer, of another zone if there is one, to probe instances that this node couldn't reach.
-    pub fn ask_peer(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
+    pub fn request_probes(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        for cookies in cookies.chunks(Question::MAXIMUM_COOKIES) {
-            let question = Question {
+        for cookies in cookies.chunks(ProbeRequest::MAXIMUM_COOKIES) {
+            let request = ProbeRequest {
                 cookies: cookies.iter().map(|cookie| cookie.bits()).collect(),
             };
             let receiver = self.confirming_receiver();
-            effects.extend(receiver.map(|to| ExchangeEffect::SendQuestion { to, question }));
+            effects.extend(receiver.map(|to| ExchangeEffect::SendProbeRequest { to, request }));
         }
         effects
     }
 
     /// Tells peers what probes found, together with what else is found soon after.
-    pub fn tell_findings(&mut self, now: Timestamp, findings: Vec<Finding>) -> Vec<ExchangeEffect> {
+    pub fn report_findings(
+        &mut self,
+        now: Timestamp,
+        findings: Vec<Finding>,
+    ) -> Vec<ExchangeEffect> {
         self.untold.extend(findings);
         self.flush_findings(now)
     }
@@ -64,7 +68,7 @@
 
     /// Whether no peer and no word of any stands in another zone.
     #[must_use]
-    pub fn stands_in_only_zone(&self) -> bool {
+    pub fn knows_only_own_zone(&self) -> bool {
         let zone = self.own_zone();
         let mut peers = self.peers.iter();
         self.zone_sizes.nodes_outside(zone) == 0.0
@@ -81,16 +85,16 @@
     }
 
     /// Objects to a question: some instances live.
-    pub fn tell_living(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
+    pub fn refute_suspicions(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        for cookies in cookies.chunks(Objection::MAXIMUM_COOKIES) {
-            let objection = Objection {
+        for cookies in cookies.chunks(Refutation::MAXIMUM_COOKIES) {
+            let refutation = Refutation {
                 cookies: cookies.iter().map(|cookie| cookie.bits()).collect(),
             };
             let receivers = self.urgent_receivers();
             let sent = receivers.into_iter().map(|to| {
-                let objection = objection.clone();
-                ExchangeEffect::SendObjection { to, objection }
+                let refutation = refutation.clone();
+                ExchangeEffect::SendRefutation { to, refutation }
             });
             effects.extend(sent);
         }
--- a/crates/bellyoke-core/src/cookie/exchange/effect.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/effect.rs
@@ -1,7 +1,7 @@
 //! What the exchange wants its host to do.
 
 use super::findings::ReachabilityReport;
-use super::message::{Heartbeat, Objection, Question};
+use super::message::{Heartbeat, ProbeRequest, Refutation};
 use super::outliers::OutlierMessage;
 use crate::cookie::replica::Versions;
 use std::net::SocketAddrV4;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEffect {
     /// Send a heartbeat.
-    Send {
+    SendHeartbeat {
         /// To whom.
         to: SocketAddrV4,
         /// What.
@@ -26,11 +26,11 @@
         heartbeat: Heartbeat,
     },
     /// Ask a peer whether it reaches some instances.
-    SendQuestion {
+    SendProbeRequest {
         /// To whom.
         to: SocketAddrV4,
         /// Which instances.
-        question: Question,
+        request: ProbeRequest,
     },
     /// Tell a peer which instances nodes couldn't reach, or reach again.
     SendFindings {
@@ -40,11 +40,11 @@
         report: ReachabilityReport,
     },
     /// Tell a peer that some instances in question live.
-    SendObjection {
+    SendRefutation {
         /// To whom.
         to: SocketAddrV4,
         /// Which instances.
-        objection: Objection,
+        refutation: Refutation,
     },
     /// Tell a peer of instances whose answers fail.
     SendOutliers {
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -11,7 +11,7 @@
 
 /// A fetch that brings nothing for so long has failed. A peer that lives answers within
 /// milliseconds, and a link with a full queue within a quarter of a second.
-pub const FETCH_PATIENCE: Duration = Duration::from_millis(1_500);
+pub const FETCH_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Fetches of one purpose that run at once: one that is stuck, and one beside it.
 const MAXIMUM_RUNNING: usize = 2;
@@ -44,7 +44,7 @@
     /// Whether a fetch may begin.
     pub(super) fn may_begin(&mut self, now: Timestamp, purpose: FetchPurpose) -> bool {
         self.running
-            .retain(|fetch| now.since(fetch.progressed_at) < FETCH_PATIENCE);
+            .retain(|fetch| now.since(fetch.progressed_at) < FETCH_STALL_TIMEOUT);
         let alike = self.running.iter();
         let alike = alike.filter(|fetch| fetch.purpose == purpose);
         now >= self.not_before[purpose as usize] && alike.count() < MAXIMUM_RUNNING
--- a/crates/bellyoke-core/src/cookie/exchange/message.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/message.rs
@@ -64,11 +64,11 @@
     /// Whether it is about to stop.
     pub leaving: bool,
     /// Whether the peers that it tells of know about as much, so that the receiver may fetch from them.
-    pub peers_know: bool,
+    pub peers_up_to_date: bool,
     /// How long ago its state was known to be the newest, milliseconds; none if it never was.
     pub confirmed_age_milliseconds: Option<u32>,
     /// Whether that is known from a read of the newest state, and not from one that may be stale.
-    pub confirmed_by_newest: bool,
+    pub confirmed_by_newest_read: bool,
     /// Where it stands, and what it can bear.
     pub place: NodePlace,
     /// The best claims to watch the store that it knows.
@@ -112,14 +112,14 @@
 
 /// Instances that the sender can't reach: does the receiver reach them?
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct Question {
+pub struct ProbeRequest {
     /// Their cookies.
     pub cookies: Vec<u32>,
 }
 
 /// Instances in question whose flows go on, as the sender, or one that it heard, has seen.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct Objection {
+pub struct Refutation {
     /// Their cookies.
     pub cookies: Vec<u32>,
 }
@@ -132,7 +132,7 @@
     /// The zone of the sender.
     pub zone: ZoneKey,
     /// Whether it has started of late, and may lack instances that went before the revisions that it knows.
-    pub wants_all_gone: bool,
+    pub wants_all_tombstones: bool,
 }
 
 /// A datagram of a peer.
@@ -143,9 +143,9 @@
     /// News.
     Delta(DeltaMessage),
     /// Instances in question.
-    Question(Question),
+    ProbeRequest(ProbeRequest),
     /// Instances in question that live.
-    Objection(Objection),
+    Refutation(Refutation),
     /// Instances whose answers fail.
     Outliers(OutlierMessage),
     /// What probes found.
@@ -161,8 +161,8 @@
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         match bytes.get(1) {
             Some(&DELTA_KIND) => DeltaMessage::decode(bytes, key).map(Self::Delta),
-            Some(&QUESTION_KIND) => Question::decode(bytes, key).map(Self::Question),
-            Some(&OBJECTION_KIND) => Objection::decode(bytes, key).map(Self::Objection),
+            Some(&QUESTION_KIND) => ProbeRequest::decode(bytes, key).map(Self::ProbeRequest),
+            Some(&OBJECTION_KIND) => Refutation::decode(bytes, key).map(Self::Refutation),
             Some(&OUTLIER_KIND) => OutlierMessage::decode(bytes, key).map(Self::Outliers),
             Some(&FINDINGS_KIND) => ReachabilityReport::decode(bytes, key).map(Self::Findings),
             _ => Heartbeat::decode(bytes, key).map(Self::Heartbeat),
@@ -234,7 +234,7 @@
     }
 }
 
-impl Question {
+impl ProbeRequest {
     /// Most instances that a question names.
     pub const MAXIMUM_COOKIES: usize = 256;
 
@@ -257,7 +257,7 @@
     }
 }
 
-impl Objection {
+impl Refutation {
     /// Most instances that an objection names.
     pub const MAXIMUM_COOKIES: usize = 256;
 
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -32,12 +32,12 @@
 
 pub use candidates::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 pub use effect::ExchangeEffect;
-pub use fetches::FETCH_PATIENCE;
+pub use fetches::FETCH_STALL_TIMEOUT;
 pub use findings::{ReachabilityReport, ReportedFinding};
 pub use message::{
     DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, Objection, PeerDatagram, PeerSuggestion,
-    Question, ZoneSize, decode_snapshot, encode_snapshot,
+    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerDatagram, PeerSuggestion, ProbeRequest,
+    Refutation, ZoneSize, decode_snapshot, encode_snapshot,
 };
 pub(crate) use outliers::tallies_of;
 pub use outliers::{OutlierMessage, ReportedTally};
@@ -153,7 +153,7 @@
 
     /// The same, of a node that stands at a place.
     #[must_use]
-    pub const fn standing_at(mut self, place: NodePlace) -> Self {
+    pub const fn with_place(mut self, place: NodePlace) -> Self {
         self.place = place;
         self
     }
@@ -243,7 +243,7 @@
     }
 
     /// A heartbeat has come from `from`.
-    pub fn heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
@@ -264,7 +264,7 @@
         }
         self.pacer.heard(now);
         let zone = self.own_zone();
-        if self.peers.heard(now, zone, from, heartbeat) {
+        if self.peers.record_heartbeat(now, zone, from, heartbeat) {
             effects.push(ExchangeEffect::PeerJoined(from));
         }
         self.note_suggestions(now, heartbeat);
@@ -272,7 +272,7 @@
         if let Some(confirmed_at) = self.confirmation(now, heartbeat) {
             self.pacer.peer_confirmed(confirmed_at);
             if !behind(heartbeat.versions) {
-                let by_newest = heartbeat.confirmed_by_newest;
+                let by_newest = heartbeat.confirmed_by_newest_read;
                 self.hear_confirmation(now, confirmed_at, by_newest, own, &mut effects);
             }
         }
@@ -282,12 +282,12 @@
     }
 
     /// A peer has sent a delta, and told its versions with it.
-    pub fn note_versions(&mut self, from: SocketAddrV4, versions: Versions) {
-        self.peers.note_versions(from, versions);
+    pub fn record_versions(&mut self, from: SocketAddrV4, versions: Versions) {
+        self.peers.record_versions(from, versions);
     }
 
     /// This node, which knew `before`, has learned something: tells a few peers at once.
-    pub fn changed(
+    pub fn push_changes(
         &mut self,
         now: Timestamp,
         before: Versions,
@@ -307,7 +307,8 @@
     pub fn announce(&mut self, now: Timestamp, own: Versions) -> Vec<ExchangeEffect> {
         let receivers = self.announce_receivers();
         let heartbeats = self.push_heartbeats(now, receivers, own).into_iter();
-        let sent = heartbeats.map(|(to, heartbeat)| ExchangeEffect::Send { to, heartbeat });
+        let sent =
+            heartbeats.map(|(to, heartbeat)| ExchangeEffect::SendHeartbeat { to, heartbeat });
         sent.collect()
     }
 
@@ -320,13 +321,13 @@
 
     /// How many nodes there are, rather too many than too few.
     #[must_use]
-    pub fn nodes_at_most(&self, now: Timestamp) -> f64 {
+    pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
         self.size.at_most(now)
     }
 
     /// Whether this node has started of late, so that it may not have heard of all instances that have gone.
     #[must_use]
-    pub const fn is_newcomer(&self) -> bool {
+    pub const fn started_recently(&self) -> bool {
         self.introductions > 0
     }
 
@@ -337,7 +338,7 @@
     }
 
     /// A snapshot of a peer with these versions was taken over.
-    pub fn fetched(&mut self, from: SocketAddrV4, versions: Versions) {
+    pub fn fetch_succeeded(&mut self, from: SocketAddrV4, versions: Versions) {
         self.fetches.end(from);
         if versions.is_empty() {
             self.note_fruitless(from);
@@ -370,7 +371,7 @@
     fn send_round(&mut self, now: Timestamp, own: Versions, effects: &mut Vec<ExchangeEffect>) {
         for to in self.round_receivers() {
             let heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-            effects.push(ExchangeEffect::Send { to, heartbeat });
+            effects.push(ExchangeEffect::SendHeartbeat { to, heartbeat });
         }
     }
 
@@ -406,9 +407,9 @@
         Heartbeat {
             versions: own,
             leaving: self.leaving,
-            peers_know: false,
+            peers_up_to_date: false,
             confirmed_age_milliseconds: age.and_then(|age| u32::try_from(age.as_millis()).ok()),
-            confirmed_by_newest: self.newest_was_read,
+            confirmed_by_newest_read: self.newest_was_read,
             place: self.own_place(),
             claims: self.claims.claims(now),
             peers: self
@@ -447,7 +448,7 @@
                 heartbeat,
             }
         } else {
-            ExchangeEffect::Send { to, heartbeat }
+            ExchangeEffect::SendHeartbeat { to, heartbeat }
         });
     }
 
@@ -471,7 +472,7 @@
         // A node that lacks something altogether doesn't wait for the store, but for a peer that knows
         // all: those that learn first have the one kind before the other.
         let urgent = own.is_empty() && !versions.is_empty();
-        let patience_over = now.since(since) >= self.settings.patience;
+        let patience_over = now.since(since) >= self.settings.catch_up_delay;
         if urgent || patience_over {
             self.fetch(now, from, FetchPurpose::CatchUp, effects);
         }
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -101,7 +101,7 @@
     }
 
     /// Tells a few peers what a collector made of reports; they pass it on.
-    pub fn pass_verdicts(&mut self, verdicts: &Verdicts) -> Vec<ExchangeEffect> {
+    pub fn forward_verdicts(&mut self, verdicts: &Verdicts) -> Vec<ExchangeEffect> {
         let receivers = self.announce_receivers();
         let sent = receivers
             .into_iter()
@@ -114,7 +114,7 @@
 
     /// This node as a collector tells `cookies`.
     #[must_use]
-    pub fn own_verdicts(&self, sequence: u64, cookies: &[Cookie]) -> Verdicts {
+    pub fn build_verdicts(&self, sequence: u64, cookies: &[Cookie]) -> Verdicts {
         let told = cookies.iter().take(OutlierMessage::MAXIMUM_INSTANCES * 2);
         Verdicts {
             collector: self.own_address,
--- a/crates/bellyoke-core/src/cookie/exchange/peers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/peers.rs
@@ -27,10 +27,10 @@
 /// What a node knows of one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRecord {
-    /// When it was last heard, or suggested by another.
-    pub noted_at: Timestamp,
+    /// When it was last received_heartbeat, or suggested by another.
+    pub last_seen_at: Timestamp,
     /// Whether it was heard itself.
-    pub heard: bool,
+    pub received_heartbeat: bool,
     /// Where it stands, and what it can bear.
     pub place: NodePlace,
     /// How much it knows, as it told itself or another told of it.
@@ -59,7 +59,7 @@
     }
 
     /// Notes that a peer spoke. Returns whether it was not known to be alive.
-    pub(super) fn heard(
+    pub(super) fn record_heartbeat(
         &mut self,
         now: Timestamp,
         own_zone: ZoneKey,
@@ -70,21 +70,21 @@
             self.make_room(own_zone);
         }
         let record = self.records.entry(from).or_insert(PeerRecord {
-            noted_at: now,
-            heard: false,
+            last_seen_at: now,
+            received_heartbeat: false,
             place: heartbeat.place,
             versions: heartbeat.versions,
             failing: Vec::new(),
             replied_at: None,
         });
-        record.noted_at = now;
+        record.last_seen_at = now;
         record.place = heartbeat.place;
         record.versions = heartbeat.versions;
         let failing = heartbeat.failing.iter();
         record.failing = failing
             .filter_map(|bits| Cookie::from_bits(*bits))
             .collect();
-        !std::mem::replace(&mut record.heard, true)
+        !std::mem::replace(&mut record.received_heartbeat, true)
     }
 
     /// Notes a peer that another one told of, until it speaks itself or is forgotten, and how much it is
@@ -98,7 +98,7 @@
     ) {
         let (address, place) = (peer.address, peer.place);
         if let Some(record) = self.records.get_mut(&address) {
-            if !record.heard && record.versions.is_empty() {
+            if !record.received_heartbeat && record.versions.is_empty() {
                 record.versions = known;
             }
             return;
@@ -108,8 +108,8 @@
         }
         self.make_room(own_zone);
         let record = PeerRecord {
-            noted_at: now,
-            heard: false,
+            last_seen_at: now,
+            received_heartbeat: false,
             place,
             versions: known,
             failing: Vec::new(),
@@ -121,16 +121,16 @@
     /// Returns whether the peer was known to be alive.
     pub(super) fn remove(&mut self, address: SocketAddrV4) -> bool {
         let removed = self.records.remove(&address);
-        removed.is_some_and(|record| record.heard)
+        removed.is_some_and(|record| record.received_heartbeat)
     }
 
     /// Forgets silent peers, and returns those that had been heard.
     pub(super) fn expire(&mut self, now: Timestamp, lifetime: Duration) -> Vec<SocketAddrV4> {
-        let silent = |record: &PeerRecord| now.since(record.noted_at) >= lifetime;
+        let silent = |record: &PeerRecord| now.since(record.last_seen_at) >= lifetime;
         let lost = self
             .records
             .iter()
-            .filter(|(_, record)| record.heard && silent(record))
+            .filter(|(_, record)| record.received_heartbeat && silent(record))
             .map(|(address, _)| *address)
             .collect();
         self.records.retain(|_, record| !silent(record));
@@ -138,7 +138,7 @@
     }
 
     /// Notes how much a known peer knows now.
-    pub(super) fn note_versions(&mut self, address: SocketAddrV4, versions: Versions) {
+    pub(super) fn record_versions(&mut self, address: SocketAddrV4, versions: Versions) {
         if let Some(record) = self.records.get_mut(&address) {
             record.versions = versions;
         }
@@ -151,7 +151,8 @@
         random: &mut impl Rng,
     ) -> Option<SocketAddrV4> {
         let alive = self.records.iter();
-        let alive = alive.filter(|(_, record)| record.heard || !record.versions.is_empty());
+        let alive =
+            alive.filter(|(_, record)| record.received_heartbeat || !record.versions.is_empty());
         choose_source(zone, alive, random).map(|(address, _)| address)
     }
 
@@ -168,7 +169,10 @@
 
     /// Instances that at least `witnesses` peers suspect; all peers, if there are fewer.
     pub(super) fn suspected(&self, witnesses: usize) -> BTreeSet<Cookie> {
-        let heard = self.records.values().filter(|record| record.heard);
+        let heard = self
+            .records
+            .values()
+            .filter(|record| record.received_heartbeat);
         let witnesses = witnesses.min(heard.clone().count());
         let mut counts: BTreeMap<Cookie, usize> = BTreeMap::new();
         for cookie in heard.flat_map(|record| &record.failing) {
@@ -227,10 +231,9 @@
         random: &mut impl Rng,
         wanted: impl Fn(&PeerRecord) -> bool,
     ) -> Vec<PeerSuggestion> {
-        let alive = self
-            .records
-            .iter()
-            .filter(|(address, record)| record.heard && **address != receiver && wanted(record));
+        let alive = self.records.iter().filter(|(address, record)| {
+            record.received_heartbeat && **address != receiver && wanted(record)
+        });
         let mut alive: Vec<PeerSuggestion> = alive
             .map(|(address, record)| PeerSuggestion {
                 address: *address,
@@ -276,8 +279,9 @@
         random: &mut impl Rng,
     ) -> Option<(SocketAddrV4, Versions)> {
         let ahead = self.records.iter();
-        let ahead =
-            ahead.filter(|(_, record)| (record.heard || by_hearsay) && behind(record.versions));
+        let ahead = ahead.filter(|(_, record)| {
+            (record.received_heartbeat || by_hearsay) && behind(record.versions)
+        });
         let complete = ahead
             .clone()
             .filter(|(_, record)| !record.versions.is_empty());
@@ -290,7 +294,7 @@
         let Some(record) = self.records.get_mut(&address) else {
             return false;
         };
-        let was_named = !record.heard && !record.versions.is_empty();
+        let was_named = !record.received_heartbeat && !record.versions.is_empty();
         record.versions = Versions::default();
         was_named
     }
@@ -308,7 +312,7 @@
         let largest = largest.map(|(zone, _)| zone);
         let first_to_go = self.records.iter().min_by_key(|(_, record)| {
             let spared = Some(record.place.zone) != largest;
-            (record.heard, spared, record.noted_at)
+            (record.received_heartbeat, spared, record.last_seen_at)
         });
         if let Some(address) = first_to_go.map(|(address, _)| *address) {
             self.records.remove(&address);
--- a/crates/bellyoke-core/src/cookie/exchange/receivers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/receivers.rs
@@ -90,7 +90,7 @@
     pub(super) fn confirming_receiver(&mut self) -> Option<SocketAddrV4> {
         let zone = self.own_zone();
         let random = &mut self.random;
-        let is_alive = |record: &PeerRecord| record.heard;
+        let is_alive = |record: &PeerRecord| record.received_heartbeat;
         let mut receivers = self.peers.sample_far(zone, 1, random, is_alive);
         if receivers.is_empty() {
             receivers = self.peers.sample_near(zone, 1, random, is_alive);
@@ -142,7 +142,7 @@
         heartbeat: &mut Heartbeat,
     ) {
         let knows_of_late = |record: &PeerRecord| {
-            !record.versions.is_empty() && now.since(record.noted_at) < SOURCE_AGE
+            !record.versions.is_empty() && now.since(record.last_seen_at) < SOURCE_AGE
         };
         let count = Heartbeat::MAXIMUM_PEERS;
         let sources = self
@@ -150,14 +150,14 @@
             .suggestions_for(receiver, count, &mut self.random, knows_of_late);
         if !sources.is_empty() {
             heartbeat.peers = sources;
-            heartbeat.peers_know = true;
+            heartbeat.peers_up_to_date = true;
         }
     }
 
     /// Notes what a heartbeat tells of other nodes.
     pub(super) fn note_suggestions(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
         let zone = self.own_zone();
-        let known = if heartbeat.peers_know {
+        let known = if heartbeat.peers_up_to_date {
             heartbeat.versions
         } else {
             Versions::default()
--- a/crates/bellyoke-core/src/cookie/exchange/settings.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/settings.rs
@@ -14,7 +14,7 @@
     /// A peer that was silent for so long is forgotten.
     pub peer_lifetime: Duration,
     /// How long a node that is behind waits for the store to tell it, before it asks a peer.
-    pub patience: Duration,
+    pub catch_up_delay: Duration,
     /// Shortest time between the beginnings of two fetches, and how long one must have brought
     /// nothing before another begins beside it.
     pub fetch_interval: Duration,
@@ -35,7 +35,7 @@
             fanout: 2,
             push_fanout: 3,
             peer_lifetime: Duration::from_secs(10),
-            patience: Duration::from_millis(250),
+            catch_up_delay: Duration::from_millis(250),
             fetch_interval: Duration::from_millis(300),
             freshness_bound: Duration::from_millis(1_500),
             own_zone_first: true,
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -83,9 +83,9 @@
     let (kind, bytes) = match datagram {
         PeerDatagram::Heartbeat(heartbeat) => ("heartbeat", heartbeat.encode(&key)),
         PeerDatagram::Delta(message) => ("delta", message.encode(&key)),
-        PeerDatagram::Question(question) => ("question", question.encode(&key)),
+        PeerDatagram::ProbeRequest(question) => ("question", question.encode(&key)),
         PeerDatagram::Findings(report) => ("findings", report.encode(&key)),
-        PeerDatagram::Objection(objection) => ("objection", objection.encode(&key)),
+        PeerDatagram::Refutation(objection) => ("objection", objection.encode(&key)),
         PeerDatagram::Outliers(message) => ("outliers", message.encode(&key)),
     };
     (kind, bytes.unwrap().len())
@@ -120,7 +120,7 @@
         };
         let seed = number as u64 + self.now * 1_000;
         let exchange = Exchange::new(settings, address(number), seeds, seed)
-            .standing_at(self.layout.place(number));
+            .with_place(self.layout.place(number));
         let node = Node {
             coordinator: Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange),
             alive: true,
@@ -217,7 +217,7 @@
     fn begin(&mut self, from: SocketAddrV4, outcome: Outcome) {
         for effect in outcome.effects {
             match effect {
-                ExchangeEffect::Send { to, heartbeat } => {
+                ExchangeEffect::SendHeartbeat { to, heartbeat } => {
                     self.deliver(from, to, PeerDatagram::Heartbeat(heartbeat));
                 }
                 ExchangeEffect::SendDelta {
@@ -232,14 +232,14 @@
                 ExchangeEffect::SendFindings { to, report } => {
                     self.deliver(from, to, PeerDatagram::Findings(report));
                 }
-                ExchangeEffect::SendQuestion { to, question } => {
-                    self.deliver(from, to, PeerDatagram::Question(question));
+                ExchangeEffect::SendProbeRequest { to, request } => {
+                    self.deliver(from, to, PeerDatagram::ProbeRequest(request));
                 }
                 ExchangeEffect::SendOutliers { to, message } => {
                     self.deliver(from, to, PeerDatagram::Outliers(message));
                 }
-                ExchangeEffect::SendObjection { to, objection } => {
-                    self.deliver(from, to, PeerDatagram::Objection(objection));
+                ExchangeEffect::SendRefutation { to, refutation } => {
+                    self.deliver(from, to, PeerDatagram::Refutation(refutation));
                 }
                 ExchangeEffect::Fetch { from: source } => self.fetch(from, source),
                 ExchangeEffect::PeerJoined(_) | ExchangeEffect::PeerLost(_) => {}
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -82,7 +82,7 @@
     let heard = |cluster: &mut Cluster| {
         let peers = cluster.node(0).coordinator.exchange().peers();
         peers
-            .filter(|(_, peer)| peer.heard)
+            .filter(|(_, peer)| peer.received_heartbeat)
             .map(|(peer, _)| peer)
             .collect::<Vec<_>>()
     };
@@ -134,9 +134,9 @@
         let heartbeat = Heartbeat {
             versions: Versions::default(),
             leaving: false,
-            peers_know: false,
+            peers_up_to_date: false,
             confirmed_age_milliseconds: None,
-            confirmed_by_newest: false,
+            confirmed_by_newest_read: false,
             place: NodePlace::default(),
             claims: vec![WatcherClaim {
                 address: address(number),
@@ -309,9 +309,9 @@
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: Vec::new(),
@@ -350,9 +350,9 @@
             ..node.replica().versions()
         },
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: Some(age),
-        confirmed_by_newest: true,
+        confirmed_by_newest_read: true,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: vec![suggestion(usize::from(number)); 6],
@@ -413,9 +413,9 @@
             zones_as_of: Revision::new(1),
         },
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: [1, 2, 3].map(suggestion).to_vec(),
@@ -476,9 +476,9 @@
         PeerDatagram::Heartbeat(Heartbeat {
             versions,
             leaving: false,
-            peers_know: false,
+            peers_up_to_date: false,
             confirmed_age_milliseconds: Some(age),
-            confirmed_by_newest: true,
+            confirmed_by_newest_read: true,
             place: NodePlace::default(),
             claims: Vec::new(),
             peers: Vec::new(),
@@ -521,9 +521,9 @@
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: Some(3_000),
-        confirmed_by_newest: true,
+        confirmed_by_newest_read: true,
         place: NodePlace::default(),
         claims: vec![WatcherClaim {
             address: address(77),
@@ -544,7 +544,7 @@
         .into_iter()
         .chain(newborn.leave(at(START + 210)));
     let claims = told.filter_map(|effect| match effect {
-        ExchangeEffect::Send { heartbeat, .. } => Some(heartbeat.claims),
+        ExchangeEffect::SendHeartbeat { heartbeat, .. } => Some(heartbeat.claims),
         _ => None,
     });
     let dead = claims
@@ -621,9 +621,9 @@
             zones_as_of: Revision::new(1),
         },
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: [1, 2, 3].map(suggestion).to_vec(),
@@ -634,7 +634,7 @@
         let own = Versions::default();
         let behind = |versions: Versions| !versions.is_empty() || versions.configuration > 0;
         let message = heartbeat(directory);
-        let effects = exchange.heartbeat(at(now), address(from), &message, own, behind);
+        let effects = exchange.handle_heartbeat(at(now), address(from), &message, own, behind);
         let fetches = effects.into_iter().filter_map(|effect| match effect {
             ExchangeEffect::Fetch { from } => Some(from),
             _ => None,
@@ -659,9 +659,9 @@
             let heartbeat = Heartbeat {
                 versions: Versions::default(),
                 leaving: false,
-                peers_know: false,
+                peers_up_to_date: false,
                 confirmed_age_milliseconds: None,
-                confirmed_by_newest: false,
+                confirmed_by_newest_read: false,
                 place: NodePlace::default(),
                 claims: Vec::new(),
                 peers: Vec::new(),
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -281,9 +281,9 @@
             zones_as_of: known,
         },
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace {
             zone: ZoneKey(zone),
             class,
@@ -305,9 +305,9 @@
     let nothing = Versions::default();
     for (number, zone, class) in peers {
         let heartbeat = heartbeat_of(*zone, *class, 9);
-        exchange.heartbeat(at(10_000), address(*number), &heartbeat, nothing, |_| false);
+        exchange.handle_heartbeat(at(10_000), address(*number), &heartbeat, nothing, |_| false);
         // What it asks at once of the first that it hears is over.
-        exchange.fetched(address(*number), nothing);
+        exchange.fetch_succeeded(address(*number), nothing);
     }
     let mut sources = Vec::new();
     for now in (10_000..20_000).step_by(100) {
@@ -336,7 +336,7 @@
             let zone = if number < 30 { 0 } else { 7 };
             let heartbeat = heartbeat_of(zone, class, 9);
             let from = address(number);
-            exchange.heartbeat(at(10_000), from, &heartbeat, heartbeat.versions, |_| false);
+            exchange.handle_heartbeat(at(10_000), from, &heartbeat, heartbeat.versions, |_| false);
         }
         exchange.tick(at(10_100), Versions::default(), |_| false);
         let is_far = |to: &SocketAddrV4| (30..40).any(|number| address(number) == *to);
@@ -347,20 +347,20 @@
             reached: false,
         };
         let findings = exchange
-            .tell_findings(at(10_100), vec![finding])
+            .report_findings(at(10_100), vec![finding])
             .into_iter();
         let told = findings.filter(
             |effect| matches!(effect, ExchangeEffect::SendFindings { to, .. } if is_far(to)),
         );
         assert_eq!(told.count(), 1, "seed {seed}");
-        let questions = exchange.ask_peer(&[cookie]);
-        let [ExchangeEffect::SendQuestion { to, .. }] = &questions[..] else {
+        let questions = exchange.request_probes(&[cookie]);
+        let [ExchangeEffect::SendProbeRequest { to, .. }] = &questions[..] else {
             panic!("{questions:?}");
         };
         assert!(is_far(to), "seed {seed}");
-        let objections = exchange.tell_living(&[cookie]).into_iter();
+        let objections = exchange.refute_suspicions(&[cookie]).into_iter();
         let told = objections.filter(
-            |effect| matches!(effect, ExchangeEffect::SendObjection { to, .. } if is_far(to)),
+            |effect| matches!(effect, ExchangeEffect::SendRefutation { to, .. } if is_far(to)),
         );
         assert_eq!(told.count(), 1, "seed {seed}");
     }
@@ -405,7 +405,7 @@
     let mut hear = |number: usize, zone: u16| {
         let heartbeat = heartbeat_of(zone, CapacityClass::LEAST, 0);
         let now = at(10_000 + number as u64);
-        exchange.heartbeat(now, address(number), &heartbeat, own, |_| false);
+        exchange.handle_heartbeat(now, address(number), &heartbeat, own, |_| false);
     };
     for number in 1..=40 {
         hear(number, 1 + number as u16 % 2);
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -6,8 +6,9 @@
 use bellyoke_core::cookie::directory::Tombstone;
 use bellyoke_core::cookie::exchange::{
     DecodeError, DeltaMessage, EncodeError, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, Objection, PeerDatagram, PeerKey, PeerSuggestion, Question,
-    ReachabilityReport, ReportedFinding, WatcherClaim, ZoneSize, decode_snapshot, encode_snapshot,
+    MAXIMUM_HEARTBEAT_LENGTH, PeerDatagram, PeerKey, PeerSuggestion, ProbeRequest,
+    ReachabilityReport, Refutation, ReportedFinding, WatcherClaim, ZoneSize, decode_snapshot,
+    encode_snapshot,
 };
 use bellyoke_core::cookie::instance::{InstanceEvent, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::replica::{DirectoryPart, DirectorySnapshot, Snapshot, Versions};
@@ -31,9 +32,9 @@
             zones_as_of: Revision::new(u64::MAX),
         },
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: Some(750),
-        confirmed_by_newest: true,
+        confirmed_by_newest_read: true,
         place,
         claims: (0..3)
             .map(|last| WatcherClaim {
@@ -70,14 +71,14 @@
 
 #[test]
 fn a_question_comes_back_as_it_was() {
-    let question = Question {
-        cookies: (0..Question::MAXIMUM_COOKIES as u32).collect(),
+    let question = ProbeRequest {
+        cookies: (0..ProbeRequest::MAXIMUM_COOKIES as u32).collect(),
     };
     let key = PeerKey::new([7; 32]);
     let bytes = question.encode(&key).unwrap();
     assert_eq!(
         PeerDatagram::decode(&bytes, &key),
-        Ok(PeerDatagram::Question(question))
+        Ok(PeerDatagram::ProbeRequest(question))
     );
     let forged = PeerDatagram::decode(&bytes, &PeerKey::default());
     assert_eq!(forged, Err(DecodeError::Tag));
@@ -108,13 +109,13 @@
 
 #[test]
 fn an_objection_comes_back_as_it_was() {
-    let objection = Objection {
-        cookies: (0..Objection::MAXIMUM_COOKIES as u32).collect(),
+    let objection = Refutation {
+        cookies: (0..Refutation::MAXIMUM_COOKIES as u32).collect(),
     };
     let key = PeerKey::new([7; 32]);
     let bytes = objection.encode(&key).unwrap();
     let decoded = PeerDatagram::decode(&bytes, &key);
-    assert_eq!(decoded, Ok(PeerDatagram::Objection(objection)));
+    assert_eq!(decoded, Ok(PeerDatagram::Refutation(objection)));
     let forged = PeerDatagram::decode(&bytes, &PeerKey::default());
     assert_eq!(forged, Err(DecodeError::Tag));
 }
@@ -240,7 +241,7 @@
     let request = FetchRequest {
         known: heartbeat(0).versions,
         zone: ZoneKey(u16::MAX),
-        wants_all_gone: true,
+        wants_all_tombstones: true,
     };
     let bytes = request.encode(&key).unwrap();
     assert_eq!(FetchRequest::decode(&bytes, &key), Ok(request));
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -258,7 +258,7 @@
     fn perform(&mut self, from: SocketAddrV4, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             let (to, datagram) = match effect {
-                ExchangeEffect::Send { to, heartbeat }
+                ExchangeEffect::SendHeartbeat { to, heartbeat }
                 | ExchangeEffect::SendDelta { to, heartbeat, .. } => {
                     (to, PeerDatagram::Heartbeat(heartbeat))
                 }
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -4,7 +4,7 @@
 use bellyoke_core::cookie::capacity::{NodePlace, ZoneKey};
 use bellyoke_core::cookie::coordinator::Coordinator;
 use bellyoke_core::cookie::exchange::{
-    Exchange, ExchangeEffect, ExchangeSettings, Heartbeat, PeerDatagram, Question,
+    Exchange, ExchangeEffect, ExchangeSettings, Heartbeat, PeerDatagram, ProbeRequest,
 };
 use bellyoke_core::cookie::follower::Update;
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder, ResetReason};
@@ -249,9 +249,9 @@
     let heartbeat = Heartbeat {
         versions: Versions::default(),
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: Vec::new(),
@@ -268,7 +268,7 @@
 
 fn questions(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
     let questions = effects.iter().filter_map(|effect| match effect {
-        ExchangeEffect::SendQuestion { question, .. } => Some(question.cookies.clone()),
+        ExchangeEffect::SendProbeRequest { request, .. } => Some(request.cookies.clone()),
         _ => None,
     });
     questions.collect()
@@ -305,10 +305,10 @@
     assert_eq!(told(&effects), [vec![cookie(1).bits()]]);
 
     let mut other = coordinator();
-    let question = Question {
+    let question = ProbeRequest {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
-    let ask = PeerDatagram::Question(question);
+    let ask = PeerDatagram::ProbeRequest(question);
     let effects = other.datagram(at(500), peer(), ask).effects;
     assert_eq!(effects, [], "only the one that was asked probes it");
     // It finds out for itself: a peer's word alone ends no flow.
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -150,7 +150,7 @@
         Self {
             coordinator: Coordinator::new(
                 replica(&exchange, tombstone_lifetime),
-                Exchange::new(exchange, address, seeds, seed).standing_at(place),
+                Exchange::new(exchange, address, seeds, seed).with_place(place),
             ),
             table: ForwardingTable::default(),
             forwarder: Forwarder::new(health)
--- a/crates/bellyoke-lab/src/cookie/world.rs
+++ b/crates/bellyoke-lab/src/cookie/world.rs
@@ -374,7 +374,7 @@
     fn effects(&mut self, node: usize, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
-                ExchangeEffect::Send { to, heartbeat } => {
+                ExchangeEffect::SendHeartbeat { to, heartbeat } => {
                     self.send_datagram(node, to, PeerDatagram::Heartbeat(heartbeat));
                 }
                 ExchangeEffect::SendDelta {
@@ -393,11 +393,11 @@
                 ExchangeEffect::SendFindings { to, report } => {
                     self.send_datagram(node, to, PeerDatagram::Findings(report));
                 }
-                ExchangeEffect::SendQuestion { to, question } => {
-                    self.send_datagram(node, to, PeerDatagram::Question(question));
+                ExchangeEffect::SendProbeRequest { to, request } => {
+                    self.send_datagram(node, to, PeerDatagram::ProbeRequest(request));
                 }
-                ExchangeEffect::SendObjection { to, objection } => {
-                    self.send_datagram(node, to, PeerDatagram::Objection(objection));
+                ExchangeEffect::SendRefutation { to, refutation } => {
+                    self.send_datagram(node, to, PeerDatagram::Refutation(refutation));
                 }
                 ExchangeEffect::SendOutliers { to, message } => {
                     self.send_datagram(node, to, PeerDatagram::Outliers(message));
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -5,7 +5,7 @@
 use crate::process::metrics::ControlMetrics;
 use bellyoke_api::event_code::EventCode;
 use bellyoke_core::cookie::exchange::{
-    DecodeError, EncodeError, ExchangeEffect, FETCH_PATIENCE, FetchRequest, Heartbeat,
+    DecodeError, EncodeError, ExchangeEffect, FETCH_STALL_TIMEOUT, FetchRequest, Heartbeat,
     MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerKey,
     decode_snapshot, encode_snapshot,
 };
@@ -23,7 +23,7 @@
 
 /// Longest time in which a peer that fetches neither sends nor takes anything: twice as long as
 /// it waits itself.
-const SERVE_PATIENCE: Duration = FETCH_PATIENCE.saturating_mul(2);
+const SERVE_PATIENCE: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
 
 /// Snapshots sent at once; further peers wait in the system's queue.
 const MAXIMUM_SERVED: usize = 4;
@@ -67,7 +67,9 @@
     pub fn perform(&self, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
-                ExchangeEffect::Send { to, heartbeat } => self.send_heartbeat(to, &heartbeat),
+                ExchangeEffect::SendHeartbeat { to, heartbeat } => {
+                    self.send_heartbeat(to, &heartbeat)
+                }
                 ExchangeEffect::SendDelta {
                     to,
                     known,
@@ -77,16 +79,16 @@
                         self.send_heartbeat(to, &heartbeat);
                     }
                 }
-                ExchangeEffect::SendQuestion { to, question } => {
-                    let encode = |key: &PeerKey| question.encode(key);
+                ExchangeEffect::SendProbeRequest { to, request } => {
+                    let encode = |key: &PeerKey| request.encode(key);
                     self.send("question", to, encode, |metrics| &metrics.questions_sent);
                 }
                 ExchangeEffect::SendFindings { to, report } => {
                     let encode = |key: &PeerKey| report.encode(key);
                     self.send("findings", to, encode, |metrics| &metrics.findings_sent);
                 }
-                ExchangeEffect::SendObjection { to, objection } => {
-                    let encode = |key: &PeerKey| objection.encode(key);
+                ExchangeEffect::SendRefutation { to, refutation } => {
+                    let encode = |key: &PeerKey| refutation.encode(key);
                     self.send("objection", to, encode, |metrics| &metrics.objections_sent);
                 }
                 ExchangeEffect::SendOutliers { to, message } => {
@@ -171,9 +173,15 @@
     key: &PeerKey,
     progressed: impl FnMut(),
 ) -> Result<Snapshot, FetchError> {
-    let mut stream = timeout(FETCH_PATIENCE, TcpStream::connect(from)).await??;
-    write_patiently(&mut stream, &request.encode(key)?, FETCH_PATIENCE).await?;
-    let bytes = read_patiently(stream, MAXIMUM_SNAPSHOT_LENGTH, FETCH_PATIENCE, progressed).await?;
+    let mut stream = timeout(FETCH_STALL_TIMEOUT, TcpStream::connect(from)).await??;
+    write_patiently(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
+    let bytes = read_patiently(
+        stream,
+        MAXIMUM_SNAPSHOT_LENGTH,
+        FETCH_STALL_TIMEOUT,
+        progressed,
+    )
+    .await?;
     Ok(decode_snapshot(&bytes, key)?)
 }
 
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -108,7 +108,7 @@
             settings.peer_seeds(),
             random.random(),
         )
-        .standing_at(settings.place());
+        .with_place(settings.place());
         Self {
             clock: shared.clock,
             coordinator: Coordinator::new(replica(&settings.timing), exchange)
@@ -284,17 +284,17 @@
             PeerDatagram::Heartbeat(_) => self.metrics.heartbeats_received.inc(),
             PeerDatagram::Delta(_) => self.metrics.deltas_received.inc(),
             PeerDatagram::Outliers(_) => self.metrics.outlier_messages_received.inc(),
-            PeerDatagram::Question(_) => {
+            PeerDatagram::ProbeRequest(_) => {
                 self.asked.notify_one();
                 self.metrics.questions_received.inc()
             }
-            PeerDatagram::Objection(_) => self.metrics.objections_received.inc(),
+            PeerDatagram::Refutation(_) => self.metrics.objections_received.inc(),
             PeerDatagram::Findings(_) => self.metrics.findings_received.inc(),
         };
         let now = self.clock.now();
         let is_verdict = matches!(
             datagram,
-            PeerDatagram::Question(_) | PeerDatagram::Objection(_) | PeerDatagram::Findings(_)
+            PeerDatagram::ProbeRequest(_) | PeerDatagram::Refutation(_) | PeerDatagram::Findings(_)
         );
         let outcome = self.coordinator.datagram(now, from, datagram);
         if is_verdict && now >= self.next_showing {
--- a/crates/bellyoke-node/src/process/control/report.rs
+++ b/crates/bellyoke-node/src/process/control/report.rs
@@ -321,7 +321,7 @@
             .coordinator
             .exchange()
             .peers()
-            .filter(|(_, peer)| peer.heard);
+            .filter(|(_, peer)| peer.received_heartbeat);
         set(&metrics.peers, heard.count() as u128);
         let nodes = self.coordinator.exchange().estimated_nodes();
         let nodes = nodes.round() as u64;
