--- a/crates/bellyoke-core/src/cookie/exchange/candidates.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/candidates.rs
@@ -61,8 +61,8 @@
 
 impl ClaimTable {
     /// Notes a claim that was made at a time. The last that a node made counts, also if it ranks lower.
-    pub(super) fn note(&mut self, address: SocketAddrV4, place: NodePlace, made_at: Timestamp) {
-        let held = self
+    pub(super) fn record(&mut self, address: SocketAddrV4, place: NodePlace, made_at: Timestamp) {
+        let current = self
             .claims
             .iter_mut()
             .find(|claim| claim.address == address);
@@ -71,9 +71,9 @@
             place,
             made_at,
         };
-        match held {
+        match current {
             None => self.claims.push(claim),
-            Some(held) if made_at >= held.made_at => *held = claim,
+            Some(current) if made_at >= current.made_at => *current = claim,
             Some(_) => {}
         }
     }
@@ -89,7 +89,7 @@
         self.claims
             .retain(|claim| now.since(claim.made_at) < CLAIM_LIFETIME);
         let claims = std::mem::take(&mut self.claims);
-        self.claims = in_order(claims, |claim| (claim.address, claim.place));
+        self.claims = rank_nodes(claims, |claim| (claim.address, claim.place));
         self.claims.truncate(WATCHERS);
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Where a node's claim stands among them.
-    pub(super) fn place_of(&self, address: SocketAddrV4) -> Option<usize> {
+    pub(super) fn rank_of(&self, address: SocketAddrV4) -> Option<usize> {
         self.claims
             .iter()
             .position(|claim| claim.address == address)
@@ -113,7 +113,7 @@
 
     /// The duty that falls to a node by its claim.
     pub(super) fn duty(&self, address: SocketAddrV4) -> StoreDuty {
-        match self.place_of(address) {
+        match self.rank_of(address) {
             Some(0) => StoreDuty::Reader,
             Some(place) if place < WATCHERS => StoreDuty::Backup,
             _ => StoreDuty::Listener,
@@ -123,7 +123,7 @@
 
 /// Puts nodes in the order in which duties fall to them: the largest first; of those of one class the first of each zone,
 /// then the second, and so on; by hash among equals.
-pub(super) fn in_order<Node>(
+pub(super) fn rank_nodes<Node>(
     nodes: Vec<Node>,
     identity: impl Fn(&Node) -> (SocketAddrV4, NodePlace),
 ) -> Vec<Node> {
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -14,7 +14,7 @@
 pub const FETCH_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Fetches of one purpose that run at once: one that is stuck, and one beside it.
-const MAXIMUM_RUNNING: usize = 2;
+const MAXIMUM_FETCHES_PER_PURPOSE: usize = 2;
 
 /// Why a snapshot is fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// The peer knows more than this node.
     CatchUp,
     /// This node has just started, and asks what the store doesn't tell.
-    Introduction,
+    Startup,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -42,26 +42,26 @@
 
 impl FetchTable {
     /// Whether a fetch may begin.
-    pub(super) fn may_begin(&mut self, now: Timestamp, purpose: FetchPurpose) -> bool {
+    pub(super) fn may_start(&mut self, now: Timestamp, purpose: FetchPurpose) -> bool {
         self.running
             .retain(|fetch| now.since(fetch.progressed_at) < FETCH_STALL_TIMEOUT);
         let alike = self.running.iter();
         let alike = alike.filter(|fetch| fetch.purpose == purpose);
-        now >= self.not_before[purpose as usize] && alike.count() < MAXIMUM_RUNNING
+        now >= self.not_before[purpose as usize] && alike.count() < MAXIMUM_FETCHES_PER_PURPOSE
     }
 
     /// The next fetch needn't wait for the one before.
-    pub(super) const fn may_begin_at_once(&mut self) {
+    pub(super) const fn clear_delay(&mut self) {
         self.not_before = [Timestamp::ZERO; 2];
     }
 
     /// Whether a fetch from a peer is under way.
-    pub(super) fn runs(&self, from: SocketAddrV4) -> bool {
+    pub(super) fn is_fetching_from(&self, from: SocketAddrV4) -> bool {
         self.running.iter().any(|fetch| fetch.from == from)
     }
 
     /// A fetch begins.
-    pub(super) fn begin(
+    pub(super) fn start(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -13,9 +13,7 @@
 //! Unlike [`crate::node::membership`] this needs no agreed member list: nothing is decided by
 //! who takes part, so a sample of live peers is enough.
 
-mod asking;
 mod candidates;
-mod doubts;
 mod effect;
 mod fetches;
 mod findings;
@@ -27,6 +25,8 @@
 mod seal;
 mod settings;
 mod size;
+mod store_calls;
+mod suspicions;
 mod watching;
 mod zone_sizes;
 
@@ -51,24 +51,24 @@
 use crate::cookie::reachability::Finding;
 use crate::cookie::replica::Versions;
 use crate::time::Timestamp;
-use asking::AskPacer;
-use candidates::{ClaimTable, in_order};
+use candidates::{ClaimTable, rank_nodes};
 use fetches::{FetchPurpose, FetchTable};
 use peers::PeerTable;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use receivers::PUSHED_PEERS;
+use receivers::PUSH_SUGGESTIONS;
 use size::ClusterSize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
+use store_calls::StoreCallPacer;
 use zone_sizes::ZoneSizes;
 
 /// Nodes that ask the store for all while nobody knows anything.
-const ASKERS: usize = 2;
+const BOOTSTRAP_READERS: usize = 2;
 
 /// Snapshots that a node fetches after its start though it is not behind: the store doesn't tell
 /// of instances that have gone, and the first peer may have started just now itself.
-const INTRODUCTIONS: u32 = 2;
+const STARTUP_FETCHES: u32 = 2;
 
 /// The exchange of one node.
 #[derive(Debug)]
@@ -84,7 +84,7 @@
     /// How many nodes its own zone has, as of the last round.
     own_zone_nodes: f64,
     random: ChaCha8Rng,
-    next_round: Timestamp,
+    next_gossip: Timestamp,
     fetches: FetchTable,
     behind_since: Option<Timestamp>,
     leaving: bool,
@@ -95,17 +95,17 @@
     /// Whether this node, or one that it heard, has read the newest state, and not only states that may be stale.
     newest_was_read: bool,
     clock: FreshnessClock,
-    pacer: AskPacer,
+    pacer: StoreCallPacer,
     /// The last confirmation that was pushed on.
-    told_confirmation: Timestamp,
-    distrust_until: Timestamp,
-    introductions: u32,
+    pushed_confirmation: Timestamp,
+    ignore_confirmations_until: Timestamp,
+    startup_fetches_left: u32,
     /// Whether a peer that another one named as a source had nothing.
-    misled: bool,
+    ignore_suggested_versions: bool,
     failing: Vec<Cookie>,
     /// Findings of probes that wait to be told, and when they may be.
-    untold: Vec<Finding>,
-    next_telling: Timestamp,
+    pending_findings: Vec<Finding>,
+    next_findings_report: Timestamp,
     size: ClusterSize,
 }
 
@@ -128,7 +128,7 @@
             zone_sizes: ZoneSizes::default(),
             own_zone_nodes: 1.0,
             random: ChaCha8Rng::seed_from_u64(random_seed),
-            next_round: Timestamp::ZERO,
+            next_gossip: Timestamp::ZERO,
             fetches: FetchTable::default(),
             behind_since: None,
             leaving: false,
@@ -137,14 +137,14 @@
             store_usable: true,
             newest_was_read: false,
             clock: FreshnessClock::new(settings.reads_zones),
-            pacer: AskPacer::new(),
-            told_confirmation: Timestamp::ZERO,
-            distrust_until: Timestamp::ZERO,
-            introductions: INTRODUCTIONS,
-            misled: false,
+            pacer: StoreCallPacer::new(),
+            pushed_confirmation: Timestamp::ZERO,
+            ignore_confirmations_until: Timestamp::ZERO,
+            startup_fetches_left: STARTUP_FETCHES,
+            ignore_suggested_versions: false,
             failing: Vec::new(),
-            untold: Vec::new(),
-            next_telling: Timestamp::ZERO,
+            pending_findings: Vec::new(),
+            next_findings_report: Timestamp::ZERO,
             size: ClusterSize::default(),
         };
         exchange.set_seeds(seeds);
@@ -185,7 +185,7 @@
     /// Where the node's claim stands among those that it knows, the first at zero; none if others are better.
     #[must_use]
     pub fn claim_rank(&self) -> Option<usize> {
-        self.claims.place_of(self.own_address)
+        self.claims.rank_of(self.own_address)
     }
 
     /// Replaces the addresses where peers are looked for.
@@ -208,14 +208,16 @@
             .map(|(address, record)| (address, record.place))
             .collect();
         known.push((self.own_address, self.own_place()));
-        let mut first = in_order(known, |node| *node).into_iter().take(ASKERS);
+        let mut first = rank_nodes(known, |node| *node)
+            .into_iter()
+            .take(BOOTSTRAP_READERS);
         first.any(|(address, _)| address == self.own_address)
     }
 
     /// When [`Self::tick`] has something to do.
     #[must_use]
     pub const fn next_tick(&self) -> Timestamp {
-        self.next_round
+        self.next_gossip
     }
 
     /// Time has passed. `own` is what this node knows; `behind` tells whether a peer's versions
@@ -227,15 +229,15 @@
         behind: impl Fn(Versions) -> bool,
     ) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        if now >= self.next_round {
-            self.next_round = now.after(self.jittered_period());
+        if now >= self.next_gossip {
+            self.next_gossip = now.after(self.jittered_period());
             for lost in self.peers.expire(now, self.settings.peer_lifetime) {
                 effects.push(ExchangeEffect::PeerLost(lost));
             }
             self.renew_claim(now);
-            self.draw_first_turns(now);
+            self.draw_first_slots(now);
             self.count_nodes(now);
-            self.send_round(now, own, &mut effects);
+            self.send_gossip(now, own, &mut effects);
         }
         self.fetch_if_behind(now, own, &behind, &mut effects);
         effects.extend(self.flush_findings(now));
@@ -262,18 +264,18 @@
             }
             return effects;
         }
-        self.pacer.heard(now);
+        self.pacer.record_heartbeat(now);
         let zone = self.own_zone();
         if self.peers.record_heartbeat(now, zone, from, heartbeat) {
             effects.push(ExchangeEffect::PeerJoined(from));
         }
-        self.note_suggestions(now, heartbeat);
-        self.note_claims(now, &heartbeat.claims);
+        self.record_suggestions(now, heartbeat);
+        self.record_claims(now, &heartbeat.claims);
         if let Some(confirmed_at) = self.confirmation(now, heartbeat) {
-            self.pacer.peer_confirmed(confirmed_at);
+            self.pacer.record_peer_confirmation(confirmed_at);
             if !behind(heartbeat.versions) {
                 let by_newest = heartbeat.confirmed_by_newest_read;
-                self.hear_confirmation(now, confirmed_at, by_newest, own, &mut effects);
+                self.adopt_confirmation(now, confirmed_at, by_newest, own, &mut effects);
             }
         }
         self.reply(now, from, heartbeat, own, &mut effects);
@@ -322,13 +324,13 @@
     /// How many nodes there are, rather too many than too few.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
-        self.size.at_most(now)
+        self.size.upper_bound(now)
     }
 
     /// Whether this node has started of late, so that it may not have heard of all instances that have gone.
     #[must_use]
     pub const fn started_recently(&self) -> bool {
-        self.introductions > 0
+        self.startup_fetches_left > 0
     }
 
     /// The fetch from a peer has brought data, though not all yet.
@@ -341,24 +343,24 @@
     pub fn fetch_succeeded(&mut self, from: SocketAddrV4, versions: Versions) {
         self.fetches.end(from);
         if versions.is_empty() {
-            self.note_fruitless(from);
+            self.record_empty_source(from);
         } else {
-            self.introductions = self.introductions.saturating_sub(1);
+            self.startup_fetches_left = self.startup_fetches_left.saturating_sub(1);
         }
     }
 
     /// A fetch from `from` came to nothing.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.fetches.end(from);
-        self.note_fruitless(from);
+        self.record_empty_source(from);
     }
 
     /// A peer has nothing for this node: it isn't asked again before it speaks, and from now on only those
     /// are that spoke themselves. What others tell is old where many have just started anew.
-    fn note_fruitless(&mut self, from: SocketAddrV4) {
-        if self.peers.discredit(from) && !self.misled {
-            self.misled = true;
-            self.fetches.may_begin_at_once();
+    fn record_empty_source(&mut self, from: SocketAddrV4) {
+        if self.peers.clear_versions(from) && !self.ignore_suggested_versions {
+            self.ignore_suggested_versions = true;
+            self.fetches.clear_delay();
         }
     }
 
@@ -368,8 +370,8 @@
             .mul_f64(self.random.random_range(0.8..=1.2))
     }
 
-    fn send_round(&mut self, now: Timestamp, own: Versions, effects: &mut Vec<ExchangeEffect>) {
-        for to in self.round_receivers() {
+    fn send_gossip(&mut self, now: Timestamp, own: Versions, effects: &mut Vec<ExchangeEffect>) {
+        for to in self.gossip_receivers() {
             let heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
             effects.push(ExchangeEffect::SendHeartbeat { to, heartbeat });
         }
@@ -382,7 +384,8 @@
         own: Versions,
     ) -> Vec<(SocketAddrV4, Heartbeat)> {
         let heartbeats = receivers.into_iter();
-        let heartbeats = heartbeats.map(|to| (to, self.heartbeat_for(now, to, own, PUSHED_PEERS)));
+        let heartbeats =
+            heartbeats.map(|to| (to, self.heartbeat_for(now, to, own, PUSH_SUGGESTIONS)));
         heartbeats.collect()
     }
 
@@ -391,9 +394,9 @@
         self.own_zone_nodes = self.estimated_zone_nodes();
         self.zone_sizes.expire(now);
         let nodes = self.own_zone_nodes.round().min(f64::from(u16::MAX)) as u16;
-        self.zone_sizes.note(self.own_zone(), nodes, now);
+        self.zone_sizes.record(self.own_zone(), nodes, now);
         let nodes = self.estimated_nodes();
-        self.size.note(now, nodes);
+        self.size.record(now, nodes);
     }
 
     fn heartbeat_for(
@@ -401,7 +404,7 @@
         now: Timestamp,
         to: SocketAddrV4,
         own: Versions,
-        most_peers: usize,
+        maximum_suggestions: usize,
     ) -> Heartbeat {
         let age = self.clock.age(now);
         Heartbeat {
@@ -414,8 +417,8 @@
             claims: self.claims.claims(now),
             peers: self
                 .peers
-                .suggestions_for(to, most_peers, &mut self.random, |_| true),
-            zones: self.zone_sizes.told(now),
+                .suggestions_for(to, maximum_suggestions, &mut self.random, |_| true),
+            zones: self.zone_sizes.recent_counts(now),
             failing: self.failing.iter().map(|cookie| cookie.bits()).collect(),
         }
     }
@@ -431,17 +434,17 @@
     ) {
         let known = heartbeat.versions;
         let sender_is_behind = known.lacks(own);
-        let sender_is_lonely = heartbeat.peers.len() < self.settings.fanout;
-        if !(sender_is_behind || sender_is_lonely) || !self.peers.may_reply(now, to) {
+        let sender_lacks_peers = heartbeat.peers.len() < self.settings.fanout;
+        if !(sender_is_behind || sender_lacks_peers) || !self.peers.try_reply(now, to) {
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
         // No delta tells a node all that lacks everything of a kind: it has to know whom to ask.
-        let has_to_fetch = known.is_empty() && !own.is_empty();
-        if has_to_fetch {
-            self.name_sources(now, to, &mut heartbeat);
+        let needs_snapshot = known.is_empty() && !own.is_empty();
+        if needs_snapshot {
+            self.suggest_sources(now, to, &mut heartbeat);
         }
-        effects.push(if sender_is_behind && !has_to_fetch {
+        effects.push(if sender_is_behind && !needs_snapshot {
             ExchangeEffect::SendDelta {
                 to,
                 known,
@@ -460,31 +463,33 @@
         effects: &mut Vec<ExchangeEffect>,
     ) {
         let zone = self.own_zone();
-        let Some((from, versions)) =
-            self.peers
-                .newest(zone, !self.misled, behind, &mut self.random)
-        else {
+        let Some((from, versions)) = self.peers.newest(
+            zone,
+            !self.ignore_suggested_versions,
+            behind,
+            &mut self.random,
+        ) else {
             self.behind_since = None;
-            self.introduce(now, effects);
+            self.fetch_after_start(now, effects);
             return;
         };
         let since = *self.behind_since.get_or_insert(now);
         // A node that lacks something altogether doesn't wait for the store, but for a peer that knows
         // all: those that learn first have the one kind before the other.
         let urgent = own.is_empty() && !versions.is_empty();
-        let patience_over = now.since(since) >= self.settings.catch_up_delay;
-        if urgent || patience_over {
+        let delay_elapsed = now.since(since) >= self.settings.catch_up_delay;
+        if urgent || delay_elapsed {
             self.fetch(now, from, FetchPurpose::CatchUp, effects);
         }
     }
 
     /// Fetches from any peer, after the start. This must not delay a fetch from one that is ahead.
-    fn introduce(&mut self, now: Timestamp, effects: &mut Vec<ExchangeEffect>) {
-        if self.introductions == 0 {
+    fn fetch_after_start(&mut self, now: Timestamp, effects: &mut Vec<ExchangeEffect>) {
+        if self.startup_fetches_left == 0 {
             return;
         }
         if let Some(from) = self.peers.sample_alive(self.own_zone(), &mut self.random) {
-            self.fetch(now, from, FetchPurpose::Introduction, effects);
+            self.fetch(now, from, FetchPurpose::Startup, effects);
         }
     }
 
@@ -495,9 +500,9 @@
         purpose: FetchPurpose,
         effects: &mut Vec<ExchangeEffect>,
     ) {
-        if !self.fetches.runs(from) && self.fetches.may_begin(now, purpose) {
+        if !self.fetches.is_fetching_from(from) && self.fetches.may_start(now, purpose) {
             let interval = self.settings.fetch_interval;
-            self.fetches.begin(now, from, purpose, interval);
+            self.fetches.start(now, from, purpose, interval);
             effects.push(ExchangeEffect::Fetch { from });
         }
     }
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -1,8 +1,8 @@
 //! The compact form in which snapshots travel.
 //!
 //! A snapshot repeats a few names again and again: each route its service, each instance its
-//! service and zone. Here each name and each kind of route stands once, and records refer to it
-//! by number. 1,881 routes and 46 instances take 17 kB instead of 138 kB, which matters where a
+//! service and zone. Here each name and each group of route stands once, and records refer to it
+//! by index. 1,881 routes and 46 instances take 17 kB instead of 138 kB, which matters where a
 //! machine's link is thin and many nodes start at once.
 
 use super::message::DeltaMessage;
@@ -49,7 +49,7 @@
     ///
     /// [`EncodeError::TooManyNames`] if it has more names than can be numbered.
     pub(super) fn pack(message: &DeltaMessage) -> Result<Self, EncodeError> {
-        let mut names = Numbering::default();
+        let mut names = Interner::default();
         let directory = message.delta.directory.as_ref();
         let directory = directory.map(|delta| pack_changes(&mut names, delta));
         Ok(Self {
@@ -93,14 +93,14 @@
     version: u64,
     idle_timeout_milliseconds: u32,
     /// What routes have besides their addresses: a few are like many others.
-    kinds: Vec<PackedKind>,
+    groups: Vec<PackedRouteGroup>,
     routes: Vec<PackedRoute>,
     limits: Vec<ServiceLimits>,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
-struct PackedShare {
+struct PackedWeight {
     weight: u32,
     /// Number of its name.
     service: u16,
@@ -108,8 +108,8 @@
 
 /// What several routes have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
-struct PackedKind {
-    services: Vec<PackedShare>,
+struct PackedRouteGroup {
+    services: Vec<PackedWeight>,
     terms: RouteTerms,
 }
 
@@ -117,8 +117,8 @@
 struct PackedRoute {
     ip: [u8; 4],
     port: u16,
-    /// Number of its kind.
-    kind: u16,
+    /// Number of its group.
+    group: u16,
 }
 
 #[derive(Debug, Archive, Serialize, Deserialize)]
@@ -170,7 +170,7 @@
     /// [`EncodeError::TooManyNames`] if the snapshot has more names, or more lists of services,
     /// than can be numbered.
     pub(super) fn pack(snapshot: &Snapshot) -> Result<Self, EncodeError> {
-        let mut names = Numbering::default();
+        let mut names = Interner::default();
         let configuration = snapshot.configuration.as_ref();
         let configuration =
             configuration.map(|configuration| pack_routes(&mut names, configuration));
@@ -211,52 +211,52 @@
 }
 
 /// Numbers values as they come.
-struct Numbering<Value> {
-    numbers: BTreeMap<Value, u16>,
+struct Interner<Value> {
+    indices: BTreeMap<Value, u16>,
 }
 
-impl<Value> Default for Numbering<Value> {
+impl<Value> Default for Interner<Value> {
     fn default() -> Self {
         Self {
-            numbers: BTreeMap::new(),
+            indices: BTreeMap::new(),
         }
     }
 }
 
-impl<Value: Ord> Numbering<Value> {
+impl<Value: Ord> Interner<Value> {
     fn insert(&mut self, value: Value) -> Result<u16, EncodeError> {
-        let count = self.numbers.len();
+        let count = self.indices.len();
         let next = u16::try_from(count).map_err(|_| EncodeError::TooManyNames { count })?;
-        Ok(*self.numbers.entry(value).or_insert(next))
+        Ok(*self.indices.entry(value).or_insert(next))
     }
 
     fn into_values(self) -> Vec<Value> {
-        let mut numbered: Vec<_> = self.numbers.into_iter().collect();
-        numbered.sort_unstable_by_key(|(_, number)| *number);
+        let mut numbered: Vec<_> = self.indices.into_iter().collect();
+        numbered.sort_unstable_by_key(|(_, index)| *index);
         numbered.into_iter().map(|(value, _)| value).collect()
     }
 }
 
-impl Numbering<String> {
-    fn name(&mut self, name: &str) -> Result<u16, EncodeError> {
-        match self.numbers.get(name) {
-            Some(number) => Ok(*number),
+impl Interner<String> {
+    fn intern(&mut self, name: &str) -> Result<u16, EncodeError> {
+        match self.indices.get(name) {
+            Some(index) => Ok(*index),
             None => self.insert(name.to_owned()),
         }
     }
 }
 
 fn pack_routes(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     configuration: &Configuration,
 ) -> Result<PackedConfiguration, EncodeError> {
-    let mut kinds = Numbering::default();
+    let mut groups = Interner::default();
     let mut routes = Vec::with_capacity(configuration.routes.len());
     for route in &configuration.routes {
         let mut shares = Vec::with_capacity(route.services.len());
         for weighted in &route.services {
-            let service = names.name(&weighted.service)?;
-            shares.push(PackedShare {
+            let service = names.intern(&weighted.service)?;
+            shares.push(PackedWeight {
                 weight: weighted.weight,
                 service,
             });
@@ -264,7 +264,7 @@
         routes.push(PackedRoute {
             ip: route.address.ip().octets(),
             port: route.address.port(),
-            kind: kinds.insert(PackedKind {
+            group: groups.insert(PackedRouteGroup {
                 services: shares,
                 terms: route.terms,
             })?,
@@ -274,7 +274,7 @@
         revision: configuration.revision,
         version: configuration.version,
         idle_timeout_milliseconds: configuration.idle_timeout_milliseconds,
-        kinds: kinds.into_values(),
+        groups: groups.into_values(),
         routes,
         limits: configuration.limits.clone(),
     })
@@ -284,15 +284,15 @@
     names: &[String],
     packed: PackedConfiguration,
 ) -> Result<Configuration, DecodeError> {
-    let mut kinds = Vec::with_capacity(packed.kinds.len());
-    for kind in packed.kinds {
-        let shares = kind.services.into_iter();
+    let mut groups = Vec::with_capacity(packed.groups.len());
+    for group in packed.groups {
+        let shares = group.services.into_iter();
         let shares = shares.map(|share| unpack_share(names, share));
-        kinds.push((shares.collect::<Result<Vec<_>, _>>()?, kind.terms));
+        groups.push((shares.collect::<Result<Vec<_>, _>>()?, group.terms));
     }
     let mut routes = Vec::with_capacity(packed.routes.len());
     for route in packed.routes {
-        let (services, terms) = resolve(&kinds, route.kind)?;
+        let (services, terms) = resolve(&groups, route.group)?;
         routes.push(Route {
             address: SocketAddrV4::new(Ipv4Addr::from(route.ip), route.port),
             services,
@@ -308,7 +308,7 @@
     })
 }
 
-fn unpack_share(names: &[String], share: PackedShare) -> Result<WeightedService, DecodeError> {
+fn unpack_share(names: &[String], share: PackedWeight) -> Result<WeightedService, DecodeError> {
     Ok(WeightedService {
         service: resolve(names, share.service)?,
         weight: share.weight,
@@ -316,7 +316,7 @@
 }
 
 fn pack_directory(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     directory: &DirectoryPart,
 ) -> Result<PackedDirectory, EncodeError> {
     Ok(match directory {
@@ -329,7 +329,7 @@
 }
 
 fn pack_changes(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     delta: &DirectoryDelta,
 ) -> Result<PackedDirectory, EncodeError> {
     Ok(PackedDirectory::Changes {
@@ -367,7 +367,7 @@
 }
 
 fn pack_records(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     records: &[InstanceRecord],
 ) -> Result<Vec<PackedRecord>, EncodeError> {
     let records = records.iter();
@@ -383,7 +383,7 @@
 }
 
 fn pack_record(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     record: &InstanceRecord,
 ) -> Result<PackedRecord, EncodeError> {
     Ok(PackedRecord {
@@ -395,8 +395,8 @@
         started: record.started.unwrap_or_default(),
         ip: record.address.ip().octets(),
         port: record.address.port(),
-        service: names.name(&record.service)?,
-        zone: names.name(&record.zone)?,
+        service: names.intern(&record.service)?,
+        zone: names.intern(&record.zone)?,
         state: record.state,
     })
 }
@@ -417,7 +417,7 @@
 }
 
 fn pack_tombstones(
-    names: &mut Numbering<String>,
+    names: &mut Interner<String>,
     tombstones: &[Tombstone],
 ) -> Result<Vec<PackedTombstone>, EncodeError> {
     let mut packed = Vec::with_capacity(tombstones.len());
--- a/crates/bellyoke-core/src/cookie/exchange/peers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/peers.rs
@@ -19,12 +19,12 @@
 const OWN_ZONE_WEIGHT: usize = 3;
 
 /// One in so many peers that are suggested is of another zone than the receiver's, if any is known.
-const FAR_SHARE: usize = 3;
+const OTHER_ZONE_DIVISOR: usize = 3;
 
 /// Shortest time between two replies to one peer.
 const REPLY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a node knows of one peer.
+/// What a node contains of one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRecord {
     /// When it was last received_heartbeat, or suggested by another.
@@ -33,7 +33,7 @@
     pub received_heartbeat: bool,
     /// Where it stands, and what it can bear.
     pub place: NodePlace,
-    /// How much it knows, as it told itself or another told of it.
+    /// How much it contains, as it told itself or another told of it.
     pub versions: Versions,
     /// Instances that don't complete its openings.
     pub failing: Vec<Cookie>,
@@ -54,7 +54,7 @@
     }
 
     /// Whether a peer is known, be it only by hearsay.
-    pub(super) fn knows(&self, address: SocketAddrV4) -> bool {
+    pub(super) fn contains(&self, address: SocketAddrV4) -> bool {
         self.records.contains_key(&address)
     }
 
@@ -67,7 +67,7 @@
         heartbeat: &Heartbeat,
     ) -> bool {
         if !self.records.contains_key(&from) {
-            self.make_room(own_zone);
+            self.evict_if_full(own_zone);
         }
         let record = self.records.entry(from).or_insert(PeerRecord {
             last_seen_at: now,
@@ -89,7 +89,7 @@
 
     /// Notes a peer that another one told of, until it speaks itself or is forgotten, and how much it is
     /// said to know.
-    pub(super) fn suggest(
+    pub(super) fn record_suggestion(
         &mut self,
         now: Timestamp,
         own_zone: ZoneKey,
@@ -103,10 +103,10 @@
             }
             return;
         }
-        if self.records.len() >= MAXIMUM_PEERS && !self.is_scarce(own_zone, place.zone) {
+        if self.records.len() >= MAXIMUM_PEERS && !self.is_underrepresented(own_zone, place.zone) {
             return;
         }
-        self.make_room(own_zone);
+        self.evict_if_full(own_zone);
         let record = PeerRecord {
             last_seen_at: now,
             received_heartbeat: false,
@@ -137,7 +137,7 @@
         lost
     }
 
-    /// Notes how much a known peer knows now.
+    /// Notes how much a known peer contains now.
     pub(super) fn record_versions(&mut self, address: SocketAddrV4, versions: Versions) {
         if let Some(record) = self.records.get_mut(&address) {
             record.versions = versions;
@@ -183,7 +183,7 @@
     }
 
     /// Some peers of a zone.
-    pub(super) fn sample_near(
+    pub(super) fn sample_in_zone(
         &self,
         zone: ZoneKey,
         count: usize,
@@ -196,7 +196,7 @@
     }
 
     /// Some peers of other zones, of as many zones as possible.
-    pub(super) fn sample_far(
+    pub(super) fn sample_other_zones(
         &self,
         zone: ZoneKey,
         count: usize,
@@ -247,7 +247,7 @@
         };
         let (near, far): (Vec<_>, Vec<_>) =
             alive.into_iter().partition(|peer| peer.place.zone == zone);
-        let least_far = far.len().min(count / FAR_SHARE);
+        let least_far = far.len().min(count / OTHER_ZONE_DIVISOR);
         let near_count = near.len().min(count - least_far);
         let near = near.into_iter().take(near_count);
         near.chain(far.into_iter().take(count - near_count))
@@ -255,7 +255,7 @@
     }
 
     /// Whether a reply to the peer is due; if so it counts as sent.
-    pub(super) fn may_reply(&mut self, now: Timestamp, to: SocketAddrV4) -> bool {
+    pub(super) fn try_reply(&mut self, now: Timestamp, to: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&to) else {
             return false;
         };
@@ -268,19 +268,19 @@
         due
     }
 
-    /// One of the peers that know more than this node, and what it knows; one that knows something of
-    /// all if there is one, of the own zone if there is one. `by_hearsay` lets it be one that only another
+    /// One of the peers that know more than this node, and what it contains; one that contains something of
+    /// all if there is one, of the own zone if there is one. `include_suggested` lets it be one that only another
     /// told of.
     pub(super) fn newest(
         &self,
         zone: ZoneKey,
-        by_hearsay: bool,
+        include_suggested: bool,
         behind: &impl Fn(Versions) -> bool,
         random: &mut impl Rng,
     ) -> Option<(SocketAddrV4, Versions)> {
         let ahead = self.records.iter();
         let ahead = ahead.filter(|(_, record)| {
-            (record.received_heartbeat || by_hearsay) && behind(record.versions)
+            (record.received_heartbeat || include_suggested) && behind(record.versions)
         });
         let complete = ahead
             .clone()
@@ -290,51 +290,55 @@
 
     /// Forgets how much a peer claimed to know, until it speaks again. Returns whether only another one
     /// had claimed it.
-    pub(super) fn discredit(&mut self, address: SocketAddrV4) -> bool {
+    pub(super) fn clear_versions(&mut self, address: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&address) else {
             return false;
         };
-        let was_named = !record.received_heartbeat && !record.versions.is_empty();
+        let was_only_suggested = !record.received_heartbeat && !record.versions.is_empty();
         record.versions = Versions::default();
-        was_named
+        was_only_suggested
     }
 
     /// Makes room for a peer: one that was only suggested goes first, then one of the zone with the
     /// most, the one that was silent for longest. Whoever speaks must be known, or it is never answered.
-    fn make_room(&mut self, own_zone: ZoneKey) {
+    fn evict_if_full(&mut self, own_zone: ZoneKey) {
         if self.records.len() < MAXIMUM_PEERS {
             return;
         }
         let largest = self
-            .loads(own_zone)
+            .weighted_counts(own_zone)
             .into_iter()
             .max_by_key(|(_, load)| *load);
         let largest = largest.map(|(zone, _)| zone);
-        let first_to_go = self.records.iter().min_by_key(|(_, record)| {
-            let spared = Some(record.place.zone) != largest;
-            (record.received_heartbeat, spared, record.last_seen_at)
+        let evicted = self.records.iter().min_by_key(|(_, record)| {
+            let outside_largest = Some(record.place.zone) != largest;
+            (
+                record.received_heartbeat,
+                outside_largest,
+                record.last_seen_at,
+            )
         });
-        if let Some(address) = first_to_go.map(|(address, _)| *address) {
+        if let Some(address) = evicted.map(|(address, _)| *address) {
             self.records.remove(&address);
         }
     }
 
     /// How much of the table each zone takes; the own one may take more.
-    fn loads(&self, own_zone: ZoneKey) -> BTreeMap<ZoneKey, usize> {
-        let mut loads: BTreeMap<ZoneKey, usize> = BTreeMap::new();
+    fn weighted_counts(&self, own_zone: ZoneKey) -> BTreeMap<ZoneKey, usize> {
+        let mut weighted_counts: BTreeMap<ZoneKey, usize> = BTreeMap::new();
         for record in self.records.values() {
             let zone = record.place.zone;
             let weight = if zone == own_zone { 1 } else { OWN_ZONE_WEIGHT };
-            *loads.entry(zone).or_default() += weight;
+            *weighted_counts.entry(zone).or_default() += weight;
         }
-        loads
+        weighted_counts
     }
 
     /// Whether a zone takes less than half of what the one with the most takes.
-    fn is_scarce(&self, own_zone: ZoneKey, zone: ZoneKey) -> bool {
-        let loads = self.loads(own_zone);
-        let most = loads.values().max().copied().unwrap_or_default();
-        loads.get(&zone).copied().unwrap_or_default() * 2 < most
+    fn is_underrepresented(&self, own_zone: ZoneKey, zone: ZoneKey) -> bool {
+        let weighted_counts = self.weighted_counts(own_zone);
+        let most = weighted_counts.values().max().copied().unwrap_or_default();
+        weighted_counts.get(&zone).copied().unwrap_or_default() * 2 < most
     }
 }
 
--- a/crates/bellyoke-core/src/cookie/exchange/seal.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/seal.rs
@@ -120,8 +120,8 @@
         }
         let archive = &bytes[HEADER_LENGTH..];
         // Hashes compare in constant time.
-        let told = blake3::Hash::from_slice(&bytes[2..HEADER_LENGTH]);
-        if told.ok() != Some(self.tag(kind, archive)) {
+        let tag = blake3::Hash::from_slice(&bytes[2..HEADER_LENGTH]);
+        if tag.ok() != Some(self.tag(kind, archive)) {
             return Err(DecodeError::Tag);
         }
         let mut aligned = AlignedVec::with_capacity(archive.len());
@@ -132,8 +132,8 @@
 
 impl std::fmt::Debug for PeerKey {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let held = if self.0.is_some() { "set" } else { "not set" };
-        write!(formatter, "PeerKey({held})")
+        let state = if self.0.is_some() { "set" } else { "not set" };
+        write!(formatter, "PeerKey({state})")
     }
 }
 
--- a/crates/bellyoke-core/src/cookie/exchange/doubts.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/suspicions.rs
@@ -11,10 +11,10 @@
 /// Shortest time between two tellings of findings. Many instances that die together are told of together: a node
 /// sends at most eighty datagrams a second for 1,000 dead ones, and word of one takes a tenth of a second longer
 /// to reach all.
-const TELLING_INTERVAL: Duration = Duration::from_millis(50);
+const FINDINGS_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Peers that must agree that an instance fails.
-const WITNESSES: usize = 2;
+const REQUIRED_WITNESSES: usize = 2;
 
 impl Exchange {
     /// Instances that don't complete the openings that this node sends itself. What it only
@@ -43,18 +43,18 @@
         now: Timestamp,
         findings: Vec<Finding>,
     ) -> Vec<ExchangeEffect> {
-        self.untold.extend(findings);
+        self.pending_findings.extend(findings);
         self.flush_findings(now)
     }
 
     /// Tells the findings that wait, unless others were told a moment ago.
     pub(super) fn flush_findings(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        if self.untold.is_empty() || now < self.next_telling {
+        if self.pending_findings.is_empty() || now < self.next_findings_report {
             return effects;
         }
-        self.next_telling = now.after(TELLING_INTERVAL);
-        let findings = std::mem::take(&mut self.untold);
+        self.next_findings_report = now.after(FINDINGS_INTERVAL);
+        let findings = std::mem::take(&mut self.pending_findings);
         for findings in findings.chunks(ReachabilityReport::MAXIMUM_FINDINGS) {
             let report = ReachabilityReport::new(now, findings);
             let receivers = self.urgent_receivers().into_iter();
@@ -105,6 +105,6 @@
     /// cut off from it itself.
     #[must_use]
     pub fn peer_suspicions(&self) -> BTreeSet<Cookie> {
-        self.peers.suspected(WITNESSES)
+        self.peers.suspected(REQUIRED_WITNESSES)
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watching.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 /// A confirmation is pushed on if it is newer by so much than the last one that was.
-const CONFIRMATION_STEP: Duration = Duration::from_millis(500);
+const MINIMUM_CONFIRMATION_ADVANCE: Duration = Duration::from_millis(500);
 
 /// How long a claim must have been among the best before it counts.
-const CLAIM_PROBATION: Duration = Duration::from_secs(2);
+const CLAIM_SETTLING_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long confirmations of peers count for nothing after this process stood still, since they
+/// How long confirmations of peers count for nothing after this process held_for still, since they
 /// may have waited in its socket.
-const DISTRUST: Duration = Duration::from_millis(300);
+const POST_STALL_IGNORE_PERIOD: Duration = Duration::from_millis(300);
 impl Exchange {
     /// Whether the store answered this node's last call, if it made one.
     pub fn set_store_usable(&mut self, store_usable: bool) {
@@ -36,20 +36,20 @@
         own: Versions,
     ) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        let tells_newest = self.pacer.asked(kind) == Freshness::Newest;
-        self.newest_was_read |= tells_newest;
-        if now >= self.distrust_until && (tells_newest || !self.newest_was_read) {
+        let read_newest = self.pacer.requested_freshness(kind) == Freshness::Newest;
+        self.newest_was_read |= read_newest;
+        if now >= self.ignore_confirmations_until && (read_newest || !self.newest_was_read) {
             self.clock.confirm(kind, now);
             self.push_confirmation(now, own, &mut effects);
         }
         effects
     }
 
-    /// The process stood still: what peers said meanwhile may be old.
+    /// The process held_for still: what peers said meanwhile may be old.
     pub fn stalled(&mut self, now: Timestamp) {
         self.clock.forget();
-        self.pacer.stalled();
-        self.distrust_until = now.after(DISTRUST);
+        self.pacer.forget_peer_confirmations();
+        self.ignore_confirmations_until = now.after(POST_STALL_IGNORE_PERIOD);
     }
 
     /// How long ago this node's state was known to be the newest; none if it never was.
@@ -58,12 +58,12 @@
         self.clock.age(now)
     }
 
-    /// What this node reads of the store. A claim counts once it has stood for a while, so that
+    /// What this node reads of the store. A claim counts once it has held_for for a while, so that
     /// nodes that start or lose their watchers together don't all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
-        let stood = self.claimed_since.map(|since| now.since(since));
-        if stood.is_some_and(|stood| stood >= CLAIM_PROBATION) {
+        let held_for = self.claimed_since.map(|since| now.since(since));
+        if held_for.is_some_and(|held_for| held_for >= CLAIM_SETTLING_PERIOD) {
             self.claims.duty(self.own_address)
         } else {
             StoreDuty::Listener
@@ -88,17 +88,17 @@
 
     pub(super) fn renew_claim(&mut self, now: Timestamp) {
         if self.store_usable && !self.leaving {
-            self.claims.note(self.own_address, self.own_place(), now);
+            self.claims.record(self.own_address, self.own_place(), now);
         }
         self.trim_claims(now);
     }
 
-    pub(super) fn note_claims(&mut self, now: Timestamp, claims: &[WatcherClaim]) {
+    pub(super) fn record_claims(&mut self, now: Timestamp, claims: &[WatcherClaim]) {
         for claim in claims {
             let age = Duration::from_millis(u64::from(claim.age_milliseconds));
             if claim.address != self.own_address && age < CLAIM_LIFETIME {
                 self.claims
-                    .note(claim.address, claim.place, now.before(age));
+                    .record(claim.address, claim.place, now.before(age));
             }
         }
         self.trim_claims(now);
@@ -106,7 +106,7 @@
 
     fn trim_claims(&mut self, now: Timestamp) {
         self.claims.trim(now);
-        if self.claims.place_of(self.own_address).is_none() {
+        if self.claims.rank_of(self.own_address).is_none() {
             self.claimed_since = None;
         } else {
             self.claimed_since.get_or_insert(now);
@@ -120,7 +120,7 @@
 
     /// When the sender of a heartbeat was last confirmed, if that can be trusted.
     pub(super) fn confirmation(&self, now: Timestamp, heartbeat: &Heartbeat) -> Option<Timestamp> {
-        if now < self.distrust_until {
+        if now < self.ignore_confirmations_until {
             return None;
         }
         let age = heartbeat.confirmed_age_milliseconds?;
@@ -129,7 +129,7 @@
 
     /// A peer that this node isn't behind was confirmed at a time: so is this node. Word that rests on stale reads counts for
     /// nothing once the newest state was read.
-    pub(super) fn hear_confirmation(
+    pub(super) fn adopt_confirmation(
         &mut self,
         now: Timestamp,
         confirmed_at: Timestamp,
@@ -156,10 +156,10 @@
             return;
         };
         let confirmed_at = now.before(age);
-        if confirmed_at < self.told_confirmation.after(CONFIRMATION_STEP) {
+        if confirmed_at < self.pushed_confirmation.after(MINIMUM_CONFIRMATION_ADVANCE) {
             return;
         }
-        self.told_confirmation = confirmed_at;
+        self.pushed_confirmation = confirmed_at;
         effects.extend(self.announce(now, own));
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/zone_sizes.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/zone_sizes.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// A count that was not renewed for so long counts for nothing: longer than a zone is cut off mostly.
-const LIFETIME: Duration = Duration::from_secs(30);
+const COUNT_LIFETIME: Duration = Duration::from_secs(30);
 
 /// Most zones remembered.
 const MAXIMUM_ZONES: usize = 64;
@@ -24,10 +24,10 @@
 
 impl ZoneSizes {
     /// Notes how many nodes a zone had at a time.
-    pub(super) fn note(&mut self, zone: ZoneKey, nodes: u16, counted_at: Timestamp) {
-        let held = self.counts.entry(zone).or_insert((nodes, counted_at));
-        if counted_at >= held.1 {
-            *held = (nodes, counted_at);
+    pub(super) fn record(&mut self, zone: ZoneKey, nodes: u16, counted_at: Timestamp) {
+        let current = self.counts.entry(zone).or_insert((nodes, counted_at));
+        if counted_at >= current.1 {
+            *current = (nodes, counted_at);
         }
         if self.counts.len() > MAXIMUM_ZONES {
             let oldest = self.counts.iter().min_by_key(|(_, (_, at))| *at);
@@ -39,7 +39,8 @@
 
     /// Forgets counts that are too old.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.counts.retain(|_, (_, at)| now.since(*at) < LIFETIME);
+        self.counts
+            .retain(|_, (_, at)| now.since(*at) < COUNT_LIFETIME);
     }
 
     /// Nodes of all zones but one.
@@ -49,7 +50,7 @@
     }
 
     /// The youngest counts, for peers.
-    pub(super) fn told(&self, now: Timestamp) -> Vec<ZoneSize> {
+    pub(super) fn recent_counts(&self, now: Timestamp) -> Vec<ZoneSize> {
         let sizes = self.counts.iter();
         let sizes = sizes.map(|(zone, (nodes, counted_at))| ZoneSize {
             zone: *zone,
