--- a/crates/bellyoke-core/src/cookie/exchange/store_calls.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/asking.rs
@@ -1,12 +1,14 @@
-//! When a node asks the store by itself, and how the nodes share that while nobody hears it.
+//! When a node calls the store itself, and how nodes share these calls while no peer confirms the
+//! state.
 //!
-//! A node whose state was last confirmed too long ago turns to the store. If the store is down, or
-//! refuses most, all nodes come to that point together, and their calls would grow with the
-//! cluster just while the store bears least. So they take turns by chance, as if one budget of
-//! calls were dealt out: each waits a random part of a time that grows with the cluster. Whoever
-//! gets an answer tells the others.
+//! A node whose state was last confirmed too long ago calls the store. If the store is down, or
+//! refuses most calls, all nodes reach that point together, and the number of calls would grow with
+//! the cluster while the store can handle the least. Therefore the calls of all nodes share one
+//! budget: each node waits for a random slot in a window whose length grows with the cluster. A
+//! node that gets an answer pushes it to the others.
 //!
-//! A node that hears no peer, or whose peers are confirmed while it is not, doesn't wait for a turn.
+//! A node that receives no heartbeats, or whose peers are confirmed while it is not, does not wait
+//! for a slot.
 
 use super::Exchange;
 use crate::cookie::follower::Freshness;
@@ -16,54 +18,57 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Mean time between two calls of one kind by all nodes together, of those whose last call failed.
-/// It bounds how long the return of the store goes unnoticed, and half the calls of a long outage.
+/// Mean time between two calls of one kind by all nodes together whose last call failed. It bounds
+/// how long the recovery of the store goes unnoticed, and it determines half of the calls during a
+/// long outage.
 const FAILED_CALL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same of those that have not called of late. It may be that only the watchers have lost the
-/// store, and then a change must still be in force in time: of eight nodes, three of them watchers,
-/// one calls within 1.4 s but for two cases in a thousand.
+/// Mean time between two calls of one kind by all nodes together that have not called recently.
+/// Possibly only the watchers have lost the store, and a change must still be in force in time: of
+/// eight nodes, three of them watchers, one calls within 1.4 s except in 0.2% of cases.
 const UNTRIED_CALL_INTERVAL: Duration = Duration::from_millis(120);
 
-/// The same of those that the store answered of late. Word of an answer reaches all nodes in some
-/// tens of milliseconds, so a handful call before they hear it.
+/// Mean time between two calls of one kind by all nodes together that the store answered recently.
+/// An answer reaches all nodes within some tens of milliseconds, and a handful of nodes call before
+/// they receive it.
 const ANSWERED_CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A node that the store answered so lately counts on it: about two bounds of freshness.
+/// Time after an answer in which a node assumes that the store is available: about two freshness
+/// bounds.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(5);
 
-/// How long a node that is behind its confirmed peers leaves them to tell it: time for a fetch.
+/// How long a node that is behind its confirmed peers waits for their state: time for a fetch.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 
-/// What one more mentioned address counts in the share of those that are known: the last hundred
-/// or so decide, a few seconds' worth.
+/// Weight of one mentioned address in the moving average of the share that is known. The last
+/// hundred or so mentions, a few seconds' worth, dominate it.
 const MENTION_EWMA_WEIGHT: f64 = 0.02;
 
-/// Least share that is believed, so that a node that has just started takes no few mentions for a
-/// cluster of thousands.
+/// Lower bound of the known share. Without it a node that has just started would infer thousands of
+/// nodes from a few mentions.
 const MINIMUM_KNOWN_SHARE: f64 = 0.1;
 
-/// What a node knows of its own calls and of how its peers fare.
+/// Recent store calls of a node and recent confirmations of its peers.
 #[derive(Debug)]
 pub(super) struct StoreCallPacer {
-    /// When the store last answered, if the calls since then didn't fail.
+    /// When the store last answered; `None` if a later call failed.
     last_answer_at: Option<Timestamp>,
-    /// When a peer was last record_heartbeat.
+    /// When the last heartbeat of a peer arrived.
     last_heartbeat_at: Option<Timestamp>,
-    /// The newest confirmation that any peer told of, be this node behind it or not.
+    /// The newest confirmation advertised by any peer, whether or not this node is behind it.
     peers_confirmed_at: Option<Timestamp>,
-    /// By [`ObjectKind`]: the next turn if the last call has failed.
+    /// By [`ObjectKind`]: the next slot if the last call failed.
     retry_at: [Timestamp; ObjectKind::COUNT],
-    /// Where in the time for a turn the first one lies that follows a confirmation, 0 to 1.
+    /// Position of the first slot after a confirmation within the slot window, from 0 to 1.
     first_slot: [f64; ObjectKind::COUNT],
-    /// Share of the addresses that peers mention which this node knows already.
+    /// Share of the addresses mentioned by peers that this node already knows.
     known_share: f64,
-    /// By [`ObjectKind`]: how new the answer to the last call must be.
+    /// By [`ObjectKind`]: the freshness that the last call requested.
     requested_freshness: [Freshness; ObjectKind::COUNT],
 }
 
 impl StoreCallPacer {
-    /// A node that has record_heartbeat nothing.
+    /// Creates the pacer of a node that has received nothing.
     pub(super) const fn new() -> Self {
         Self {
             last_answer_at: None,
@@ -89,12 +94,12 @@
         self.peers_confirmed_at = Some(previous.map_or(at, |previous| previous.max(at)));
     }
 
-    /// What peers said may be old.
+    /// Discards confirmations of peers, which may be old.
     pub(super) const fn forget_peer_confirmations(&mut self) {
         self.peers_confirmed_at = None;
     }
 
-    /// Whether no peer was record_heartbeat for so long.
+    /// Returns whether no heartbeat arrived for the time `silence`.
     fn is_isolated(&self, now: Timestamp, silence: Duration) -> bool {
         self.last_heartbeat_at
             .is_none_or(|last_heartbeat_at| now.since(last_heartbeat_at) >= silence)
@@ -107,12 +112,12 @@
 }
 
 impl Exchange {
-    /// Whether this node may call the store for a kind now, as far as the nodes' shared budget
-    /// goes. `knows_all` tells whether it has routes and instances.
+    /// Returns whether this node may call the store for a kind now, within the call budget that all
+    /// nodes share. `knows_all` states whether it has routes and instances.
     #[must_use]
     pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind, knows_all: bool) -> bool {
         let pacer = &self.pacer;
-        // A node that hears nobody finds out just when its state has grown stale.
+        // An isolated node calls as soon as its state is stale.
         let bound = self.settings.freshness_bound;
         if pacer.is_isolated(now, bound) || self.is_bootstrap_reader(knows_all) {
             return true;
@@ -144,20 +149,21 @@
         now >= first_slot
     }
 
-    /// A call to the store for a kind begins. If it fails, this says when the next may begin.
+    /// Records the start of a store call for a kind, and draws the slot of the next call in case
+    /// this one fails.
     pub fn record_store_call(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
         self.pacer.requested_freshness[kind as usize] = freshness;
-        let turn = self.random.random_range(0.0..1.0);
-        let turn = self.slot_window(FAILED_CALL_INTERVAL).mul_f64(turn);
-        self.pacer.retry_at[kind as usize] = now.after(turn);
+        let slot = self.random.random_range(0.0..1.0);
+        let slot = self.slot_window(FAILED_CALL_INTERVAL).mul_f64(slot);
+        self.pacer.retry_at[kind as usize] = now.after(slot);
     }
 
-    /// A call to the store has ended, with an answer or not.
+    /// Records the end of a store call, answered or not.
     pub const fn record_store_answer(&mut self, now: Timestamp, answered: bool) {
         self.pacer.last_answer_at = if answered { Some(now) } else { None };
     }
 
-    /// Draws anew when this node's turn comes after the state has grown stale.
+    /// Draws the slot in which this node calls the store once its state is stale.
     pub(super) fn draw_first_slots(&mut self, now: Timestamp) {
         for kind in ObjectKind::ALL {
             let confirmed_at = self.clock.confirmed_at(kind);
@@ -168,7 +174,7 @@
         }
     }
 
-    /// A peer has told of another one.
+    /// Records that a peer mentioned an address.
     pub(super) fn record_mention(&mut self, address: SocketAddrV4) {
         let known = if self.peers.contains(address) {
             1.0
@@ -179,8 +185,8 @@
         *share += (known - *share) * MENTION_EWMA_WEIGHT;
     }
 
-    /// How many nodes there are, as far as this one can tell: those of its own zone, and of others
-    /// what their nodes count, or as many as it knows.
+    /// Returns the estimated number of nodes: those of the own zone, and those of other zones by
+    /// their advertised counts or the number of known peers, whichever is larger.
     #[must_use]
     pub fn estimated_nodes(&self) -> f64 {
         let zone = self.own_zone();
@@ -189,15 +195,17 @@
         self.estimated_zone_nodes() + self.zone_sizes.nodes_outside(zone).max(known)
     }
 
-    /// How many nodes the own zone has. It knows a sample, and what share of all that is shows in what
-    /// share of those that peers mention it knows (capture and recapture, Lincoln 1930).
+    /// Returns the estimated number of nodes in the own zone. The node knows a sample of them; the
+    /// share of mentioned addresses that it already knows estimates the share of all nodes that the
+    /// sample covers (capture-recapture, Lincoln 1930).
     pub(super) fn estimated_zone_nodes(&self) -> f64 {
         let known = self.peers.count_in(self.own_zone()) + 1;
         let known = f64::from(u32::try_from(known).unwrap_or(u32::MAX));
         known / self.pacer.known_share.max(MINIMUM_KNOWN_SHARE)
     }
 
-    /// The time in which each node has one turn, doubled since turns lie at random in it.
+    /// Returns the time in which each node has one slot. The factor of two accounts for the random
+    /// position of the slots.
     fn slot_window(&self, interval: Duration) -> Duration {
         interval.mul_f64(2.0 * self.estimated_nodes())
     }
--- a/crates/bellyoke-core/src/cookie/exchange/candidates.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/candidates.rs
@@ -1,9 +1,10 @@
-//! Which nodes watch the store for all.
+//! Election of the nodes that watch the store for all.
 //!
-//! Nodes claim the duty for themselves and tell each other the best claims they know, ranked by what
-//! their machines can bear, spread over zones, and by rendezvous hash among equals (a gossiped top-k
-//! aggregate), so that all soon know the same few whatever the size of the cluster. A claim carries its age; a node that dies, leaves or loses the store ceases
-//! to renew its claim, and the next ones take over.
+//! Nodes claim the duty and exchange the best claims that they know. Claims are ranked by machine
+//! capacity, spread over zones, and ordered by rendezvous hash among equals (a gossiped top-k
+//! aggregate); all nodes soon agree on the same few, whatever the size of the cluster. A claim
+//! carries its age. A node that dies, leaves or loses the store stops renewing its claim, and the
+//! next nodes take over.
 
 use crate::cookie::capacity::NodePlace;
 use crate::time::Timestamp;
@@ -14,34 +15,35 @@
 use std::time::Duration;
 use twox_hash::XxHash3_64;
 
-/// Nodes that watch the store: one for the newest state, the others by cheaper stale reads.
+/// Number of nodes that watch the store: one reads the newest state, the others use cheaper stale
+/// reads.
 pub const WATCHERS: usize = 3;
 
-/// A claim that was not renewed for so long counts for nothing.
+/// A claim that is not renewed for this time expires.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Keeps the choice of watchers apart from other hashes of addresses.
+/// Hash seed that makes the choice of watchers independent of other hashes of addresses.
 const RANK_SEED: u64 = 0x7265_6164_6572_0001;
 
-/// A node's claim, as nodes tell each other of it.
+/// A node's claim to watch the store, as sent in heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WatcherClaim {
     /// The node's peer address.
     pub address: SocketAddrV4,
-    /// Where it stands, and what it can bear.
+    /// Zone and capacity class of the node.
     pub place: NodePlace,
-    /// How long ago the node itself made it, milliseconds.
+    /// Time since the node itself made the claim, in milliseconds.
     pub age_milliseconds: u32,
 }
 
-/// What a node reads of the store.
+/// What a node reads from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreDuty {
-    /// It watches for the newest state.
+    /// The node watches the newest state.
     Reader,
-    /// It watches by stale reads.
+    /// The node watches with stale reads.
     Backup,
-    /// It rests while others tell it enough.
+    /// The node stays idle while other nodes send it enough.
     Listener,
 }
 
@@ -52,15 +54,16 @@
     made_at: Timestamp,
 }
 
-/// The best claims that a node knows.
+/// The best known claims.
 #[derive(Debug, Default)]
 pub(super) struct ClaimTable {
-    /// By rank.
+    /// In order of rank.
     claims: Vec<Claim>,
 }
 
 impl ClaimTable {
-    /// Notes a claim that was made at a time. The last that a node made counts, also if it ranks lower.
+    /// Records a claim made at `made_at`. The latest claim of a node replaces earlier ones, even if
+    /// it ranks lower.
     pub(super) fn record(&mut self, address: SocketAddrV4, place: NodePlace, made_at: Timestamp) {
         let current = self
             .claims
@@ -78,13 +81,14 @@
         }
     }
 
-    /// Takes a node's claim back.
+    /// Removes a node's claim.
     pub(super) fn withdraw(&mut self, address: SocketAddrV4) {
         self.claims.retain(|claim| claim.address != address);
     }
 
-    /// Keeps the best claims that still count. What it keeps of the best that several nodes keep is the
-    /// best of all, so that the order in which claims are heard doesn't matter.
+    /// Keeps the best claims that have not expired. The best of the best claims of several nodes
+    /// are the best claims overall, and the result does not depend on the order in which claims
+    /// arrive.
     pub(super) fn trim(&mut self, now: Timestamp) {
         self.claims
             .retain(|claim| now.since(claim.made_at) < CLAIM_LIFETIME);
@@ -93,7 +97,7 @@
         self.claims.truncate(WATCHERS);
     }
 
-    /// The claims, for peers.
+    /// Returns the claims, for heartbeats.
     pub(super) fn claims(&self, now: Timestamp) -> Vec<WatcherClaim> {
         let claims = self.claims.iter();
         let claims = claims.map(|claim| WatcherClaim {
@@ -104,14 +108,14 @@
         claims.collect()
     }
 
-    /// Where a node's claim stands among them.
+    /// Returns the rank of a node's claim.
     pub(super) fn rank_of(&self, address: SocketAddrV4) -> Option<usize> {
         self.claims
             .iter()
             .position(|claim| claim.address == address)
     }
 
-    /// The duty that falls to a node by its claim.
+    /// Returns the duty that a node has by the rank of its claim.
     pub(super) fn duty(&self, address: SocketAddrV4) -> StoreDuty {
         match self.rank_of(address) {
             Some(0) => StoreDuty::Reader,
@@ -121,8 +125,8 @@
     }
 }
 
-/// Puts nodes in the order in which duties fall to them: the largest first; of those of one class the first of each zone,
-/// then the second, and so on; by hash among equals.
+/// Sorts nodes by their priority for duties: larger capacity classes first; within a class the
+/// first node of each zone, then the second of each, and so on; equals by hash.
 pub(super) fn rank_nodes<Node>(
     nodes: Vec<Node>,
     identity: impl Fn(&Node) -> (SocketAddrV4, NodePlace),
--- a/crates/bellyoke-core/src/cookie/exchange/effect.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/effect.rs
@@ -1,4 +1,4 @@
-//! What the exchange wants its host to do.
+//! Actions that the exchange requests from its caller.
 
 use super::findings::ReachabilityReport;
 use super::message::{Heartbeat, ProbeRequest, Refutation};
@@ -6,60 +6,61 @@
 use crate::cookie::replica::Versions;
 use std::net::SocketAddrV4;
 
-/// What the exchange wants done.
+/// An action that the exchange requests, or an event that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEffect {
     /// Send a heartbeat.
     SendHeartbeat {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Send what a peer lacks; the heartbeat instead, if that is not known or too long.
+    /// Send the changes that a peer lacks, or the heartbeat if they are not known or do not fit in
+    /// a datagram.
     SendDelta {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// What the peer knows.
+        /// The peer's versions.
         known: Versions,
-        /// What else to send.
+        /// The heartbeat to send instead of a delta.
         heartbeat: Heartbeat,
     },
-    /// Ask a peer whether it reaches some instances.
+    /// Ask a peer to probe some instances.
     SendProbeRequest {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// Which instances.
+        /// The instances.
         request: ProbeRequest,
     },
-    /// Tell a peer which instances nodes couldn't reach, or reach again.
+    /// Report to a peer which instances nodes could not reach, or reach again.
     SendFindings {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The findings.
         report: ReachabilityReport,
     },
-    /// Tell a peer that some instances in question live.
+    /// Report to a peer that some suspected instances are alive.
     SendRefutation {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// Which instances.
+        /// The instances.
         refutation: Refutation,
     },
-    /// Tell a peer of instances whose answers fail.
+    /// Send a peer tallies or verdicts about outliers.
     SendOutliers {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The message.
         message: OutlierMessage,
     },
     /// Fetch a snapshot.
     Fetch {
-        /// From whom.
+        /// The peer to fetch from.
         from: SocketAddrV4,
     },
-    /// A peer was heard for the first time, or again.
+    /// A peer sent its first heartbeat, or its first one after it was lost.
     PeerJoined(SocketAddrV4),
-    /// A peer was silent for too long, or has left.
+    /// A peer sent nothing for too long, or has left.
     PeerLost(SocketAddrV4),
 }
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -1,27 +1,27 @@
-//! The snapshots that a node is fetching, and when it may begin another.
+//! Snapshot fetches in progress, and when another one may start.
 //!
-//! A fetch over a thin link takes long. Another one beside it would only take its share of the
-//! link, so that neither ends; so none begins while one goes on bringing data. One that brings
-//! nothing for [`crate::cookie::exchange::ExchangeSettings::fetch_interval`] gets a second beside
-//! it, from another peer.
+//! A fetch over a slow link takes long. A second fetch beside it would take its share of the
+//! bandwidth and delay both, and none starts while the first keeps receiving data. If a fetch makes
+//! no progress for [`crate::cookie::exchange::ExchangeSettings::fetch_interval`], a second one
+//! starts beside it from another peer.
 
 use crate::time::Timestamp;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A fetch that brings nothing for so long has failed. A peer that lives answers within
-/// milliseconds, and a link with a full queue within a quarter of a second.
+/// A fetch without progress for this time has failed. A live peer answers within milliseconds, and
+/// a link with a full queue within 250 ms.
 pub const FETCH_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Fetches of one purpose that run at once: one that is stuck, and one beside it.
+/// Maximum number of concurrent fetches of one purpose: a stalled one and one beside it.
 const MAXIMUM_FETCHES_PER_PURPOSE: usize = 2;
 
-/// Why a snapshot is fetched.
+/// The reason for fetching a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchPurpose {
-    /// The peer knows more than this node.
+    /// The peer has newer state than this node.
     CatchUp,
-    /// This node has just started, and asks what the store doesn't tell.
+    /// This node has just started and needs tombstones, which the store does not provide.
     Startup,
 }
 
@@ -32,35 +32,35 @@
     progressed_at: Timestamp,
 }
 
-/// The fetches of one node that have not ended.
+/// The fetches of one node that are in progress.
 #[derive(Debug, Default)]
 pub(super) struct FetchTable {
     running: Vec<RunningFetch>,
-    /// By [`FetchPurpose`]: when the next may begin at the earliest.
+    /// By [`FetchPurpose`]: the earliest start of the next fetch.
     not_before: [Timestamp; 2],
 }
 
 impl FetchTable {
-    /// Whether a fetch may begin.
+    /// Returns whether a fetch may start now. Drops fetches that have stalled.
     pub(super) fn may_start(&mut self, now: Timestamp, purpose: FetchPurpose) -> bool {
         self.running
             .retain(|fetch| now.since(fetch.progressed_at) < FETCH_STALL_TIMEOUT);
-        let alike = self.running.iter();
-        let alike = alike.filter(|fetch| fetch.purpose == purpose);
-        now >= self.not_before[purpose as usize] && alike.count() < MAXIMUM_FETCHES_PER_PURPOSE
+        let running = self.running.iter();
+        let running = running.filter(|fetch| fetch.purpose == purpose);
+        now >= self.not_before[purpose as usize] && running.count() < MAXIMUM_FETCHES_PER_PURPOSE
     }
 
-    /// The next fetch needn't wait for the one before.
+    /// Lets the next fetch start without the minimum interval.
     pub(super) const fn clear_delay(&mut self) {
         self.not_before = [Timestamp::ZERO; 2];
     }
 
-    /// Whether a fetch from a peer is under way.
+    /// Returns whether a fetch from a peer is in progress.
     pub(super) fn is_fetching_from(&self, from: SocketAddrV4) -> bool {
         self.running.iter().any(|fetch| fetch.from == from)
     }
 
-    /// A fetch begins.
+    /// Records the start of a fetch.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
@@ -76,7 +76,7 @@
         });
     }
 
-    /// The fetch from a peer has brought data.
+    /// Records that the fetch from a peer has received data.
     pub(super) fn progressed(&mut self, now: Timestamp, from: SocketAddrV4, interval: Duration) {
         let fetch = self.running.iter_mut().find(|fetch| fetch.from == from);
         if let Some(fetch) = fetch {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The fetch from a peer has ended, well or not.
+    /// Removes the fetch from a peer, whether it succeeded or failed.
     pub(super) fn end(&mut self, from: SocketAddrV4) {
         self.running.retain(|fetch| fetch.from != from);
     }
--- a/crates/bellyoke-core/src/cookie/exchange/findings.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/findings.rs
@@ -1,4 +1,4 @@
-//! How nodes tell each other what their probes found.
+//! Reports of probe findings between nodes.
 
 use super::message::{FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH};
 use super::milliseconds_since;
@@ -11,33 +11,33 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A finding on its way: it carries its age instead of its time, since clocks differ.
+/// A finding as sent in reports. It carries its age instead of a time because clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReportedFinding {
     /// The instance's cookie.
     pub cookie: u32,
-    /// Peer address of the node that probed it.
+    /// Peer address of the node that probed the instance.
     pub node: SocketAddrV4,
     /// The zone of that node.
     pub zone: ZoneKey,
-    /// Whether it took a connection, after it had taken none.
+    /// Whether the instance accepted a connection after it had accepted none.
     pub reached: bool,
-    /// How long ago the probe ended, milliseconds.
+    /// Time since the end of the probe, in milliseconds.
     pub age_milliseconds: u32,
 }
 
-/// What nodes' probes found of some instances.
+/// Findings of probes of some instances.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReachabilityReport {
-    /// Each names its node: whoever passes them on adds nothing.
+    /// The findings. Each names the node that probed, and nodes that forward it add nothing.
     pub findings: Vec<ReportedFinding>,
 }
 
 impl ReachabilityReport {
-    /// Most findings of one report.
+    /// Maximum number of findings in one report.
     pub const MAXIMUM_FINDINGS: usize = 56;
 
-    /// A report of some findings, which must be few.
+    /// Creates a report of at most [`Self::MAXIMUM_FINDINGS`] findings.
     #[must_use]
     pub fn new(now: Timestamp, findings: &[Finding]) -> Self {
         let findings = findings.iter().map(|finding| ReportedFinding {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The findings that a report which came at `now` tells.
+    /// Returns the findings of a report that arrived at `now`.
     pub fn findings_at(&self, now: Timestamp) -> impl Iterator<Item = Finding> {
         let findings = self.findings.iter();
         findings.filter_map(move |reported| {
@@ -69,20 +69,20 @@
         })
     }
 
-    /// The bytes of this report.
+    /// Encodes and seals the report.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a datagram.
+    /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         encode(self, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 
-    /// The report that `bytes` encode.
+    /// Opens and decodes a report.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         decode(bytes, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
--- a/crates/bellyoke-core/src/cookie/exchange/message.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/message.rs
@@ -1,8 +1,9 @@
-//! The encoding of what peers send each other.
+//! Messages between peers and their encoding.
 //!
-//! Each message is a version byte, a kind byte, an authentication tag (keyed BLAKE3, or
-//! plain BLAKE3 as a checksum where no key is set) and an rkyv archive, that of a snapshot compressed. Nothing received is
-//! trusted: length, tag and archive are validated, and lists are bounded.
+//! Each message consists of a version byte, a kind byte, an authentication tag (keyed BLAKE3, or
+//! plain BLAKE3 as a checksum if no key is set) and an rkyv archive, which is compressed in
+//! snapshots and deltas. Received bytes are untrusted: length, tag and archive are validated, and
+//! lists are bounded.
 
 use super::candidates::{WATCHERS, WatcherClaim};
 use super::findings::ReachabilityReport;
@@ -29,140 +30,146 @@
 /// Kind byte of a request for a snapshot.
 const FETCH_KIND: u8 = 4;
 
-/// Kind byte of a question about instances.
-const QUESTION_KIND: u8 = 5;
+/// Kind byte of a probe request.
+const PROBE_REQUEST_KIND: u8 = 5;
 
-/// Kind byte of an objection to a question.
-const OBJECTION_KIND: u8 = 6;
+/// Kind byte of a refutation.
+const REFUTATION_KIND: u8 = 6;
 
-/// Kind byte of what is told of instances whose answers fail.
+/// Kind byte of a message about outliers.
 pub(super) const OUTLIER_KIND: u8 = 7;
 
-/// Kind byte of what probes found.
+/// Kind byte of a report of probe findings.
 pub(super) const FINDINGS_KIND: u8 = 8;
 
-/// Longest heartbeat, bytes: it fits one datagram on any usual path.
+/// Maximum length of a heartbeat in bytes. It fits in one datagram on all common paths.
 pub const MAXIMUM_HEARTBEAT_LENGTH: usize = 640;
 
-/// Longest datagram between peers, bytes: a delta that is longer is fetched instead.
+/// Maximum length of a datagram between peers in bytes. A longer delta is not sent; the receiver
+/// fetches a snapshot instead.
 pub const MAXIMUM_DATAGRAM_LENGTH: usize = 1_400;
 
-/// What a delta may unpack to, bytes: some hundred changes of instances.
+/// Maximum length of a decompressed delta in bytes: several hundred instance changes.
 const MAXIMUM_DELTA_LENGTH: usize = 16 * 1024;
 
-/// Longest request for a snapshot, bytes.
+/// Maximum length of a fetch request in bytes.
 pub const MAXIMUM_FETCH_LENGTH: usize = 256;
 
-/// Longest snapshot, bytes. It bounds both what travels and what it unpacks to.
+/// Maximum length of a snapshot in bytes, both compressed and decompressed.
 pub const MAXIMUM_SNAPSHOT_LENGTH: usize = 16 * 1024 * 1024;
 
-/// A peer's report of itself.
+/// A node's periodic report of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// How much it knows.
+    /// Versions of its state.
     pub versions: Versions,
-    /// Whether it is about to stop.
+    /// Whether the node is about to stop.
     pub leaving: bool,
-    /// Whether the peers that it tells of know about as much, so that the receiver may fetch from them.
+    /// Whether the suggested peers have about the same state, which allows the receiver to fetch
+    /// from them.
     pub peers_up_to_date: bool,
-    /// How long ago its state was known to be the newest, milliseconds; none if it never was.
+    /// Time since its state was last confirmed to be the newest, in milliseconds, or `None` if it
+    /// never was.
     pub confirmed_age_milliseconds: Option<u32>,
-    /// Whether that is known from a read of the newest state, and not from one that may be stale.
+    /// Whether that confirmation comes from a read of the newest state and not from one that may be
+    /// stale.
     pub confirmed_by_newest_read: bool,
-    /// Where it stands, and what it can bear.
+    /// Zone and capacity class of the node.
     pub place: NodePlace,
-    /// The best claims to watch the store that it knows.
+    /// The best known claims to watch the store.
     pub claims: Vec<WatcherClaim>,
-    /// Some peers that it has heard of late.
+    /// Some peers that the node has seen recently.
     pub peers: Vec<PeerSuggestion>,
-    /// How large zones are, its own among them.
+    /// Number of nodes in some zones, including its own.
     pub zones: Vec<ZoneSize>,
-    /// Cookies of instances that don't complete the openings that it sends itself.
+    /// Cookies of instances that fail to complete openings which this node sent itself.
     pub failing: Vec<u32>,
 }
 
-/// A peer that another one has heard of late.
+/// A peer that another node has seen recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PeerSuggestion {
-    /// Its address.
+    /// The address of the peer.
     pub address: SocketAddrV4,
-    /// Where it stands, and what it can bear.
+    /// Zone and capacity class of the peer.
     pub place: NodePlace,
 }
 
-/// How many nodes a zone has.
+/// The number of nodes in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ZoneSize {
     /// The zone.
     pub zone: ZoneKey,
-    /// How many nodes one of its nodes took it to have.
+    /// The number of nodes as counted by a node of the zone.
     pub nodes: u16,
-    /// How long ago, milliseconds.
+    /// Age of the count in milliseconds.
     pub age_milliseconds: u32,
 }
 
-/// What a peer that knew a little less needs to know.
+/// The changes that a peer with slightly older state needs.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DeltaMessage {
     /// The sender's versions.
     pub versions: Versions,
-    /// What changed.
+    /// The changes.
     pub delta: StateDelta,
 }
 
-/// Instances that the sender can't reach: does the receiver reach them?
+/// Requests a probe of instances that the sender cannot reach.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ProbeRequest {
-    /// Their cookies.
+    /// Cookies of the instances.
     pub cookies: Vec<u32>,
 }
 
-/// Instances in question whose flows go on, as the sender, or one that it heard, has seen.
+/// Reports suspected instances as alive: the sender, or a node that it received this from, has seen
+/// traffic of their flows.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Refutation {
-    /// Their cookies.
+    /// Cookies of the instances.
     pub cookies: Vec<u32>,
 }
 
-/// A request for what the sender lacks.
+/// A request for the state that the sender lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FetchRequest {
     /// The sender's versions.
     pub known: Versions,
-    /// The zone of the sender.
+    /// The sender's zone.
     pub zone: ZoneKey,
-    /// Whether it has started of late, and may lack instances that went before the revisions that it knows.
+    /// Whether the sender started recently and may lack tombstones that are older than its
+    /// revisions.
     pub wants_all_tombstones: bool,
 }
 
-/// A datagram of a peer.
+/// A decoded datagram from a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerDatagram {
-    /// Its report of itself.
+    /// A heartbeat.
     Heartbeat(Heartbeat),
-    /// News.
+    /// State changes.
     Delta(DeltaMessage),
-    /// Instances in question.
+    /// Instances to probe.
     ProbeRequest(ProbeRequest),
-    /// Instances in question that live.
+    /// Suspected instances that are alive.
     Refutation(Refutation),
-    /// Instances whose answers fail.
+    /// Tallies or verdicts about outliers.
     Outliers(OutlierMessage),
-    /// What probes found.
+    /// Findings of probes.
     Findings(ReachabilityReport),
 }
 
 impl PeerDatagram {
-    /// The message that a datagram holds.
+    /// Decodes a datagram by its kind byte.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it holds none.
+    /// Returns [`DecodeError`] if the datagram is not a valid message.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         match bytes.get(1) {
             Some(&DELTA_KIND) => DeltaMessage::decode(bytes, key).map(Self::Delta),
-            Some(&QUESTION_KIND) => ProbeRequest::decode(bytes, key).map(Self::ProbeRequest),
-            Some(&OBJECTION_KIND) => Refutation::decode(bytes, key).map(Self::Refutation),
+            Some(&PROBE_REQUEST_KIND) => ProbeRequest::decode(bytes, key).map(Self::ProbeRequest),
+            Some(&REFUTATION_KIND) => Refutation::decode(bytes, key).map(Self::Refutation),
             Some(&OUTLIER_KIND) => OutlierMessage::decode(bytes, key).map(Self::Outliers),
             Some(&FINDINGS_KIND) => ReachabilityReport::decode(bytes, key).map(Self::Findings),
             _ => Heartbeat::decode(bytes, key).map(Self::Heartbeat),
@@ -171,29 +178,29 @@
 }
 
 impl Heartbeat {
-    /// Most peers that a heartbeat tells of.
+    /// Maximum number of suggested peers.
     pub const MAXIMUM_PEERS: usize = 6;
 
-    /// Most zones whose sizes a heartbeat tells.
+    /// Maximum number of zone sizes.
     pub const MAXIMUM_ZONES: usize = 8;
 
-    /// Most failing instances that a heartbeat tells of.
+    /// Maximum number of failing instances.
     pub const MAXIMUM_FAILING: usize = 32;
 
-    /// The bytes of this heartbeat.
+    /// Encodes and seals the heartbeat.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a peer to accept.
+    /// Returns [`EncodeError`] if the message exceeds the length that peers accept.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         encode(self, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_LENGTH)
     }
 
-    /// The heartbeat that `bytes` encode.
+    /// Opens and decodes a heartbeat.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none, or one whose lists are too long.
+    /// Returns [`DecodeError`] if the bytes are not a valid heartbeat or a list exceeds its limit.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         let heartbeat: Self = decode(bytes, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_LENGTH)?;
         if heartbeat.peers.len() > Self::MAXIMUM_PEERS
@@ -210,22 +217,22 @@
 }
 
 impl DeltaMessage {
-    /// The bytes of this message.
+    /// Packs, compresses and seals the message.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a datagram.
+    /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         let packed = PackedDelta::pack(self)?;
         let compressed = compressed(&archived(&packed)?, MAXIMUM_DELTA_LENGTH)?;
         key.seal(DELTA_KIND, &compressed, MAXIMUM_DATAGRAM_LENGTH)
     }
 
-    /// The message that `bytes` encode.
+    /// Opens, decompresses and unpacks a message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         let sealed = key.open(DELTA_KIND, bytes, MAXIMUM_DATAGRAM_LENGTH)?;
         let archive = decompressed(&sealed, MAXIMUM_DELTA_LENGTH)?;
@@ -235,87 +242,87 @@
 }
 
 impl ProbeRequest {
-    /// Most instances that a question names.
+    /// Maximum number of instances in one request.
     pub const MAXIMUM_COOKIES: usize = 256;
 
-    /// The bytes of this question.
+    /// Encodes and seals the request.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a datagram.
+    /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, QUESTION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 
-    /// The question that `bytes` encode.
+    /// Opens and decodes a request.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, QUESTION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 }
 
 impl Refutation {
-    /// Most instances that an objection names.
+    /// Maximum number of instances in one refutation.
     pub const MAXIMUM_COOKIES: usize = 256;
 
-    /// The bytes of this objection.
+    /// Encodes and seals the refutation.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a datagram.
+    /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, OBJECTION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 
-    /// The objection that `bytes` encode.
+    /// Opens and decodes a refutation.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, OBJECTION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 }
 
 impl FetchRequest {
-    /// The bytes of this request.
+    /// Encodes and seals the request.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if the serializer fails.
+    /// Returns [`EncodeError`] if the serializer fails.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         encode(self, key, FETCH_KIND, MAXIMUM_FETCH_LENGTH)
     }
 
-    /// The request that `bytes` encode.
+    /// Opens and decodes a request.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         decode(bytes, key, FETCH_KIND, MAXIMUM_FETCH_LENGTH)
     }
 }
 
-/// The bytes of a snapshot.
+/// Packs, compresses and seals a snapshot.
 ///
 /// # Errors
 ///
-/// [`EncodeError`] if it is too long for a peer to accept.
+/// Returns [`EncodeError`] if the message exceeds the length that peers accept.
 pub fn encode_snapshot(snapshot: &Snapshot, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
     let packed = PackedSnapshot::pack(snapshot)?;
     let compressed = compressed(&archived(&packed)?, MAXIMUM_SNAPSHOT_LENGTH)?;
     key.seal(SNAPSHOT_KIND, &compressed, MAXIMUM_SNAPSHOT_LENGTH)
 }
 
-/// The snapshot that `bytes` encode.
+/// Opens, decompresses and unpacks a snapshot.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if they encode none.
+/// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
 pub fn decode_snapshot(bytes: &[u8], key: &PeerKey) -> Result<Snapshot, DecodeError> {
     let sealed = key.open(SNAPSHOT_KIND, bytes, MAXIMUM_SNAPSHOT_LENGTH)?;
     let archive = decompressed(&sealed, MAXIMUM_SNAPSHOT_LENGTH)?;
@@ -323,7 +330,7 @@
     packed.unpack()
 }
 
-/// An archive compressed, which may have so many bytes.
+/// Compresses an archive of at most `longest` bytes.
 fn compressed(archive: &[u8], longest: usize) -> Result<Vec<u8>, EncodeError> {
     let length = archive.len();
     if length > longest {
@@ -332,7 +339,7 @@
     Ok(compress_prepend_size(archive))
 }
 
-/// The archive that was compressed, which may have so many bytes.
+/// Decompresses an archive of at most `longest` bytes.
 fn decompressed(bytes: &[u8], longest: usize) -> Result<AlignedVec<16>, DecodeError> {
     let invalid = |error: DecompressError| DecodeError::Invalid(error.to_string());
     let (length, compressed) = uncompressed_size(bytes).map_err(invalid)?;
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -1,18 +1,20 @@
-//! Peers tell each other how much they know, and fetch what they lack.
+//! Gossip between nodes: they exchange state versions and fetch the state that they lack.
 //!
-//! Gossip by random peer sampling (Demers et al. 1987; Jelasity et al. 2007): each period a node
-//! sends a short heartbeat with its versions to a few random peers, whatever the size of the
-//! cluster. What a node learns it pushes at once to a few, as a delta, and they push it on. Who is
-//! still behind fetches a snapshot from one that is ahead. So a node that the store refuses, or
-//! whose watch hangs, or that starts while the store is down, still learns everything.
+//! Gossip uses random peer sampling (Demers et al. 1987; Jelasity et al. 2007): in each period a
+//! node sends a short heartbeat with its state versions to a few random peers, whatever the size of
+//! the cluster. A node pushes each state change at once to a few peers as a delta, and they forward
+//! it. A node that is still behind fetches a snapshot from a peer that is ahead. A node therefore
+//! receives the whole state even if the store refuses its calls, its watch hangs, or it starts
+//! during a store outage.
 //!
-//! Three nodes watch the store ([`StoreDuty`]). Their confirmations that nothing newer is there
-//! spread the same way, and the others rest while these are fresh; whoever hears none for
-//! [`ExchangeSettings::freshness_bound`] asks the store itself.
+//! Three nodes watch the store ([`StoreDuty`]). Their confirmations that the state is current
+//! spread the same way, and the other nodes stay idle while these confirmations are fresh. A node
+//! that receives none for [`ExchangeSettings::freshness_bound`] calls the store itself.
 //!
-//! Unlike [`crate::node::membership`] this needs no agreed member list: nothing is decided by
-//! who takes part, so a sample of live peers is enough.
+//! Unlike [`crate::node::membership`], this protocol needs no agreed member list: no decision
+//! depends on the set of participants, and a sample of live peers is enough.
 
+mod asking;
 mod candidates;
 mod effect;
 mod fetches;
@@ -25,7 +27,6 @@
 mod seal;
 mod settings;
 mod size;
-mod store_calls;
 mod suspicions;
 mod watching;
 mod zone_sizes;
@@ -51,6 +52,7 @@
 use crate::cookie::reachability::Finding;
 use crate::cookie::replica::Versions;
 use crate::time::Timestamp;
+use asking::StoreCallPacer;
 use candidates::{ClaimTable, rank_nodes};
 use fetches::{FetchPurpose, FetchTable};
 use peers::PeerTable;
@@ -60,28 +62,27 @@
 use size::ClusterSize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
-use store_calls::StoreCallPacer;
 use zone_sizes::ZoneSizes;
 
-/// Nodes that ask the store for all while nobody knows anything.
+/// Number of nodes that read the whole state from the store while no node has it.
 const BOOTSTRAP_READERS: usize = 2;
 
-/// Snapshots that a node fetches after its start though it is not behind: the store doesn't tell
-/// of instances that have gone, and the first peer may have started just now itself.
+/// Number of snapshots that a node fetches after its start even if it is not behind. The store does
+/// not report deleted instances, and the first peer may itself have just started.
 const STARTUP_FETCHES: u32 = 2;
 
-/// The exchange of one node.
+/// The gossip state of one node.
 #[derive(Debug)]
 pub struct Exchange {
     settings: ExchangeSettings,
     own_address: SocketAddrV4,
     place: NodePlace,
-    /// Whether it has too much to do for duties that others can take.
+    /// Whether the node is too busy for duties that other nodes can take.
     busy: bool,
     seeds: Vec<SocketAddrV4>,
     peers: PeerTable,
     zone_sizes: ZoneSizes,
-    /// How many nodes its own zone has, as of the last round.
+    /// Estimated number of nodes in the own zone, as of the last gossip round.
     own_zone_nodes: f64,
     random: ChaCha8Rng,
     next_gossip: Timestamp,
@@ -92,25 +93,26 @@
     /// Since when this node's own claim has been among the best.
     claimed_since: Option<Timestamp>,
     store_usable: bool,
-    /// Whether this node, or one that it heard, has read the newest state, and not only states that may be stale.
+    /// Whether this node, directly or through confirmations of peers, has the result of a read of
+    /// the newest state, as opposed to reads that may be stale.
     newest_was_read: bool,
     clock: FreshnessClock,
     pacer: StoreCallPacer,
-    /// The last confirmation that was pushed on.
+    /// The last confirmation that was pushed to peers.
     pushed_confirmation: Timestamp,
     ignore_confirmations_until: Timestamp,
     startup_fetches_left: u32,
-    /// Whether a peer that another one named as a source had nothing.
+    /// Set once a peer that another node suggested as a source turned out to have no state.
     ignore_suggested_versions: bool,
     failing: Vec<Cookie>,
-    /// Findings of probes that wait to be told, and when they may be.
+    /// Probe findings that are not yet reported, and the earliest time of the next report.
     pending_findings: Vec<Finding>,
     next_findings_report: Timestamp,
     size: ClusterSize,
 }
 
 impl Exchange {
-    /// A node at `own_address` that knows only where to look for peers.
+    /// Creates the exchange of a node at `own_address` whose only known peers are `seeds`.
     #[must_use]
     pub fn new(
         settings: ExchangeSettings,
@@ -151,56 +153,57 @@
         exchange
     }
 
-    /// The same, of a node that stands at a place.
+    /// Sets the zone and the capacity class of the node.
     #[must_use]
     pub const fn with_place(mut self, place: NodePlace) -> Self {
         self.place = place;
         self
     }
 
-    /// Whether the node has too much to do for duties that others can take. They go to others, unless
-    /// these have too.
+    /// Sets whether the node is too busy for duties that other nodes can take. They move to other
+    /// nodes unless those are busy as well.
     pub const fn set_busy(&mut self, busy: bool) {
         self.busy = busy;
     }
 
-    /// Where the node stands, and what it tells others that it can bear.
+    /// Returns the zone and the capacity class that the node advertises.
     #[must_use]
     pub const fn place(&self) -> NodePlace {
         self.own_place()
     }
 
-    /// Whether it has too much to do for duties that others can take.
+    /// Returns whether the node is too busy for duties that other nodes can take.
     #[must_use]
     pub const fn is_busy(&self) -> bool {
         self.busy
     }
 
-    /// The zone of a peer, if it is known.
+    /// Returns the zone of a known peer.
     #[must_use]
     pub fn zone_of(&self, peer: SocketAddrV4) -> Option<ZoneKey> {
         self.peers.zone_of(peer)
     }
 
-    /// Where the node's claim stands among those that it knows, the first at zero; none if others are better.
+    /// Returns the rank of this node's claim among the best claims, starting at zero, or `None` if
+    /// it is not among them.
     #[must_use]
     pub fn claim_rank(&self) -> Option<usize> {
         self.claims.rank_of(self.own_address)
     }
 
-    /// Replaces the addresses where peers are looked for.
+    /// Replaces the addresses of the seed nodes.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
         self.seeds.retain(|seed| *seed != self.own_address);
     }
 
-    /// Peers heard of late.
+    /// Returns the peers that were seen recently.
     pub fn peers(&self) -> impl Iterator<Item = (SocketAddrV4, &PeerRecord)> {
         self.peers.iter()
     }
 
-    /// Whether this node is one of the few that stand first by rank among those that it knows, alive or
-    /// suggested.
+    /// Returns whether this node is one of the first `BOOTSTRAP_READERS` by rank among all known
+    /// nodes, including those that were only suggested.
     #[must_use]
     pub fn ranks_among_first(&self) -> bool {
         let known = self.peers.iter();
@@ -214,14 +217,14 @@
         first.any(|(address, _)| address == self.own_address)
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Returns when [`Self::tick`] is due next.
     #[must_use]
     pub const fn next_tick(&self) -> Timestamp {
         self.next_gossip
     }
 
-    /// Time has passed. `own` is what this node knows; `behind` tells whether a peer's versions
-    /// are ahead of it.
+    /// Performs the work that is due at `now`. `own` is the state version of this node; `behind`
+    /// returns whether this node lacks something that a peer with the given versions has.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -244,7 +247,7 @@
         effects
     }
 
-    /// A heartbeat has come from `from`.
+    /// Handles a heartbeat from `from`.
     pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
@@ -283,12 +286,12 @@
         effects
     }
 
-    /// A peer has sent a delta, and told its versions with it.
+    /// Records the versions that a peer sent with a delta.
     pub fn record_versions(&mut self, from: SocketAddrV4, versions: Versions) {
         self.peers.record_versions(from, versions);
     }
 
-    /// This node, which knew `before`, has learned something: tells a few peers at once.
+    /// Pushes the changes since the versions `before` to a few peers.
     pub fn push_changes(
         &mut self,
         now: Timestamp,
@@ -305,7 +308,7 @@
         deltas.collect()
     }
 
-    /// Tells a few peers at once what doesn't show in the versions.
+    /// Pushes a heartbeat to a few peers, for changes that do not appear in the versions.
     pub fn announce(&mut self, now: Timestamp, own: Versions) -> Vec<ExchangeEffect> {
         let receivers = self.announce_receivers();
         let heartbeats = self.push_heartbeats(now, receivers, own).into_iter();
@@ -314,32 +317,32 @@
         sent.collect()
     }
 
-    /// This node leaves: tells a few peers, who forget it.
+    /// Announces to a few peers that this node leaves; they remove it from their tables.
     pub fn leave(&mut self, now: Timestamp, own: Versions) -> Vec<ExchangeEffect> {
         self.leaving = true;
         self.withdraw_claim();
         self.announce(now, own)
     }
 
-    /// How many nodes there are, rather too many than too few.
+    /// Returns an estimate of the number of nodes that errs on the high side.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
         self.size.upper_bound(now)
     }
 
-    /// Whether this node has started of late, so that it may not have heard of all instances that have gone.
+    /// Returns whether this node started recently and may lack tombstones of deleted instances.
     #[must_use]
     pub const fn started_recently(&self) -> bool {
         self.startup_fetches_left > 0
     }
 
-    /// The fetch from a peer has brought data, though not all yet.
+    /// Records that the fetch from a peer has received data but is not complete.
     pub fn fetch_progressed(&mut self, now: Timestamp, from: SocketAddrV4) {
         let interval = self.settings.fetch_interval;
         self.fetches.progressed(now, from, interval);
     }
 
-    /// A snapshot of a peer with these versions was taken over.
+    /// Records that a snapshot with these versions was fetched from a peer and merged.
     pub fn fetch_succeeded(&mut self, from: SocketAddrV4, versions: Versions) {
         self.fetches.end(from);
         if versions.is_empty() {
@@ -349,14 +352,15 @@
         }
     }
 
-    /// A fetch from `from` came to nothing.
+    /// Records that the fetch from `from` failed.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.fetches.end(from);
         self.record_empty_source(from);
     }
 
-    /// A peer has nothing for this node: it isn't asked again before it speaks, and from now on only those
-    /// are that spoke themselves. What others tell is old where many have just started anew.
+    /// Records that a peer had no state to offer. It is not fetched from again before its next
+    /// heartbeat, and if it was only suggested, suggested versions are ignored from then on: after
+    /// a restart of many nodes they are outdated.
     fn record_empty_source(&mut self, from: SocketAddrV4) {
         if self.peers.clear_versions(from) && !self.ignore_suggested_versions {
             self.ignore_suggested_versions = true;
@@ -389,7 +393,8 @@
         heartbeats.collect()
     }
 
-    /// Counts the nodes of the own zone, for others, and all, for this one.
+    /// Counts the nodes of the own zone, which is advertised to peers, and the nodes of the
+    /// cluster.
     fn count_nodes(&mut self, now: Timestamp) {
         self.own_zone_nodes = self.estimated_zone_nodes();
         self.zone_sizes.expire(now);
@@ -423,7 +428,7 @@
         }
     }
 
-    /// A node that is behind, or that doesn't know anybody, is answered; but not too often.
+    /// Replies to a node that is behind or knows too few peers, at a limited rate.
     fn reply(
         &mut self,
         now: Timestamp,
@@ -439,7 +444,8 @@
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-        // No delta tells a node all that lacks everything of a kind: it has to know whom to ask.
+        // A node that lacks a whole kind of objects cannot apply a delta; it needs peers to fetch
+        // from.
         let needs_snapshot = known.is_empty() && !own.is_empty();
         if needs_snapshot {
             self.suggest_sources(now, to, &mut heartbeat);
@@ -474,8 +480,9 @@
             return;
         };
         let since = *self.behind_since.get_or_insert(now);
-        // A node that lacks something altogether doesn't wait for the store, but for a peer that knows
-        // all: those that learn first have the one kind before the other.
+        // A node that has no state of some kind fetches at once instead of waiting for the store,
+        // but only from a peer with all kinds: the first nodes to get data have one kind before the
+        // others.
         let urgent = own.is_empty() && !versions.is_empty();
         let delay_elapsed = now.since(since) >= self.settings.catch_up_delay;
         if urgent || delay_elapsed {
@@ -483,7 +490,7 @@
         }
     }
 
-    /// Fetches from any peer, after the start. This must not delay a fetch from one that is ahead.
+    /// Fetches from any peer after the start. Does not delay a fetch from a peer that is ahead.
     fn fetch_after_start(&mut self, now: Timestamp, effects: &mut Vec<ExchangeEffect>) {
         if self.startup_fetches_left == 0 {
             return;
@@ -508,7 +515,7 @@
     }
 }
 
-/// Milliseconds from an earlier time to now, as messages tell ages.
+/// Returns the time from `earlier` to `now` in milliseconds, the unit of ages in messages.
 fn milliseconds_since(now: Timestamp, earlier: Timestamp) -> u32 {
     u32::try_from(now.since(earlier).as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -1,4 +1,4 @@
-//! What peers tell each other of instances whose answers fail.
+//! Messages about instances whose answers fail.
 
 use super::message::{MAXIMUM_DATAGRAM_LENGTH, OUTLIER_KIND};
 use super::seal::{DecodeError, EncodeError, PeerKey, decode, encode};
@@ -8,33 +8,33 @@
 use crate::time::Timestamp;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A tally on its way to a collector.
+/// A tally as sent to a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReportedTally {
     /// The instance's cookie.
     pub cookie: u32,
-    /// Requests of which it is known what became.
+    /// Number of requests with a known outcome.
     pub asked: u16,
-    /// Those that failed.
+    /// Number of requests that failed.
     pub failed: u16,
-    /// Those that were answered late.
+    /// Number of requests that were answered late.
     pub slow: u16,
 }
 
-/// What nodes tell each other of instances whose answers fail.
+/// A message about instances whose answers fail.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum OutlierMessage {
-    /// What a node saw, for a collector.
+    /// Tallies of one node, for a collector.
     Report(Vec<ReportedTally>),
-    /// What a collector made of reports, for all.
+    /// A collector's evaluation of the reports, for all nodes.
     Verdicts(Verdicts),
 }
 
 impl OutlierMessage {
-    /// Most instances that one message tells of.
+    /// Maximum number of tallies in one report.
     pub const MAXIMUM_INSTANCES: usize = 96;
 
-    /// A report of tallies, which must be few.
+    /// Creates a report of at most [`Self::MAXIMUM_INSTANCES`] tallies.
     #[must_use]
     pub fn report(tallies: &[InstanceTally]) -> Self {
         let reported = tallies.iter().map(|tally| ReportedTally {
@@ -46,26 +46,26 @@
         Self::Report(reported.collect())
     }
 
-    /// The bytes of this message.
+    /// Encodes and seals the message.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a datagram.
+    /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         encode(self, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 
-    /// The message that `bytes` encode.
+    /// Opens and decodes a message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they encode none.
+    /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
         decode(bytes, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
     }
 }
 
-/// The tallies of a report.
+/// Converts the tallies of a report.
 pub(crate) fn tallies_of(reported: &[ReportedTally]) -> Vec<InstanceTally> {
     let tallies = reported.iter().filter_map(|reported| {
         Some(InstanceTally {
@@ -79,13 +79,14 @@
 }
 
 impl Exchange {
-    /// Whether this node collects reports: it is one of the few that watch the store for all, or knows nobody.
+    /// Returns whether this node collects reports: it is one of the few that watch the store, or it
+    /// has no peers.
     #[must_use]
     pub fn collects_reports(&self) -> bool {
         self.claim_rank().is_some() || self.peers.iter().next().is_none()
     }
 
-    /// Tells the collectors what this node saw.
+    /// Sends this node's tallies to the collectors.
     #[must_use]
     pub fn report_tallies(&self, now: Timestamp, tallies: &[InstanceTally]) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
@@ -100,7 +101,7 @@
         effects
     }
 
-    /// Tells a few peers what a collector made of reports; they pass it on.
+    /// Sends a collector's verdicts to a few peers, which forward them.
     pub fn forward_verdicts(&mut self, verdicts: &Verdicts) -> Vec<ExchangeEffect> {
         let receivers = self.announce_receivers();
         let sent = receivers
@@ -112,14 +113,14 @@
         sent.collect()
     }
 
-    /// This node as a collector tells `cookies`.
+    /// Creates verdicts about `cookies` with this node as the collector.
     #[must_use]
     pub fn build_verdicts(&self, sequence: u64, cookies: &[Cookie]) -> Verdicts {
-        let told = cookies.iter().take(OutlierMessage::MAXIMUM_INSTANCES * 2);
+        let reported = cookies.iter().take(OutlierMessage::MAXIMUM_INSTANCES * 2);
         Verdicts {
             collector: self.own_address,
             sequence,
-            cookies: told.map(|cookie| cookie.bits()).collect(),
+            cookies: reported.map(|cookie| cookie.bits()).collect(),
         }
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -1,9 +1,9 @@
-//! The compact form in which snapshots travel.
+//! Compact encoding of snapshots and deltas.
 //!
-//! A snapshot repeats a few names again and again: each route its service, each instance its
-//! service and zone. Here each name and each group of route stands once, and records refer to it
-//! by index. 1,881 routes and 46 instances take 17 kB instead of 138 kB, which matters where a
-//! machine's link is thin and many nodes start at once.
+//! A snapshot repeats a few names many times: each route names its services, each instance its
+//! service and zone. In this encoding each name and each group of equal route properties is stored
+//! once, and records refer to it by index. 1,881 routes and 46 instances take 17 kB instead of 138
+//! kB, which matters when a machine's link is slow and many nodes start at once.
 
 use super::message::DeltaMessage;
 use super::seal::{DecodeError, EncodeError};
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A snapshot as it travels.
+/// A snapshot in compact form.
 #[derive(Debug, Archive, Serialize, Deserialize)]
 pub(super) struct PackedSnapshot {
     versions: Versions,
@@ -31,7 +31,8 @@
     zones: Option<ZoneSnapshot>,
 }
 
-/// A delta as it travels: while a service is replaced a datagram tells of some forty instances instead of five.
+/// A delta in compact form. During the replacement of a service, a datagram holds some forty
+/// instances instead of five.
 #[derive(Debug, Archive, Serialize, Deserialize)]
 pub(super) struct PackedDelta {
     versions: Versions,
@@ -43,11 +44,11 @@
 }
 
 impl PackedDelta {
-    /// The compact form of a delta.
+    /// Packs a delta.
     ///
     /// # Errors
     ///
-    /// [`EncodeError::TooManyNames`] if it has more names than can be numbered.
+    /// Returns [`EncodeError::TooManyNames`] if there are more names than indices.
     pub(super) fn pack(message: &DeltaMessage) -> Result<Self, EncodeError> {
         let mut names = Interner::default();
         let directory = message.delta.directory.as_ref();
@@ -61,18 +62,20 @@
         })
     }
 
-    /// The delta.
+    /// Unpacks the delta.
     ///
     /// # Errors
     ///
-    /// [`DecodeError::Reference`] if it refers to a name that it doesn't hold.
+    /// Returns [`DecodeError::Reference`] if it refers to an undefined name.
     pub(super) fn unpack(self) -> Result<DeltaMessage, DecodeError> {
         let directory = match self.directory {
             None => None,
             Some(packed) => match unpack_directory(&self.names, packed)? {
                 DirectoryPart::Changes(delta) => Some(delta),
                 DirectoryPart::Whole(_) => {
-                    return Err(DecodeError::Invalid("a delta with a whole list".to_owned()));
+                    return Err(DecodeError::Invalid(
+                        "a delta contains a full list".to_owned(),
+                    ));
                 }
             },
         };
@@ -92,21 +95,21 @@
     revision: Revision,
     version: u64,
     idle_timeout_milliseconds: u32,
-    /// What routes have besides their addresses: a few are like many others.
+    /// The properties of routes other than their addresses. Many routes share the same ones.
     groups: Vec<PackedRouteGroup>,
     routes: Vec<PackedRoute>,
     limits: Vec<ServiceLimits>,
 }
 
-/// A service's share of a route.
+/// The weight of a service in a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 struct PackedWeight {
     weight: u32,
-    /// Number of its name.
+    /// Index of its name.
     service: u16,
 }
 
-/// What several routes have in common.
+/// The properties that several routes share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 struct PackedRouteGroup {
     services: Vec<PackedWeight>,
@@ -117,7 +120,7 @@
 struct PackedRoute {
     ip: [u8; 4],
     port: u16,
-    /// Number of its group.
+    /// Index of its group.
     group: u16,
 }
 
@@ -141,16 +144,16 @@
     id: InstanceId,
     revision: Revision,
     cold_remaining_milliseconds: u32,
-    /// Zero if it isn't told.
+    /// Zero if unknown.
     created: Revision,
     slots: u32,
-    /// Zero if it isn't told.
+    /// Zero if unknown.
     started: u64,
     ip: [u8; 4],
     port: u16,
-    /// Number of its service's name.
+    /// Index of the service name.
     service: u16,
-    /// Number of its zone's name.
+    /// Index of the zone name.
     zone: u16,
     state: InstanceState,
 }
@@ -163,12 +166,12 @@
 }
 
 impl PackedSnapshot {
-    /// The compact form of a snapshot.
+    /// Packs a snapshot.
     ///
     /// # Errors
     ///
-    /// [`EncodeError::TooManyNames`] if the snapshot has more names, or more lists of services,
-    /// than can be numbered.
+    /// Returns [`EncodeError::TooManyNames`] if the snapshot has more names, or more route groups,
+    /// than indices.
     pub(super) fn pack(snapshot: &Snapshot) -> Result<Self, EncodeError> {
         let mut names = Interner::default();
         let configuration = snapshot.configuration.as_ref();
@@ -188,11 +191,11 @@
         })
     }
 
-    /// The snapshot.
+    /// Unpacks the snapshot.
     ///
     /// # Errors
     ///
-    /// [`DecodeError::Reference`] if it refers to a name or list that it doesn't hold.
+    /// Returns [`DecodeError::Reference`] if it refers to an undefined name or route group.
     pub(super) fn unpack(self) -> Result<Snapshot, DecodeError> {
         let names = &self.names;
         let configuration = self
@@ -210,7 +213,7 @@
     }
 }
 
-/// Numbers values as they come.
+/// Assigns consecutive indices to values in the order of their first use.
 struct Interner<Value> {
     indices: BTreeMap<Value, u16>,
 }
--- a/crates/bellyoke-core/src/cookie/exchange/peers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/peers.rs
@@ -1,4 +1,4 @@
-//! The peers that a node has heard of late.
+//! The table of peers that were seen recently.
 
 use super::message::{Heartbeat, PeerSuggestion};
 use crate::cookie::capacity::{NodePlace, ZoneKey};
@@ -11,31 +11,31 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most peers remembered. A sample is enough, so that the state of a node stays the same in a
-/// cluster of any size.
+/// Maximum number of peers in the table. A sample is enough and keeps the memory of a node constant
+/// in clusters of any size.
 const MAXIMUM_PEERS: usize = 256;
 
-/// The own zone may take as many times more of the table as another.
+/// How many times as many entries the own zone may have as another zone.
 const OWN_ZONE_WEIGHT: usize = 3;
 
-/// One in so many peers that are suggested is of another zone than the receiver's, if any is known.
+/// One in this many suggested peers is from another zone than the receiver's, if any is known.
 const OTHER_ZONE_DIVISOR: usize = 3;
 
-/// Shortest time between two replies to one peer.
+/// Minimum time between two replies to one peer.
 const REPLY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a node contains of one peer.
+/// The state of one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRecord {
-    /// When it was last received_heartbeat, or suggested by another.
+    /// When the last heartbeat arrived, or the peer was suggested by another node.
     pub last_seen_at: Timestamp,
-    /// Whether it was heard itself.
+    /// Whether a heartbeat of the peer itself has arrived.
     pub received_heartbeat: bool,
-    /// Where it stands, and what it can bear.
+    /// Zone and capacity class of the peer.
     pub place: NodePlace,
-    /// How much it contains, as it told itself or another told of it.
+    /// The peer's versions as advertised by itself or by another node.
     pub versions: Versions,
-    /// Instances that don't complete its openings.
+    /// Instances that fail to complete openings from the peer.
     pub failing: Vec<Cookie>,
     replied_at: Option<Timestamp>,
 }
@@ -53,12 +53,12 @@
             .map(|(address, record)| (*address, record))
     }
 
-    /// Whether a peer is known, be it only by hearsay.
+    /// Returns whether a peer is in the table, even if it was only suggested.
     pub(super) fn contains(&self, address: SocketAddrV4) -> bool {
         self.records.contains_key(&address)
     }
 
-    /// Notes that a peer spoke. Returns whether it was not known to be alive.
+    /// Records a heartbeat. Returns whether it is the first one of the peer.
     pub(super) fn record_heartbeat(
         &mut self,
         now: Timestamp,
@@ -87,8 +87,8 @@
         !std::mem::replace(&mut record.received_heartbeat, true)
     }
 
-    /// Notes a peer that another one told of, until it speaks itself or is forgotten, and how much it is
-    /// said to know.
+    /// Records a peer suggested by another node, and the versions that it supposedly has. The entry
+    /// remains until a heartbeat of the peer arrives or the entry expires.
     pub(super) fn record_suggestion(
         &mut self,
         now: Timestamp,
@@ -118,13 +118,13 @@
         self.records.insert(address, record);
     }
 
-    /// Returns whether the peer was known to be alive.
+    /// Removes a peer. Returns whether it had sent a heartbeat.
     pub(super) fn remove(&mut self, address: SocketAddrV4) -> bool {
         let removed = self.records.remove(&address);
         removed.is_some_and(|record| record.received_heartbeat)
     }
 
-    /// Forgets silent peers, and returns those that had been heard.
+    /// Removes silent peers, and returns those that had sent a heartbeat.
     pub(super) fn expire(&mut self, now: Timestamp, lifetime: Duration) -> Vec<SocketAddrV4> {
         let silent = |record: &PeerRecord| now.since(record.last_seen_at) >= lifetime;
         let lost = self
@@ -137,14 +137,15 @@
         lost
     }
 
-    /// Notes how much a known peer contains now.
+    /// Updates the versions of a known peer.
     pub(super) fn record_versions(&mut self, address: SocketAddrV4, versions: Versions) {
         if let Some(record) = self.records.get_mut(&address) {
             record.versions = versions;
         }
     }
 
-    /// A peer that is alive, by its own word or another's, of the own zone if there is one.
+    /// Returns a random peer that is alive according to itself or to another node, preferably of
+    /// the own zone.
     pub(super) fn sample_alive(
         &self,
         zone: ZoneKey,
@@ -156,33 +157,34 @@
         choose_source(zone, alive, random).map(|(address, _)| address)
     }
 
-    /// The zone of a peer that is known.
+    /// Returns the zone of a known peer.
     pub(super) fn zone_of(&self, address: SocketAddrV4) -> Option<ZoneKey> {
         self.records.get(&address).map(|record| record.place.zone)
     }
 
-    /// How many peers of a zone are known.
+    /// Returns the number of known peers in a zone.
     pub(super) fn count_in(&self, zone: ZoneKey) -> usize {
         let records = self.records.values();
         records.filter(|record| record.place.zone == zone).count()
     }
 
-    /// Instances that at least `witnesses` peers suspect; all peers, if there are fewer.
+    /// Returns the instances that at least `witnesses` peers suspect, or all peers if there are
+    /// fewer.
     pub(super) fn suspected(&self, witnesses: usize) -> BTreeSet<Cookie> {
-        let heard = self
+        let direct = self
             .records
             .values()
             .filter(|record| record.received_heartbeat);
-        let witnesses = witnesses.min(heard.clone().count());
+        let witnesses = witnesses.min(direct.clone().count());
         let mut counts: BTreeMap<Cookie, usize> = BTreeMap::new();
-        for cookie in heard.flat_map(|record| &record.failing) {
+        for cookie in direct.flat_map(|record| &record.failing) {
             *counts.entry(*cookie).or_default() += 1;
         }
         let enough = counts.into_iter().filter(|(_, count)| *count >= witnesses);
         enough.map(|(cookie, _)| cookie).collect()
     }
 
-    /// Some peers of a zone.
+    /// Returns random peers of a zone.
     pub(super) fn sample_in_zone(
         &self,
         zone: ZoneKey,
@@ -195,7 +197,7 @@
         near.map(|(address, _)| *address).sample(random, count)
     }
 
-    /// Some peers of other zones, of as many zones as possible.
+    /// Returns random peers outside a zone, from as many zones as possible.
     pub(super) fn sample_other_zones(
         &self,
         zone: ZoneKey,
@@ -212,18 +214,19 @@
                 by_zone.entry(record.place.zone).or_default().push(*address);
             }
         }
-        let mut turns: Vec<((usize, u32), SocketAddrV4)> = Vec::new();
+        let mut candidates: Vec<((usize, u32), SocketAddrV4)> = Vec::new();
         for mut addresses in by_zone.into_values() {
             addresses.shuffle(random);
             let placed = addresses.into_iter().take(count).enumerate();
-            turns.extend(placed.map(|(turn, address)| ((turn, random.random()), address)));
+            candidates.extend(placed.map(|(round, address)| ((round, random.random()), address)));
         }
-        turns.sort_unstable();
-        let chosen = turns.into_iter().take(count);
+        candidates.sort_unstable();
+        let chosen = candidates.into_iter().take(count);
         chosen.map(|(_, address)| address).collect()
     }
 
-    /// Peers that are alive, for a receiver, who isn't among them: more of its zone than of others.
+    /// Returns live peers to suggest to a receiver, excluding itself: more of its zone than of
+    /// others.
     pub(super) fn suggestions_for(
         &self,
         receiver: SocketAddrV4,
@@ -254,7 +257,7 @@
             .collect()
     }
 
-    /// Whether a reply to the peer is due; if so it counts as sent.
+    /// Returns whether a reply to the peer is due, and if it is, records it as sent.
     pub(super) fn try_reply(&mut self, now: Timestamp, to: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&to) else {
             return false;
@@ -268,9 +271,9 @@
         due
     }
 
-    /// One of the peers that know more than this node, and what it contains; one that contains something of
-    /// all if there is one, of the own zone if there is one. `include_suggested` lets it be one that only another
-    /// told of.
+    /// Returns a random peer with newer state than this node, and its versions. Prefers peers that
+    /// have state of all kinds, then peers of the own zone. `include_suggested` admits peers whose
+    /// versions only another node advertised.
     pub(super) fn newest(
         &self,
         zone: ZoneKey,
@@ -288,8 +291,8 @@
         choose_source(zone, complete, random).or_else(|| choose_source(zone, ahead, random))
     }
 
-    /// Forgets how much a peer claimed to know, until it speaks again. Returns whether only another one
-    /// had claimed it.
+    /// Clears the versions of a peer until its next heartbeat. Returns whether only another node
+    /// had advertised them.
     pub(super) fn clear_versions(&mut self, address: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&address) else {
             return false;
@@ -299,8 +302,9 @@
         was_only_suggested
     }
 
-    /// Makes room for a peer: one that was only suggested goes first, then one of the zone with the
-    /// most, the one that was silent for longest. Whoever speaks must be known, or it is never answered.
+    /// Evicts a peer if the table is full: first one that was only suggested, then the longest
+    /// silent one of the zone with the most entries. A peer that sends heartbeats needs an entry,
+    /// since nodes without one get no reply.
     fn evict_if_full(&mut self, own_zone: ZoneKey) {
         if self.records.len() < MAXIMUM_PEERS {
             return;
@@ -323,7 +327,7 @@
         }
     }
 
-    /// How much of the table each zone takes; the own one may take more.
+    /// Returns the number of entries of each zone, weighted by how many the zone may have.
     fn weighted_counts(&self, own_zone: ZoneKey) -> BTreeMap<ZoneKey, usize> {
         let mut weighted_counts: BTreeMap<ZoneKey, usize> = BTreeMap::new();
         for record in self.records.values() {
@@ -334,7 +338,7 @@
         weighted_counts
     }
 
-    /// Whether a zone takes less than half of what the one with the most takes.
+    /// Returns whether a zone has less than half the weighted entries of the largest one.
     fn is_underrepresented(&self, own_zone: ZoneKey, zone: ZoneKey) -> bool {
         let weighted_counts = self.weighted_counts(own_zone);
         let most = weighted_counts.values().max().copied().unwrap_or_default();
@@ -342,7 +346,7 @@
     }
 }
 
-/// One of some peers to fetch from: of the own zone if one is there, more likely one that can bear more.
+/// Chooses a random peer to fetch from: one of the own zone if possible, weighted by capacity.
 fn choose_source<'a>(
     zone: ZoneKey,
     peers: impl Iterator<Item = (&'a SocketAddrV4, &'a PeerRecord)>,
@@ -351,7 +355,8 @@
     let mut chosen = None;
     let mut chosen_key = (false, 0.0);
     for (address, record) in peers {
-        // The greatest of such draws is each peer's by its share of all weights (Efraimidis and Spirakis 2006).
+        // The greatest of these draws belongs to each peer with a probability proportional to its
+        // weight (Efraimidis and Spirakis 2006).
         let draw: f64 = random.random_range(0.0..1.0);
         let draw = draw.powf(1.0 / f64::from(record.place.class.weight()));
         let key = (record.place.zone == zone, draw);
--- a/crates/bellyoke-core/src/cookie/exchange/receivers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/receivers.rs
@@ -1,9 +1,10 @@
-//! Who is told, and who is asked: peers of the own zone first.
+//! Choice of the peers that a node sends to, with a preference for its own zone.
 //!
-//! Bytes between zones are dear, and each zone needs to hear a thing once from outside. So each node
-//! tells peers of its own zone, and one of another zone by chance, so that a fixed number of a zone's
-//! nodes does, however many it has. Nobody is chosen for it: no node's death cuts a zone off, and
-//! none has to know that it was chosen.
+//! Traffic between zones is expensive, and each zone needs each update only once from outside.
+//! Therefore each node sends to peers of its own zone, and at random to one of another zone: the
+//! expected number of a zone's nodes that send to another zone is fixed, whatever the zone's size.
+//! No node is designated for this; the death of a single node does not cut a zone off, and no node
+//! needs to know about a special role.
 
 use super::peers::PeerRecord;
 use super::{Exchange, Heartbeat};
@@ -14,25 +15,27 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Nodes of each zone that tell another one what is new. That none of several zones tells one has a chance of
-/// one in four hundred (e to the minus six); then the next round does.
+/// Expected number of nodes per zone that push an update to another zone. The probability that none
+/// of several zones pushes to a given one is 1 in 400 (e^-6); the next gossip round then covers it.
 const CROSS_ZONE_PUSHERS: f64 = 6.0;
 
-/// Nodes of each zone that tell another one in each round what they know.
+/// Expected number of nodes per zone that send a heartbeat to another zone in each gossip round.
 const CROSS_ZONE_GOSSIPERS: f64 = 4.0;
 
-/// A seed now and then joins parts of the cluster that have lost each other.
+/// Probability that a gossip round includes a seed. It reconnects parts of the cluster that have
+/// lost each other.
 const SEED_PROBABILITY: f64 = 0.1;
 
-/// A peer that was heard so lately is told of as one to fetch from: in a zone of a hundred these are
-/// some twenty, and few of them have died since.
+/// A peer is suggested as a fetch source only if it was seen within this time. In a zone of a
+/// hundred nodes these are about twenty, and few of them have died since.
 const SOURCE_MAXIMUM_AGE: Duration = Duration::from_secs(2);
 
-/// Peers that a push tells of: enough that its sender isn't taken for one that knows nobody.
+/// Number of suggested peers in a push. With fewer, receivers would conclude that the sender has
+/// too few peers.
 pub(super) const PUSH_SUGGESTIONS: usize = 2;
 
 impl Exchange {
-    /// The number of the zone that this node tells that it stands in.
+    /// Returns the zone that this node advertises.
     pub(super) const fn own_zone(&self) -> ZoneKey {
         if self.settings.own_zone_first {
             self.place.zone
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Where this node stands, and what it can bear at the moment.
+    /// Returns the zone and the current capacity class of this node.
     pub(super) const fn own_place(&self) -> NodePlace {
         NodePlace {
             zone: self.own_zone(),
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Who gets the heartbeats of a round.
+    /// Returns the receivers of the heartbeats of a gossip round.
     pub(super) fn gossip_receivers(&mut self) -> Vec<SocketAddrV4> {
         let fanout = self.settings.fanout;
         let mut receivers = self.draw_receivers(fanout, CROSS_ZONE_GOSSIPERS, |_| true);
@@ -67,26 +70,28 @@
         receivers
     }
 
-    /// Who is told at once of what a node with `own` versions has learned: nobody who has told that it
-    /// knows as much.
+    /// Returns the receivers of a state change of a node with `own` versions. Excludes peers that
+    /// are known to have the same state.
     pub(super) fn push_receivers(&mut self, own: Versions) -> Vec<SocketAddrV4> {
         self.draw_receivers(self.settings.push_fanout, CROSS_ZONE_PUSHERS, |record| {
             record.versions.lacks(own)
         })
     }
 
-    /// Who is told at once of what doesn't show in the versions.
+    /// Returns the receivers of a change that does not appear in the versions.
     pub(super) fn announce_receivers(&mut self) -> Vec<SocketAddrV4> {
         self.draw_receivers(self.settings.push_fanout, CROSS_ZONE_PUSHERS, |_| true)
     }
 
-    /// Who is told of what can't wait for chance, as it is rare and ends flows: peers of the own zone, and one of another.
+    /// Returns the receivers of rare messages that end flows and for which a random cross-zone send
+    /// is too slow: peers of the own zone, and one of another zone.
     pub(super) fn urgent_receivers(&mut self) -> Vec<SocketAddrV4> {
         let all = self.own_zone_nodes;
         self.draw_receivers(self.settings.push_fanout, all, |_| true)
     }
 
-    /// Who is asked to confirm what this node found: a peer of another zone, or of the own one if there is no other.
+    /// Returns the peer to ask for a confirmation of this node's findings: one of another zone if
+    /// possible, otherwise one of the own zone.
     pub(super) fn confirming_receiver(&mut self) -> Option<SocketAddrV4> {
         let zone = self.own_zone();
         let random = &mut self.random;
@@ -115,7 +120,7 @@
         receivers
     }
 
-    /// How likely a round goes to a seed as well.
+    /// Returns the probability that a gossip round includes the seed.
     fn seed_probability(&self, seed: SocketAddrV4) -> f64 {
         let zone = self.own_zone();
         let is_near = zone == ZoneKey(0) || self.peers.zone_of(seed) == Some(zone);
@@ -134,8 +139,8 @@
         Some(self.seeds[index])
     }
 
-    /// Tells a node that lacks everything of a kind from whom it can fetch instead of this one, which it
-    /// asked since it had no other address.
+    /// Adds fetch sources to the reply to a node that lacks a whole kind of objects and contacted
+    /// this node for want of other addresses.
     pub(super) fn suggest_sources(
         &mut self,
         now: Timestamp,
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Notes what a heartbeat tells of other nodes.
+    /// Records the peers and zone sizes of a heartbeat.
     pub(super) fn record_suggestions(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
         let zone = self.own_zone();
         let known = if heartbeat.peers_up_to_date {
--- a/crates/bellyoke-core/src/cookie/exchange/seal.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/seal.rs
@@ -1,6 +1,6 @@
-//! How messages between peers are sealed and opened.
+//! Sealing and opening of messages between peers.
 //!
-//! Nothing received is trusted: length, tag and archive are validated.
+//! Received bytes are untrusted: length, authentication tag and archive are validated.
 
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize};
@@ -12,64 +12,63 @@
 const TAG_LENGTH: usize = blake3::OUT_LEN;
 const HEADER_LENGTH: usize = 2 + TAG_LENGTH;
 
-/// Why bytes are no message of a peer.
+/// Error of decoding a peer message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Shorter or longer than a message may be.
-    #[error("{length} bytes are no message")]
+    /// The message is shorter or longer than allowed.
+    #[error("{length} bytes is not a valid message length")]
     Length {
         /// Number of bytes.
         length: usize,
     },
-    /// Another protocol version or kind.
-    #[error("protocol version {version}, kind {kind}")]
+    /// The message has another protocol version or kind.
+    #[error("unexpected protocol version {version} or message kind {kind}")]
     Kind {
-        /// The version.
+        /// The protocol version.
         version: u8,
-        /// The kind.
+        /// The kind byte.
         kind: u8,
     },
-    /// Not sealed with this cluster's key, or damaged.
-    #[error("the authentication tag doesn't match")]
+    /// The message was not sealed with this cluster's key, or it is corrupted.
+    #[error("the authentication tag does not match")]
     Tag,
-    /// Not the encoding of a message.
+    /// The content is not a valid encoding.
     #[error("not a valid message: {0}")]
     Invalid(String),
-    /// It refers to something that it doesn't hold.
-    #[error("name or list {number} is missing")]
+    /// The message refers to an index that it does not define.
+    #[error("the message does not define name or list {number}")]
     Reference {
-        /// The number of what is missing.
+        /// The undefined index.
         number: u16,
     },
 }
 
-/// Why a message could not be encoded.
+/// Error of encoding a peer message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
     /// The serializer failed.
     #[error("the message cannot be encoded: {0}")]
     Serializer(String),
-    /// More names, or lists of services, than can be numbered.
-    #[error("{count} names or lists of services are too many")]
+    /// The message has more names, or lists of services, than there are indices.
+    #[error("too many names or lists of services: all {count} indices are in use")]
     TooManyNames {
-        /// How many were numbered.
+        /// Number of entries that already have an index.
         count: usize,
     },
-    /// Longer than peers accept.
-    #[error("a message of {length} bytes is too long")]
+    /// The message is longer than peers accept.
+    #[error("the message is too long: {length} bytes")]
     TooLong {
-        /// Its length, bytes.
+        /// Length in bytes.
         length: usize,
     },
 }
 
-/// The key by which peers know each other's messages. Without one, tags only guard against
-/// damage.
+/// The key that authenticates messages between peers. Without a key, tags only detect corruption.
 #[derive(Clone, Default)]
 pub struct PeerKey(Option<[u8; 32]>);
 
 impl PeerKey {
-    /// A key shared by all nodes.
+    /// Creates a key that all nodes share.
     #[must_use]
     pub const fn new(key: [u8; 32]) -> Self {
         Self(Some(key))
--- a/crates/bellyoke-core/src/cookie/exchange/settings.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/settings.rs
@@ -1,30 +1,30 @@
-//! How the exchange is paced.
+//! Settings of the exchange.
 
 use std::time::Duration;
 
-/// How the exchange is paced.
+/// Intervals, fan-outs and options of the exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeSettings {
-    /// Mean time between two rounds of heartbeats.
+    /// Mean time between two gossip rounds.
     pub period: Duration,
-    /// Peers that get a heartbeat each round.
+    /// Number of peers that receive a heartbeat in each round.
     pub fanout: usize,
-    /// Peers that are told at once of something new.
+    /// Number of peers that receive a state change at once.
     pub push_fanout: usize,
-    /// A peer that was silent for so long is forgotten.
+    /// A peer that sends nothing for this time is removed.
     pub peer_lifetime: Duration,
-    /// How long a node that is behind waits for the store to tell it, before it asks a peer.
+    /// How long a node that is behind waits for the store before it fetches from a peer.
     pub catch_up_delay: Duration,
-    /// Shortest time between the beginnings of two fetches, and how long one must have brought
-    /// nothing before another begins beside it.
+    /// Minimum time between the starts of two fetches, and the time without progress after which a
+    /// second fetch may run beside the first.
     pub fetch_interval: Duration,
-    /// How old the last confirmation may be before a node asks the store itself. Well below the
-    /// time within which a change must be in force.
+    /// Maximum age of the last confirmation before a node calls the store itself. It must be well
+    /// below the time within which a change must be in force.
     pub freshness_bound: Duration,
-    /// Whether nodes tell and ask peers of their own zone first, so that bytes between zones don't grow
-    /// with the nodes of a zone.
+    /// Whether nodes prefer peers of their own zone, which keeps the traffic between zones
+    /// independent of the number of nodes in a zone.
     pub own_zone_first: bool,
-    /// Whether operators may drain zones, so that nodes read which.
+    /// Whether operators may drain zones, in which case nodes also read the list of drained zones.
     pub reads_zones: bool,
 }
 
--- a/crates/bellyoke-core/src/cookie/exchange/size.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/size.rs
@@ -1,28 +1,29 @@
-//! How many nodes there are at most, for what must hold over the sum of all.
+//! Upper bound of the number of nodes, for limits that apply to the sum over all nodes.
 
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long the largest estimate counts at least: longer than a node is cut off from its peers mostly.
+/// Minimum time for which the largest estimate counts. It is longer than most network partitions.
 const ESTIMATE_LIFETIME: Duration = Duration::from_secs(60);
 
-/// How long a node that has just started has heard too few peers to tell.
+/// Time after the start in which a node has too few peers for an estimate.
 const WARM_UP: Duration = Duration::from_secs(5);
 
-/// What it assumes until then: the largest cluster that the project is built towards.
+/// Number of nodes assumed until then: the largest cluster that the project is designed for.
 const LARGEST_CLUSTER_NODES: f64 = 620.0;
 
-/// The largest estimates of late. A node that loses its peers doesn't take itself for the only one.
+/// The largest recent estimates. They prevent a node that loses its peers from assuming that it is
+/// the only one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ClusterSize {
     first_recorded_at: Option<Timestamp>,
-    /// The largest of the period under way, and of the one before.
+    /// The largest estimates of the current period and of the previous one.
     largest: [f64; 2],
     period_began: Timestamp,
 }
 
 impl ClusterSize {
-    /// Notes an estimate.
+    /// Records an estimate.
     pub(super) fn record(&mut self, now: Timestamp, nodes: f64) {
         self.first_recorded_at.get_or_insert(now);
         if now.since(self.period_began) >= ESTIMATE_LIFETIME {
@@ -32,7 +33,7 @@
         self.largest[0] = self.largest[0].max(nodes);
     }
 
-    /// The largest estimate of late.
+    /// Returns the largest recent estimate.
     pub(super) fn upper_bound(&self, now: Timestamp) -> f64 {
         let largest = self.largest[0].max(self.largest[1]);
         let warmed_up = self
--- a/crates/bellyoke-core/src/cookie/exchange/suspicions.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/suspicions.rs
@@ -1,5 +1,5 @@
-//! What peers tell each other of instances that may be dead: whose openings fail, which are in question, and
-//! which live.
+//! Messages about instances that may be dead: failed openings, probe requests, findings and
+//! refutations.
 
 use super::{Exchange, ExchangeEffect, Heartbeat, ProbeRequest, ReachabilityReport, Refutation};
 use crate::cookie::instance::Cookie;
@@ -8,23 +8,24 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Shortest time between two tellings of findings. Many instances that die together are told of together: a node
-/// sends at most eighty datagrams a second for 1,000 dead ones, and word of one takes a tenth of a second longer
-/// to reach all.
+/// Minimum time between two reports of findings. Findings about many instances that die together
+/// share datagrams: a node sends at most eighty datagrams per second for 1,000 dead instances, and
+/// the finding about a single one takes 0.1 s longer to reach all nodes.
 const FINDINGS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Peers that must agree that an instance fails.
+/// Number of peers that must suspect an instance.
 const REQUIRED_WITNESSES: usize = 2;
 
 impl Exchange {
-    /// Instances that don't complete the openings that this node sends itself. What it only
-    /// heard of is not told on, so that a suspicion ends with those who saw it.
+    /// Sets the instances that fail to complete openings which this node sent itself. Suspicions
+    /// received from peers are not forwarded, and a suspicion ends with the nodes that observed it.
     pub fn set_failing(&mut self, mut failing: Vec<Cookie>) {
         failing.truncate(Heartbeat::MAXIMUM_FAILING);
         self.failing = failing;
     }
 
-    /// Asks one peer, of another zone if there is one, to probe instances that this node couldn't reach.
+    /// Asks one peer, preferably of another zone, to probe instances that this node could not
+    /// reach.
     pub fn request_probes(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         for cookies in cookies.chunks(ProbeRequest::MAXIMUM_COOKIES) {
@@ -37,7 +38,8 @@
         effects
     }
 
-    /// Tells peers what probes found, together with what else is found soon after.
+    /// Queues probe findings and reports them to peers, together with other findings of the next
+    /// moments.
     pub fn report_findings(
         &mut self,
         now: Timestamp,
@@ -47,7 +49,7 @@
         self.flush_findings(now)
     }
 
-    /// Tells the findings that wait, unless others were told a moment ago.
+    /// Reports the pending findings unless the last report was too recent.
     pub(super) fn flush_findings(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         if self.pending_findings.is_empty() || now < self.next_findings_report {
@@ -66,7 +68,7 @@
         effects
     }
 
-    /// Whether no peer and no word of any stands in another zone.
+    /// Returns whether no known peer and no advertised zone size belongs to another zone.
     #[must_use]
     pub fn knows_only_own_zone(&self) -> bool {
         let zone = self.own_zone();
@@ -75,7 +77,7 @@
             && peers.all(|(_, record)| record.place.zone == zone)
     }
 
-    /// This node, as the origin of what it finds.
+    /// Returns this node as the origin of its findings.
     #[must_use]
     pub const fn origin(&self) -> Origin {
         Origin {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Objects to a question: some instances live.
+    /// Reports to peers that suspected instances are alive.
     pub fn refute_suspicions(&mut self, cookies: &[Cookie]) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         for cookies in cookies.chunks(Refutation::MAXIMUM_COOKIES) {
@@ -101,8 +103,8 @@
         effects
     }
 
-    /// Instances that peers suspect. Several must agree before one counts: one alone may be
-    /// cut off from it itself.
+    /// Returns the instances that several peers suspect. A single peer is not enough, since it may
+    /// be the one that is cut off from the instance.
     #[must_use]
     pub fn peer_suspicions(&self) -> BTreeSet<Cookie> {
         self.peers.suspected(REQUIRED_WITNESSES)
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watching.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, and how long the others may rest.
+//! Which node watches the store, and how long the other nodes stay idle.
 
 use super::candidates::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
 use super::{Exchange, ExchangeEffect, Heartbeat};
@@ -8,17 +8,18 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// A confirmation is pushed on if it is newer by so much than the last one that was.
+/// A confirmation is pushed to peers only if it is newer than the last pushed one by this time.
 const MINIMUM_CONFIRMATION_ADVANCE: Duration = Duration::from_millis(500);
 
-/// How long a claim must have been among the best before it counts.
+/// How long a claim must have been among the best before it takes effect.
 const CLAIM_SETTLING_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long confirmations of peers count for nothing after this process held_for still, since they
-/// may have waited in its socket.
+/// How long confirmations of peers are ignored after a stall of this process, since they may have
+/// waited in its socket buffer.
 const POST_STALL_IGNORE_PERIOD: Duration = Duration::from_millis(300);
+
 impl Exchange {
-    /// Whether the store answered this node's last call, if it made one.
+    /// Sets whether the store answered this node's last call, if there was one.
     pub fn set_store_usable(&mut self, store_usable: bool) {
         self.store_usable = store_usable;
         if !store_usable {
@@ -26,9 +27,9 @@
         }
     }
 
-    /// The store has answered this node's last call for objects of a kind, and what it told is taken over. A read that may
-    /// be stale shows that nothing is newer only as long as nobody has read the newest state, as right after a start of
-    /// all: it may lag by seconds.
+    /// Records that the store has answered this node's last call for objects of a kind and the
+    /// answer is merged. A read that may be stale confirms the state only until some node has read
+    /// the newest state, as right after a start of all nodes, since it may lag by seconds.
     pub fn store_confirmed(
         &mut self,
         now: Timestamp,
@@ -45,21 +46,23 @@
         effects
     }
 
-    /// The process held_for still: what peers said meanwhile may be old.
+    /// Handles a stall of the process: discards confirmations, which may be old.
     pub fn stalled(&mut self, now: Timestamp) {
         self.clock.forget();
         self.pacer.forget_peer_confirmations();
         self.ignore_confirmations_until = now.after(POST_STALL_IGNORE_PERIOD);
     }
 
-    /// How long ago this node's state was known to be the newest; none if it never was.
+    /// Returns the time since this node's state was last confirmed to be the newest, or `None` if
+    /// it never was.
     #[must_use]
     pub fn confirmation_age(&self, now: Timestamp) -> Option<Duration> {
         self.clock.age(now)
     }
 
-    /// What this node reads of the store. A claim counts once it has held_for for a while, so that
-    /// nodes that start or lose their watchers together don't all watch at once.
+    /// Returns what this node reads from the store. A claim takes effect only after
+    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers
+    /// together would all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
         let held_for = self.claimed_since.map(|since| now.since(since));
@@ -70,7 +73,7 @@
         }
     }
 
-    /// How this node goes on reading objects of a kind.
+    /// Returns how this node continues to read objects of a kind.
     #[must_use]
     pub fn watch_plan(&self, now: Timestamp, kind: ObjectKind, own: Versions) -> WatchPlan {
         let confirmed_at = self.clock.confirmed_at(kind);
@@ -118,7 +121,8 @@
         self.claimed_since = None;
     }
 
-    /// When the sender of a heartbeat was last confirmed, if that can be trusted.
+    /// Returns when the sender of a heartbeat was last confirmed, or `None` if confirmations are
+    /// currently ignored.
     pub(super) fn confirmation(&self, now: Timestamp, heartbeat: &Heartbeat) -> Option<Timestamp> {
         if now < self.ignore_confirmations_until {
             return None;
@@ -127,8 +131,8 @@
         Some(now.before(Duration::from_millis(u64::from(age))))
     }
 
-    /// A peer that this node isn't behind was confirmed at a time: so is this node. Word that rests on stale reads counts for
-    /// nothing once the newest state was read.
+    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that rest on
+    /// stale reads are ignored once the newest state was read.
     pub(super) fn adopt_confirmation(
         &mut self,
         now: Timestamp,
@@ -145,7 +149,7 @@
         self.push_confirmation(now, own, effects);
     }
 
-    /// Pushes the newest confirmation on, unless one about as new was pushed before.
+    /// Pushes the newest confirmation to peers, unless one that is about as new was already pushed.
     fn push_confirmation(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/exchange/zone_sizes.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/zone_sizes.rs
@@ -1,7 +1,7 @@
-//! How many nodes each zone has, as its own nodes count it.
+//! Number of nodes in each zone, as counted by the nodes of that zone.
 //!
-//! Nodes hear few of other zones, so that they can't count these themselves. Each counts its own and
-//! tells the others, with the age of the count; the youngest that is known of each zone counts.
+//! Nodes know few peers of other zones and cannot count their nodes. Each node counts its own zone
+//! and advertises the count with its age; the most recent count of each zone is used.
 
 use super::message::{Heartbeat, ZoneSize};
 use crate::cookie::capacity::ZoneKey;
@@ -9,21 +9,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A count that was not renewed for so long counts for nothing: longer than a zone is cut off mostly.
+/// A count that is not renewed for this time is dropped. It is longer than most partitions of a
+/// zone.
 const COUNT_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Most zones remembered.
+/// Maximum number of zones in the table.
 const MAXIMUM_ZONES: usize = 64;
 
-/// The sizes of zones.
+/// The number of nodes in each zone.
 #[derive(Debug, Default)]
 pub(super) struct ZoneSizes {
-    /// Nodes, and when they were counted.
+    /// Number of nodes, and when they were counted.
     counts: BTreeMap<ZoneKey, (u16, Timestamp)>,
 }
 
 impl ZoneSizes {
-    /// Notes how many nodes a zone had at a time.
+    /// Records the number of nodes that a zone had at `counted_at`.
     pub(super) fn record(&mut self, zone: ZoneKey, nodes: u16, counted_at: Timestamp) {
         let current = self.counts.entry(zone).or_insert((nodes, counted_at));
         if counted_at >= current.1 {
@@ -37,19 +38,19 @@
         }
     }
 
-    /// Forgets counts that are too old.
+    /// Removes counts that are too old.
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.counts
             .retain(|_, (_, at)| now.since(*at) < COUNT_LIFETIME);
     }
 
-    /// Nodes of all zones but one.
+    /// Returns the number of nodes in all zones but `own`.
     pub(super) fn nodes_outside(&self, own: ZoneKey) -> f64 {
         let others = self.counts.iter().filter(|(zone, _)| **zone != own);
         others.map(|(_, (nodes, _))| f64::from(*nodes)).sum()
     }
 
-    /// The youngest counts, for peers.
+    /// Returns the most recent counts, for heartbeats.
     pub(super) fn recent_counts(&self, now: Timestamp) -> Vec<ZoneSize> {
         let sizes = self.counts.iter();
         let sizes = sizes.map(|(zone, (nodes, counted_at))| ZoneSize {
