--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -16,6 +16,7 @@
 
 mod asking;
 mod candidates;
+mod doubts;
 mod effect;
 mod fetches;
 mod findings;
@@ -27,7 +28,6 @@
 mod seal;
 mod settings;
 mod size;
-mod suspicions;
 mod watching;
 mod zone_sizes;
 
