--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -444,8 +444,7 @@
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-        // A node that lacks a whole kind of objects cannot apply a delta; it needs peers to fetch
-        // from.
+        // A delta cannot supply a whole kind of objects. The node needs peers to fetch from.
         let needs_snapshot = known.is_empty() && !own.is_empty();
         if needs_snapshot {
             self.suggest_sources(now, to, &mut heartbeat);
--- a/crates/bellyoke-core/src/cookie/exchange/peers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/peers.rs
@@ -168,8 +168,8 @@
         records.filter(|record| record.place.zone == zone).count()
     }
 
-    /// Returns the instances that at least `witnesses` peers suspect, or all peers if there are
-    /// fewer.
+    /// Returns the instances that at least `witnesses` peers suspect. If there are fewer peers, all
+    /// of them must suspect an instance.
     pub(super) fn suspected(&self, witnesses: usize) -> BTreeSet<Cookie> {
         let direct = self
             .records
@@ -225,7 +225,7 @@
         chosen.map(|(_, address)| address).collect()
     }
 
-    /// Returns live peers to suggest to a receiver, excluding itself: more of its zone than of
+    /// Returns live peers to suggest to a receiver, without the receiver: more of its zone than of
     /// others.
     pub(super) fn suggestions_for(
         &self,
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -1,4 +1,4 @@
-//! Gossip between nodes, in virtual time.
+//! Gossip between nodes in virtual time.
 
 use crate::cluster::{Cluster, TICK, address, suggestion, watched};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration};
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 
 #[test]
-fn what_one_node_knows_all_know_within_a_second() {
+fn an_update_reaches_all_nodes_within_1500_ms() {
     for size in [2, 10, 100] {
         let mut cluster = Cluster::new(size);
         cluster.run(3_000);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_node_that_starts_learns_all_within_half_a_second() {
+fn a_starting_node_receives_the_state_within_500_ms() {
     let mut cluster = Cluster::new(10);
     cluster.run(1_000);
     cluster.learn(4, 5);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_node_that_starts_finds_peers_though_two_of_three_seeds_are_dead() {
+fn a_starting_node_finds_peers_when_two_of_three_seeds_are_down() {
     let mut cluster = Cluster::new(10);
     cluster.run(1_000);
     cluster.learn(4, 5);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_link_that_works_one_way_only_keeps_nobody_behind() {
+fn a_node_that_can_only_receive_still_gets_updates() {
     let mut cluster = Cluster::new(5);
     cluster.run(2_000);
     for number in 0..4 {
@@ -62,12 +62,12 @@
     assert_eq!(
         cluster.knowing(5),
         5,
-        "node 4 hears, though nobody hears it"
+        "node 4 receives, although it cannot send"
     );
 }
 
 #[test]
-fn a_dead_peer_is_forgotten_and_a_leaving_one_at_once() {
+fn a_dead_peer_expires_and_a_leaving_peer_is_removed_at_once() {
     let mut cluster = Cluster::new(4);
     cluster.run(2_000);
     let now = at(cluster.now);
@@ -79,21 +79,21 @@
     cluster.perform(address(3), outcome);
     cluster.node(3).alive = false;
     cluster.node(2).alive = false;
-    let heard = |cluster: &mut Cluster| {
+    let heartbeat_peers = |cluster: &mut Cluster| {
         let peers = cluster.node(0).coordinator.exchange().peers();
         peers
             .filter(|(_, peer)| peer.received_heartbeat)
             .map(|(peer, _)| peer)
             .collect::<Vec<_>>()
     };
-    assert_eq!(heard(&mut cluster), [address(1), address(2)]);
+    assert_eq!(heartbeat_peers(&mut cluster), [address(1), address(2)]);
     cluster.run(12_000);
-    assert_eq!(heard(&mut cluster), [address(1)]);
+    assert_eq!(heartbeat_peers(&mut cluster), [address(1)]);
 }
 
 #[test]
-fn a_node_sends_as_much_in_a_large_cluster_as_in_a_small_one() {
-    let sent_a_node = |size: usize| {
+fn messages_per_node_are_independent_of_the_cluster_size() {
+    let messages_per_node = |size: usize| {
         let mut cluster = Cluster::new(size);
         cluster.run(2_000);
         cluster.learn(0, 5);
@@ -103,24 +103,25 @@
         let after: usize = cluster.nodes.values().map(|node| node.sent).sum();
         (after - before) as f64 / size as f64
     };
-    let (small, large) = (sent_a_node(10), sent_a_node(200));
+    let (small, large) = (messages_per_node(10), messages_per_node(200));
     assert!(
         large < small * 1.2,
-        "{small} messages a node at 10, {large} at 200"
+        "{small} messages per node with 10 nodes, {large} with 200"
     );
 }
 
 #[test]
-fn a_node_alone_is_no_trouble() {
+fn a_single_node_runs_without_peers() {
     let mut cluster = Cluster::new(1);
     cluster.learn(0, 5);
     cluster.run(5_000);
     assert_eq!(cluster.knowing(5), 1);
 }
 
-/// More nodes start than a table of peers holds, all by the same seeds.
+/// More nodes start through the same seeds than fit in a seed's peer table. A seed replies only to
+/// nodes in its table and must make room for each new node.
 #[test]
-fn seeds_answer_every_node_of_a_large_cluster_that_starts() {
+fn all_nodes_of_a_large_cluster_join_through_the_same_seeds() {
     let mut cluster = Cluster::new(1_000);
     cluster.learn(999, 5);
     cluster.run(2_500);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn state_is_bounded_whatever_peers_claim() {
+fn the_peer_table_is_bounded() {
     let mut cluster = Cluster::new(1);
     for number in 1..2_000 {
         let heartbeat = Heartbeat {
@@ -156,37 +157,41 @@
 }
 
 #[test]
-fn one_node_reads_and_two_back_it_up_whatever_the_size() {
+fn one_reader_and_two_backups_are_elected_at_any_size() {
     for size in [3, 10, 200] {
         let cluster = watched(size);
-        assert_eq!(cluster.with_duty(StoreDuty::Reader).len(), 1, "of {size}");
+        assert_eq!(
+            cluster.with_duty(StoreDuty::Reader).len(),
+            1,
+            "{size} nodes"
+        );
         assert_eq!(
             cluster.with_duty(StoreDuty::Backup).len(),
             WATCHERS - 1,
-            "of {size}"
+            "{size} nodes"
         );
     }
 }
 
 #[test]
-fn all_others_rest_while_these_confirm_what_they_know() {
+fn listeners_stay_idle_while_watchers_confirm_the_state() {
     for size in [10, 100] {
         let mut cluster = watched(size);
-        let mut rested = 0;
+        let mut idle = 0;
         for _ in 0..40 {
             cluster.run(TICK);
-            rested += cluster.resting();
+            idle += cluster.resting();
         }
         let possible = 40 * (size - WATCHERS);
         assert!(
-            rested * 100 >= possible * 95,
-            "{rested} of {possible} at {size}"
+            idle * 100 >= possible * 95,
+            "{idle} of {possible} idle with {size} nodes"
         );
     }
 }
 
 #[test]
-fn nobody_rests_once_nobody_confirms() {
+fn no_node_stays_idle_without_confirmations() {
     let mut cluster = watched(10);
     cluster.store_answers = false;
     cluster.run(1_600);
@@ -194,7 +199,7 @@
 }
 
 #[test]
-fn a_node_that_knows_nothing_does_not_rest() {
+fn a_node_without_state_does_not_stay_idle() {
     let mut cluster = Cluster::new(4);
     cluster.store_answers = true;
     cluster.run(5_000);
@@ -202,7 +207,7 @@
 }
 
 #[test]
-fn while_the_store_answers_nobody_nobody_is_a_reader() {
+fn no_node_has_a_duty_while_the_store_is_unavailable() {
     let mut cluster = watched(10);
     for node in cluster.nodes.values_mut() {
         node.coordinator
@@ -214,23 +219,23 @@
 }
 
 #[test]
-fn a_node_alone_reads() {
+fn a_single_node_is_the_reader() {
     assert_eq!(watched(1).with_duty(StoreDuty::Reader).len(), 1);
 }
 
 #[test]
-fn nodes_that_start_together_do_not_all_read() {
+fn nodes_that_start_together_do_not_all_become_readers() {
     let mut cluster = Cluster::new(60);
     cluster.store_answers = true;
     for _ in 0..100 {
         cluster.run(TICK);
         let readers = cluster.with_duty(StoreDuty::Reader).len();
-        assert!(readers <= 2, "{readers} at {}", cluster.now);
+        assert!(readers <= 2, "{readers} readers at {}", cluster.now);
     }
 }
 
 #[test]
-fn others_take_over_from_watchers_that_died_or_lost_the_store() {
+fn watchers_that_die_or_lose_the_store_are_replaced() {
     let mut cluster = watched(20);
     let readers = cluster.with_duty(StoreDuty::Reader);
     let backups = cluster.with_duty(StoreDuty::Backup);
@@ -248,7 +253,7 @@
 }
 
 #[test]
-fn a_reader_that_leaves_is_followed_by_another() {
+fn a_reader_that_leaves_is_replaced() {
     let mut cluster = watched(10);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let now = at(cluster.now);
@@ -267,21 +272,25 @@
 }
 
 #[test]
-fn a_change_reaches_all_as_a_delta_within_moments() {
+fn a_change_reaches_most_nodes_at_once_as_a_delta() {
     let mut cluster = watched(100);
     let fetched =
         |cluster: &Cluster| -> usize { cluster.nodes.values().map(|node| node.fetched).sum() };
     let before = fetched(&cluster);
     cluster.learn(3, 9);
-    assert!(cluster.knowing(9) >= 80, "{} at once", cluster.knowing(9));
+    assert!(
+        cluster.knowing(9) >= 80,
+        "only {} nodes have it at once",
+        cluster.knowing(9)
+    );
     cluster.run(1_500);
     assert_eq!(cluster.knowing(9), 100);
     let by_snapshot = fetched(&cluster) - before;
-    assert!(by_snapshot <= 10, "{by_snapshot} fetched a snapshot");
+    assert!(by_snapshot <= 10, "{by_snapshot} nodes fetched a snapshot");
 }
 
 #[test]
-fn a_node_that_knows_the_list_still_fetches_tombstones_at_its_start() {
+fn a_starting_node_with_the_current_list_still_fetches_tombstones() {
     let mut cluster = watched(5);
     cluster.learn(0, 9);
     cluster.run(1_000);
@@ -289,20 +298,27 @@
     cluster.learn(4, 9);
     cluster.run(3_000);
     let replica = cluster.node(4).coordinator.replica();
-    let gone = replica.snapshot(at(0)).tombstones;
-    let gone: Vec<u64> = gone.iter().map(|tombstone| tombstone.record.id.0).collect();
-    assert_eq!(gone, [5], "instance 5 went before it started");
+    let tombstones = replica.snapshot(at(0)).tombstones;
+    let tombstones: Vec<u64> = tombstones
+        .iter()
+        .map(|tombstone| tombstone.record.id.0)
+        .collect();
+    assert_eq!(
+        tombstones,
+        [5],
+        "instance 5 was deleted before the node started"
+    );
 }
 
-/// After a kill of all, peers have nothing to tell: they must not use up the fetches by which a
-/// node learns of gone instances.
+/// After all nodes were killed, peers have no state to send. Snapshots from such peers must not use
+/// up the startup fetches, by which a node receives tombstones.
 #[test]
-fn a_peer_that_knows_nothing_is_no_introduction() {
+fn a_peer_without_state_does_not_use_up_a_startup_fetch() {
     let exchange = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
     for _ in 0..5 {
-        let nothing = Replica::new(TOMBSTONE_LIFETIME).snapshot(at(0));
-        node.snapshot(at(100), address(1), nothing);
+        let empty_snapshot = Replica::new(TOMBSTONE_LIFETIME).snapshot(at(0));
+        node.snapshot(at(100), address(1), empty_snapshot);
     }
     let peer = watched(3).nodes.remove(&address(0)).unwrap().coordinator;
     node.snapshot(at(200), address(0), peer.replica().snapshot(at(0)));
@@ -321,13 +337,16 @@
     let datagram = PeerDatagram::Heartbeat(heartbeat);
     let outcome = node.datagram(at(300), address(0), datagram);
     let fetch = ExchangeEffect::Fetch { from: address(0) };
-    assert!(outcome.effects.contains(&fetch), "one introduction is left");
+    assert!(
+        outcome.effects.contains(&fetch),
+        "one startup fetch is left"
+    );
 }
 
-/// A node that was confirmed at 10 s, whose calls to the store fail since then, and that hears
-/// others told of by `age`, milliseconds, at `hears`.
-fn unanswered(hears: u64, age: u32) -> Coordinator {
-    let mut node = newborn();
+/// Returns a node that was confirmed at 10 s and whose store calls have failed since then. At
+/// `heartbeats_at` it receives heartbeats with a confirmation that is `age` milliseconds old.
+fn node_with_failing_store(heartbeats_at: u64, age: u32) -> Coordinator {
+    let mut node = new_node();
     let empty = || Update::Whole {
         at: Revision::new(9),
         items: Vec::new(),
@@ -360,49 +379,52 @@
         failing: Vec::new(),
     };
     let heartbeats = (1..=200).map(heartbeat).collect::<Vec<_>>();
-    for now in (10_000..=hears).step_by(100) {
+    for now in (10_000..=heartbeats_at).step_by(100) {
         node.tick(at(now));
     }
     for (number, heartbeat) in heartbeats.into_iter().enumerate() {
         let datagram = PeerDatagram::Heartbeat(heartbeat);
-        node.datagram(at(hears), address(number + 1), datagram);
+        node.datagram(at(heartbeats_at), address(number + 1), datagram);
     }
     node
 }
 
-/// When a node first calls the store for instances, milliseconds; none within a minute.
+/// Returns when a node first calls the store for instances, in milliseconds, or `None` if it does
+/// not within a minute.
 fn first_call(node: &Coordinator, from: u64) -> Option<u64> {
     let mut times = (from..from + 60_000).step_by(100);
     times.find(|now| {
-        let rests = match node.watch_plan(at(*now), ObjectKind::Instances) {
+        let is_idle = match node.watch_plan(at(*now), ObjectKind::Instances) {
             WatchPlan::RestUntil(until) => at(*now) < until,
             WatchPlan::Watch(_) | WatchPlan::Confirm => false,
         };
-        !rests && node.may_ask(at(*now), ObjectKind::Instances)
+        !is_idle && node.may_ask(at(*now), ObjectKind::Instances)
     })
 }
 
 #[test]
-fn a_node_that_hears_nobody_asks_once_its_state_is_stale() {
-    let asked_at = first_call(&unanswered(10_000, 60_000), 11_000);
-    assert_eq!(asked_at, Some(11_500));
+fn an_isolated_node_calls_the_store_once_its_state_is_stale() {
+    let called_at = first_call(&node_with_failing_store(10_000, 60_000), 11_000);
+    assert_eq!(called_at, Some(11_500));
 }
 
 #[test]
-fn a_node_behind_confirmed_peers_asks_soon() {
-    // It hears them at 11.4 s, and they were confirmed just then; stale is its state at 11.5 s.
-    let asked_at = first_call(&unanswered(11_400, 0), 11_400).unwrap();
-    assert!((12_000..=12_300).contains(&asked_at), "{asked_at}");
+fn a_node_behind_confirmed_peers_calls_the_store_soon() {
+    // The heartbeats arrive at 11.4 s with fresh confirmations. The node's state is stale from
+    // 11.5 s on.
+    let called_at = first_call(&node_with_failing_store(11_400, 0), 11_400).unwrap();
+    assert!((12_000..=12_300).contains(&called_at), "{called_at}");
 }
 
-/// A node that knows nothing.
-fn newborn() -> Coordinator {
+/// Returns a node without state.
+fn new_node() -> Coordinator {
     let exchange = Exchange::new(ExchangeSettings::default(), address(0), Vec::new(), 1);
     Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange)
 }
 
-/// From whom a node wants to fetch when it hears a peer that knows all.
-fn fetches_on_hearing(node: &mut Coordinator, now: u64, from: usize) -> Vec<SocketAddrV4> {
+/// Returns the peers from which a node fetches when it receives a heartbeat of a peer with the
+/// whole state.
+fn fetches_after_heartbeat(node: &mut Coordinator, now: u64, from: usize) -> Vec<SocketAddrV4> {
     let heartbeat = Heartbeat {
         versions: Versions {
             configuration: 9,
@@ -431,38 +453,39 @@
     fetches.collect()
 }
 
-/// Over a thin link a snapshot takes seconds, and a second one beside it only takes its share.
+/// Over a slow link a snapshot takes seconds. A second fetch would take a share of the bandwidth
+/// and delay both.
 #[test]
-fn no_fetch_begins_beside_one_that_brings_data() {
-    let mut node = newborn();
-    assert_eq!(fetches_on_hearing(&mut node, 10_000, 1), [address(1)]);
+fn no_fetch_starts_beside_one_that_makes_progress() {
+    let mut node = new_node();
+    assert_eq!(fetches_after_heartbeat(&mut node, 10_000, 1), [address(1)]);
     for now in (10_200..14_000).step_by(200) {
         node.fetch_progressed(at(now), address(1));
         assert!(
-            fetches_on_hearing(&mut node, now + 100, 2).is_empty(),
+            fetches_after_heartbeat(&mut node, now + 100, 2).is_empty(),
             "at {now} ms"
         );
     }
     node.fetch_failed(address(1));
-    assert_eq!(fetches_on_hearing(&mut node, 14_400, 2), [address(2)]);
+    assert_eq!(fetches_after_heartbeat(&mut node, 14_400, 2), [address(2)]);
 }
 
 #[test]
-fn one_fetch_begins_beside_one_that_is_stuck() {
-    let mut node = newborn();
-    assert_eq!(fetches_on_hearing(&mut node, 10_000, 1), [address(1)]);
-    assert!(fetches_on_hearing(&mut node, 10_200, 2).is_empty());
-    let mut began = Vec::new();
+fn one_fetch_starts_beside_a_stalled_one() {
+    let mut node = new_node();
+    assert_eq!(fetches_after_heartbeat(&mut node, 10_000, 1), [address(1)]);
+    assert!(fetches_after_heartbeat(&mut node, 10_200, 2).is_empty());
+    let mut started = Vec::new();
     for now in (10_300..11_400).step_by(50) {
-        began.extend(fetches_on_hearing(&mut node, now, 2));
-        began.extend(fetches_on_hearing(&mut node, now, 3));
+        started.extend(fetches_after_heartbeat(&mut node, now, 2));
+        started.extend(fetches_after_heartbeat(&mut node, now, 3));
     }
-    assert_eq!(began.len(), 1, "{began:?}");
-    assert_ne!(began[0], address(1));
+    assert_eq!(started.len(), 1, "{started:?}");
+    assert_ne!(started[0], address(1));
 }
 
 #[test]
-fn after_a_stall_the_word_of_peers_that_waited_counts_for_nothing() {
+fn confirmations_that_waited_through_a_stall_are_ignored() {
     let cluster = watched(3);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let listener = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
@@ -470,7 +493,7 @@
     let snapshot = cluster.nodes[&reader].coordinator.replica().snapshot(at(0));
     let versions = snapshot.versions;
     listener.snapshot(at(0), reader, snapshot);
-    // Else it would take itself for the reader.
+    // Otherwise it would become the reader.
     listener.note_store(at(0), ObjectKind::Instances, false);
     let heartbeat = |age| {
         PeerDatagram::Heartbeat(Heartbeat {
@@ -486,38 +509,38 @@
             failing: Vec::new(),
         })
     };
-    let rests = |listener: &Coordinator, now| {
+    let is_idle = |listener: &Coordinator, now| {
         let plan = listener.watch_plan(at(now), ObjectKind::Configuration);
         matches!(plan, WatchPlan::RestUntil(until) if until > at(now))
     };
     listener.tick(at(0));
     listener.datagram(at(50), reader, heartbeat(0));
-    assert!(rests(&listener, 100));
-    // It stands still for four seconds; this one waited in its socket all the while.
+    assert!(is_idle(&listener, 100));
+    // The process stalls for four seconds; this heartbeat waited in its socket buffer.
     listener.datagram(at(4_100), reader, heartbeat(0));
-    assert!(!rests(&listener, 4_100));
+    assert!(!is_idle(&listener, 4_100));
     listener.tick(at(4_110));
     listener.datagram(at(4_300), reader, heartbeat(0));
-    assert!(!rests(&listener, 4_300));
+    assert!(!is_idle(&listener, 4_300));
     for now in [4_400, 4_500] {
         listener.tick(at(now));
     }
     listener.datagram(at(4_550), reader, heartbeat(100));
-    assert!(rests(&listener, 4_550));
+    assert!(is_idle(&listener, 4_550));
     let plan = listener.watch_plan(at(4_550), ObjectKind::Configuration);
     assert_eq!(plan, WatchPlan::RestUntil(at(4_450 + 1_500)));
 }
 
-/// Ages that a node is told may be greater than its own: it must neither rest on an old
-/// confirmation nor renew a dead node's claim.
+/// Ages in messages may exceed the uptime of the receiver. Capped at the uptime, they would make an
+/// old confirmation look fresh or renew the claim of a dead node.
 #[test]
-fn a_node_that_has_just_started_makes_nothing_younger() {
+fn ages_larger_than_the_uptime_are_preserved() {
     const START: u64 = 100_000;
     let exchange = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
-    let mut newborn = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
-    newborn.tick(at(START));
+    let mut new_node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
+    new_node.tick(at(START));
     let peer = watched(3).nodes.remove(&address(0)).unwrap().coordinator;
-    newborn.snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
+    new_node.snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
@@ -535,15 +558,19 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    newborn.datagram(at(START + 50), address(0), datagram);
-    let plan = newborn.watch_plan(at(START + 60), ObjectKind::Instances);
-    assert_eq!(plan, WatchPlan::Confirm, "it doesn't rest");
-    let (outcome, _) = newborn.tick(at(START + 200));
-    let told = outcome
+    new_node.datagram(at(START + 50), address(0), datagram);
+    let plan = new_node.watch_plan(at(START + 60), ObjectKind::Instances);
+    assert_eq!(
+        plan,
+        WatchPlan::Confirm,
+        "an old confirmation does not keep it idle"
+    );
+    let (outcome, _) = new_node.tick(at(START + 200));
+    let sent = outcome
         .effects
         .into_iter()
-        .chain(newborn.leave(at(START + 210)));
-    let claims = told.filter_map(|effect| match effect {
+        .chain(new_node.leave(at(START + 210)));
+    let claims = sent.filter_map(|effect| match effect {
         ExchangeEffect::SendHeartbeat { heartbeat, .. } => Some(heartbeat.claims),
         _ => None,
     });
@@ -554,15 +581,15 @@
 }
 
 #[test]
-fn a_listener_that_hears_nothing_asks_for_the_newest_state() {
+fn a_listener_without_confirmations_reads_the_newest_state() {
     let cluster = watched(5);
     let listener = cluster.with_duty(StoreDuty::Listener)[0];
     let coordinator = &cluster.nodes[&listener].coordinator;
-    let rests = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
-    assert!(matches!(rests, WatchPlan::RestUntil(until) if until > at(cluster.now)));
+    let plan = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
+    assert!(matches!(plan, WatchPlan::RestUntil(until) if until > at(cluster.now)));
     let later = cluster.now + 10_000;
     let plan = coordinator.watch_plan(at(later), ObjectKind::Instances);
-    assert_eq!(plan, WatchPlan::Confirm, "its rest is over");
+    assert_eq!(plan, WatchPlan::Confirm, "its confirmation has expired");
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let plan = cluster.nodes[&reader]
         .coordinator
@@ -571,7 +598,7 @@
 }
 
 #[test]
-fn two_peers_that_agree_are_believed_and_one_is_not() {
+fn a_suspicion_needs_two_peers() {
     let mut cluster = Cluster::new(5);
     let [dead, cut] = [1, 2].map(|bits| Cookie::from_bits(bits).unwrap());
     let reports = [(1, vec![dead, cut]), (2, vec![dead])];
@@ -590,25 +617,25 @@
     }
 }
 
-/// Nodes that know nothing, as after a kill of all in an outage. Who asks for all is a matter of rank, not
-/// of agreement; with time all know who comes first.
+/// Nodes without state, as after all were killed during an outage. Which nodes read everything is
+/// decided by rank and not by agreement; the ranking converges as nodes learn of each other.
 #[test]
-fn few_nodes_ask_the_store_for_all_that_know_nothing() {
+fn few_nodes_without_state_read_all_from_the_store() {
     let mut cluster = Cluster::new(60);
     cluster.run(5_000);
-    let asking = |cluster: &Cluster| {
+    let bootstrap_readers = |cluster: &Cluster| {
         let nodes = cluster.nodes.values();
         nodes.filter(|node| node.coordinator.asks_for_all()).count()
     };
-    let before = asking(&cluster);
-    assert!((1..=10).contains(&before), "{before} of 60 ask");
+    let before = bootstrap_readers(&cluster);
+    assert!((1..=10).contains(&before), "{before} of 60 nodes");
     cluster.learn(7, 10);
     cluster.run(2_000);
-    assert_eq!(asking(&cluster), 0, "all know something");
+    assert_eq!(bootstrap_readers(&cluster), 0, "all nodes have state");
 }
 
 #[test]
-fn a_node_that_knows_nothing_fetches_from_who_knows_all() {
+fn a_node_without_state_fetches_only_from_a_peer_with_all_of_it() {
     let settings = ExchangeSettings::default();
     let mut exchange = Exchange::new(settings, address(0), Vec::new(), 1);
     let heartbeat = |directory: u64| Heartbeat {
@@ -630,7 +657,7 @@
         zones: Vec::new(),
         failing: Vec::new(),
     };
-    let mut hear = |now, from, directory| {
+    let mut receive = |now, from, directory| {
         let own = Versions::default();
         let behind = |versions: Versions| !versions.is_empty() || versions.configuration > 0;
         let message = heartbeat(directory);
@@ -642,17 +669,17 @@
         fetches.collect::<Vec<_>>()
     };
     assert!(
-        hear(10_000, 1, 0).is_empty(),
-        "it has the configuration alone"
+        receive(10_000, 1, 0).is_empty(),
+        "the peer has only the configuration"
     );
-    assert_eq!(hear(10_010, 2, 5), [address(2)]);
+    assert_eq!(receive(10_010, 2, 5), [address(2)]);
 }
 
-/// A node that has just started has heard too few to tell, and one that loses its peers doesn't take
-/// itself for the only one: what holds for the sum of all nodes would be broken.
+/// A node that has just started has too few peers for an estimate, and one that loses its peers is
+/// not the only node. A too small estimate would break limits that apply to the sum over all nodes.
 #[test]
-fn a_node_takes_the_cluster_for_no_smaller_than_it_was() {
-    let mut node = newborn();
+fn the_cluster_size_estimate_drops_only_after_a_delay() {
+    let mut node = new_node();
     assert!(node.nodes_at_most(at(10_000)) >= 300.0, "just started");
     for now in (10_000..20_000).step_by(100) {
         for number in 1..=40 {
@@ -677,9 +704,13 @@
     for now in (20_000..70_000).step_by(100) {
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(70_000)), 41.0, "cut off");
+    assert_eq!(
+        node.nodes_at_most(at(70_000)),
+        41.0,
+        "isolated for less than a minute"
+    );
     for now in (70_000..200_000).step_by(100) {
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(200_000)), 1.0, "for good");
+    assert_eq!(node.nodes_at_most(at(200_000)), 1.0, "isolated for longer");
 }
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -1,4 +1,4 @@
-//! Gossip within and between zones: what it costs, and that no zone is left behind.
+//! Gossip within and between zones: its cost between zones, and that updates reach every zone.
 
 use crate::cluster::{Cluster, Layout, ONE_ZONE, TICK, address, watched, watched_in, zone_of};
 use crate::support::at;
@@ -18,7 +18,7 @@
     Layout { zones, ..ONE_ZONE }
 }
 
-fn without_zones(zones: usize) -> Layout {
+fn without_zone_preference(zones: usize) -> Layout {
     Layout {
         zones,
         own_zone_first: false,
@@ -26,7 +26,8 @@
     }
 }
 
-/// Bytes between zones in ten seconds in which the configuration and an instance change twice a second.
+/// Returns the bytes sent between zones in ten seconds in which the configuration and an instance
+/// change twice a second.
 fn bytes_between_zones(size: usize, layout: Layout) -> usize {
     let mut cluster = watched_in(size, layout);
     cluster.traffic.clear();
@@ -37,54 +38,53 @@
     cluster.traffic.values().map(|[_, between]| between).sum()
 }
 
-/// Milliseconds until all know each of some changes, the mean and the longest.
-fn times_until_all_know(size: usize, layout: Layout) -> (u64, u64) {
+/// Returns the mean and the maximum time in milliseconds until a change has reached all nodes.
+fn propagation_times(size: usize, layout: Layout) -> (u64, u64) {
     let mut cluster = watched_in(size, layout);
     let mut times = Vec::new();
     for change in 0..20 {
         let revision = 100 + change as u64;
         cluster.learn(change * 7 % size, revision);
-        let began = cluster.now;
+        let started = cluster.now;
         while cluster.knowing(revision) < size {
             cluster.run(TICK);
         }
-        times.push(cluster.now - began);
+        times.push(cluster.now - started);
         cluster.run(1_000);
     }
     let mean = times.iter().sum::<u64>() / times.len() as u64;
     (mean, times.into_iter().max().unwrap())
 }
 
-/// Between 30 and 300 nodes it grows by what the small zones of 30 save: a zone of ten has fewer nodes than would tell others.
+/// Between 30 and 300 nodes the bytes grow by what the small zones of 30 nodes save: a zone of ten
+/// has fewer nodes than would send to other zones.
 #[test]
-fn bytes_between_zones_grow_with_zones_and_not_with_nodes() {
+fn bytes_between_zones_depend_on_zones_and_not_on_nodes() {
     for count in [3, 6] {
         let bytes = [30, 100, 300].map(|size| bytes_between_zones(size, zones(count)));
         println!("{count} zones: {bytes:?}");
         assert!(bytes[2] * 10 < bytes[0] * 15, "{count} zones: {bytes:?}");
         assert!(bytes[2] * 10 < bytes[1] * 13, "{count} zones: {bytes:?}");
     }
-    let alike = [30, 300].map(|size| bytes_between_zones(size, without_zones(3)));
-    println!("off: {alike:?}");
-    assert!(alike[1] > alike[0] * 5, "without the setting: {alike:?}");
+    let off = [30, 300].map(|size| bytes_between_zones(size, without_zone_preference(3)));
+    println!("off: {off:?}");
+    assert!(off[1] > off[0] * 5, "without own_zone_first: {off:?}");
 }
 
 #[test]
-fn a_change_reaches_all_zones_as_soon_as_without_them() {
+fn a_change_spreads_as_fast_with_zones_as_without() {
     for (size, count) in [(30, 3), (100, 6), (300, 3)] {
-        let (mean, longest) = times_until_all_know(size, zones(count));
-        let (mean_without, longest_without) = times_until_all_know(size, without_zones(count));
-        println!(
-            "{size} nodes in {count}: {mean} {longest}, off: {mean_without} {longest_without}"
-        );
-        assert!(mean <= mean_without + TICK && longest <= longest_without.max(1_000));
+        let (mean, longest) = propagation_times(size, zones(count));
+        let (mean_off, longest_off) = propagation_times(size, without_zone_preference(count));
+        println!("{size} nodes in {count}: {mean} {longest}, off: {mean_off} {longest_off}");
+        assert!(mean <= mean_off + TICK && longest <= longest_off.max(1_000));
     }
 }
 
 #[test]
-fn zones_of_one_node_and_a_zone_larger_than_the_others_hear_all() {
+fn changes_reach_zones_of_one_node_and_zones_of_unequal_size() {
     for (size, count) in [(6, 6), (7, 6), (2, 2)] {
-        let (_, longest) = times_until_all_know(size, zones(count));
+        let (_, longest) = propagation_times(size, zones(count));
         assert!(
             longest <= 1_000,
             "{longest} ms, {size} nodes in {count} zones"
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_zone_whose_nodes_all_start_again_learns_all_from_others() {
+fn a_fully_restarted_zone_receives_the_state_from_other_zones() {
     let mut cluster = watched_in(60, zones(3));
     cluster.learn(1, 50);
     cluster.run(2_000);
@@ -104,9 +104,9 @@
     assert_eq!(cluster.knowing(50), 60);
 }
 
-/// As many join as there are, and know only the addresses of three seeds.
+/// As many nodes join as there are, and they know only the addresses of three seeds.
 #[test]
-fn seeds_do_not_serve_all_that_start() {
+fn seeds_serve_few_of_the_snapshots_of_starting_nodes() {
     let mut cluster = watched_in(150, zones(3));
     cluster.learn(1, 50);
     cluster.run(3_000);
@@ -123,23 +123,27 @@
     let by_seeds = served[..3].iter().sum::<usize>();
     let by_all = served.iter().sum::<usize>();
     println!("{by_seeds} of {by_all} in {times} ms");
-    assert!(by_seeds * 5 < by_all, "{by_seeds} of {by_all} bytes");
+    assert!(
+        by_seeds * 5 < by_all,
+        "seeds sent {by_seeds} of {by_all} bytes"
+    );
     assert!(times <= 1_000, "{times} ms");
 }
 
-/// The first of a zone to hear it is killed in the same moment; nobody was chosen to tell the zone instead.
+/// The first node of a zone that gets an update is killed before it sends anything. No other node
+/// is designated to send the update to the zone.
 #[test]
-fn a_zone_whose_only_informed_node_dies_hears_from_others() {
-    for dying in [1, 4, 22] {
+fn a_zone_whose_only_updated_node_dies_gets_the_update_from_others() {
+    for victim in [1, 4, 22] {
         let mut cluster = watched_in(60, zones(3));
         let others: Vec<SocketAddrV4> = cluster.nodes.keys().copied().collect();
         for other in others {
-            cluster.lost.push((address(dying), other));
+            cluster.lost.push((address(victim), other));
         }
-        cluster.learn(dying, 50);
+        cluster.learn(victim, 50);
         cluster.run(TICK);
-        assert_eq!(cluster.knowing(50), 1, "it told nobody");
-        cluster.node(dying).alive = false;
+        assert_eq!(cluster.knowing(50), 1, "all its messages were lost");
+        cluster.node(victim).alive = false;
         cluster.lost.clear();
         cluster.learn(2, 50);
         cluster.run(1_500);
@@ -147,8 +151,8 @@
     }
 }
 
-/// Loses all messages between the first zone and the others.
-fn cut_first_zone(cluster: &mut Cluster) {
+/// Drops all messages between the first zone and the others.
+fn partition_first_zone(cluster: &mut Cluster) {
     let count = cluster.layout.zones;
     let nodes: Vec<SocketAddrV4> = cluster.nodes.keys().copied().collect();
     for from in &nodes {
@@ -160,16 +164,20 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_watches_by_itself_and_joins_again() {
+fn a_partitioned_zone_elects_watchers_and_rejoins() {
     let mut cluster = watched_in(60, zones(3));
-    cut_first_zone(&mut cluster);
+    partition_first_zone(&mut cluster);
     cluster.run(12_000);
-    let watching: BTreeSet<usize> = [StoreDuty::Reader, StoreDuty::Backup]
+    let watchers: BTreeSet<usize> = [StoreDuty::Reader, StoreDuty::Backup]
         .into_iter()
         .flat_map(|duty| cluster.with_duty(duty))
         .map(|address| usize::from(zone_of(address, 3) == 0))
         .collect();
-    assert_eq!(watching.len(), 2, "both parts watch the store");
+    assert_eq!(
+        watchers.len(),
+        2,
+        "both sides of the partition watch the store"
+    );
     cluster.learn(1, 50);
     cluster.run(2_000);
     assert_eq!(cluster.knowing(50), 40);
@@ -181,39 +189,39 @@
 }
 
 #[test]
-fn nodes_of_all_zones_rest_while_a_few_watch() {
+fn listeners_of_all_zones_stay_idle_while_watchers_confirm() {
     for count in [3, 6] {
         let mut cluster = watched_in(120, zones(count));
-        let mut rested = 0;
+        let mut idle = 0;
         for _ in 0..40 {
             cluster.run(TICK);
-            rested += cluster.resting();
+            idle += cluster.resting();
         }
         let possible = 40 * (120 - WATCHERS);
-        assert!(rested * 100 >= possible * 95, "{rested} of {possible}");
+        assert!(idle * 100 >= possible * 95, "{idle} of {possible} idle");
     }
 }
 
 #[test]
-fn the_largest_machines_watch_spread_over_zones() {
+fn watchers_are_the_largest_machines_spread_over_zones() {
     for count in [1, 3] {
         let layout = Layout {
             large: 6,
             ..zones(count)
         };
         let cluster = watched_in(90, layout);
-        let mut watching = cluster.with_duty(StoreDuty::Reader);
-        watching.extend(cluster.with_duty(StoreDuty::Backup));
-        assert_eq!(watching.len(), WATCHERS);
+        let mut watchers = cluster.with_duty(StoreDuty::Reader);
+        watchers.extend(cluster.with_duty(StoreDuty::Backup));
+        assert_eq!(watchers.len(), WATCHERS);
         let large: Vec<SocketAddrV4> = (0..6).map(address).collect();
-        assert!(watching.iter().all(|node| large.contains(node)));
-        let places: BTreeSet<usize> = watching.iter().map(|node| zone_of(*node, count)).collect();
+        assert!(watchers.iter().all(|node| large.contains(node)));
+        let places: BTreeSet<usize> = watchers.iter().map(|node| zone_of(*node, count)).collect();
         assert_eq!(places.len(), count.min(WATCHERS));
     }
 }
 
 #[test]
-fn equal_machines_of_one_zone_are_drawn_by_hash_alone() {
+fn equal_machines_of_one_zone_are_ranked_by_hash() {
     let mut by_hash: Vec<SocketAddrV4> = (0..20).map(address).collect();
     by_hash.sort_by_key(|address| {
         let mut bytes = address.ip().octets().to_vec();
@@ -227,7 +235,7 @@
 }
 
 #[test]
-fn a_watcher_that_is_busy_gives_way_and_comes_back() {
+fn a_busy_watcher_is_replaced_and_returns_when_idle() {
     let layout = Layout {
         large: 4,
         ..zones(3)
@@ -247,19 +255,19 @@
     cluster.run(600);
     assert!(!cluster.with_duty(StoreDuty::Reader).contains(&reader));
     cluster.run(2_400);
-    assert_eq!(node(&mut cluster), 0, "it has given way");
+    assert_eq!(node(&mut cluster), 0, "another node has replaced it");
     cluster.run(6_000);
     assert_eq!(cluster.with_duty(StoreDuty::Reader).len(), 1);
     assert_eq!(cluster.with_duty(StoreDuty::Backup).len(), WATCHERS - 1);
     assert!(!cluster.with_duty(StoreDuty::Backup).contains(&reader));
     cluster.node(number).coordinator.set_link_paced(false);
     cluster.run(8_000);
-    assert_eq!(node(&mut cluster), 1, "it has come back");
+    assert_eq!(node(&mut cluster), 1, "it watches again");
 }
 
-/// If all have too much to do, some watch all the same.
+/// If all nodes are busy, three of them watch nevertheless.
 #[test]
-fn where_all_are_busy_three_watch() {
+fn three_nodes_watch_even_if_all_are_busy() {
     let mut cluster = watched_in(30, zones(3));
     for number in 0..30 {
         cluster.node(number).coordinator.set_link_paced(true);
@@ -295,24 +303,30 @@
     }
 }
 
-fn lone_exchange(seed: u64) -> Exchange {
+fn isolated_exchange(seed: u64) -> Exchange {
     Exchange::new(ExchangeSettings::default(), address(0), Vec::new(), seed)
 }
 
-/// From whom a node that knows nothing fetches first, and from whom once that has failed.
+/// Returns the peers from which a node without state fetches, in order, if each fetch fails.
 fn sources(seed: u64, peers: &[(usize, u16, CapacityClass)]) -> Vec<SocketAddrV4> {
-    let mut exchange = lone_exchange(seed);
-    let nothing = Versions::default();
+    let mut exchange = isolated_exchange(seed);
+    let no_versions = Versions::default();
     for (number, zone, class) in peers {
         let heartbeat = heartbeat_of(*zone, *class, 9);
-        exchange.handle_heartbeat(at(10_000), address(*number), &heartbeat, nothing, |_| false);
-        // What it asks at once of the first that it hears is over.
-        exchange.fetch_succeeded(address(*number), nothing);
+        exchange.handle_heartbeat(
+            at(10_000),
+            address(*number),
+            &heartbeat,
+            no_versions,
+            |_| false,
+        );
+        // Ends the fetch that starts at once from the first peer.
+        exchange.fetch_succeeded(address(*number), no_versions);
     }
     let mut sources = Vec::new();
     for now in (10_000..20_000).step_by(100) {
         let behind = |versions: Versions| !versions.is_empty();
-        for effect in exchange.tick(at(now), nothing, behind) {
+        for effect in exchange.tick(at(now), no_versions, behind) {
             if let ExchangeEffect::Fetch { from } = effect {
                 exchange.fetch_failed(from);
                 sources.push(from);
@@ -325,13 +339,14 @@
     sources
 }
 
-/// Who hears of a death late goes on sending there, and who hears late that an instance lives ends its flows.
+/// A zone that gets a finding late keeps sending flows to the dead instance, and a zone that gets a
+/// refutation late resets flows of a live one.
 #[test]
-fn findings_questions_and_objections_go_to_another_zone_each_time() {
+fn findings_probe_requests_and_refutations_always_reach_another_zone() {
     let class = CapacityClass::LEAST;
     let cookie = Cookie::of(InstanceId(7));
     for seed in 0..20 {
-        let mut exchange = lone_exchange(seed);
+        let mut exchange = isolated_exchange(seed);
         for number in 1..40 {
             let zone = if number < 30 { 0 } else { 7 };
             let heartbeat = heartbeat_of(zone, class, 9);
@@ -349,25 +364,25 @@
         let findings = exchange
             .report_findings(at(10_100), vec![finding])
             .into_iter();
-        let told = findings.filter(
+        let sent = findings.filter(
             |effect| matches!(effect, ExchangeEffect::SendFindings { to, .. } if is_far(to)),
         );
-        assert_eq!(told.count(), 1, "seed {seed}");
-        let questions = exchange.request_probes(&[cookie]);
-        let [ExchangeEffect::SendProbeRequest { to, .. }] = &questions[..] else {
-            panic!("{questions:?}");
+        assert_eq!(sent.count(), 1, "seed {seed}");
+        let requests = exchange.request_probes(&[cookie]);
+        let [ExchangeEffect::SendProbeRequest { to, .. }] = &requests[..] else {
+            panic!("{requests:?}");
         };
         assert!(is_far(to), "seed {seed}");
-        let objections = exchange.refute_suspicions(&[cookie]).into_iter();
-        let told = objections.filter(
+        let refutations = exchange.refute_suspicions(&[cookie]).into_iter();
+        let sent = refutations.filter(
             |effect| matches!(effect, ExchangeEffect::SendRefutation { to, .. } if is_far(to)),
         );
-        assert_eq!(told.count(), 1, "seed {seed}");
+        assert_eq!(sent.count(), 1, "seed {seed}");
     }
 }
 
 #[test]
-fn the_own_zone_is_asked_first_and_others_when_it_fails() {
+fn snapshots_come_from_the_own_zone_first_and_from_others_if_it_fails() {
     let class = CapacityClass::LEAST;
     for seed in 0..20 {
         let peers = [(1, 7, class), (2, 0, class), (3, 8, class)];
@@ -378,7 +393,7 @@
 }
 
 #[test]
-fn larger_machines_are_asked_for_snapshots_by_what_they_bear() {
+fn snapshot_sources_are_chosen_in_proportion_to_capacity() {
     let large = CapacityClass::new(4);
     let peers = [
         (1, 0, CapacityClass::LEAST),
@@ -397,21 +412,21 @@
     );
 }
 
-/// A table that is full of the own zone still knows some of each other zone.
+/// A table that is filled by the own zone must still contain some peers of each other zone.
 #[test]
-fn peers_of_other_zones_keep_their_place_in_a_full_table() {
-    let mut exchange = lone_exchange(1);
+fn peers_of_other_zones_keep_their_entries_in_a_full_table() {
+    let mut exchange = isolated_exchange(1);
     let own = Versions::default();
-    let mut hear = |number: usize, zone: u16| {
+    let mut receive = |number: usize, zone: u16| {
         let heartbeat = heartbeat_of(zone, CapacityClass::LEAST, 0);
         let now = at(10_000 + number as u64);
         exchange.handle_heartbeat(now, address(number), &heartbeat, own, |_| false);
     };
     for number in 1..=40 {
-        hear(number, 1 + number as u16 % 2);
+        receive(number, 1 + number as u16 % 2);
     }
     for number in 41..2_000 {
-        hear(number, 0);
+        receive(number, 0);
     }
     let mut counts = [0; 3];
     for (_, peer) in exchange.peers() {
@@ -422,7 +437,7 @@
 }
 
 #[test]
-fn the_scarcest_of_what_a_machine_has_tells_its_class() {
+fn the_scarcest_resource_determines_the_capacity_class() {
     let machine = |cores, memory_mb, link_mbps| {
         let capacity = MachineCapacity {
             cores: Some(cores),
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -1,4 +1,5 @@
-//! What nodes make of what other nodes' probes found, and what a dead instance costs them all.
+//! Handling of probe findings of other nodes, and the cost of a dead instance for the whole
+//! cluster.
 
 use crate::cluster::{TICK, address, in_five_zones};
 use crate::support::at;
@@ -31,7 +32,7 @@
     }
 }
 
-/// A node of zone 0, in a cluster of several zones.
+/// Returns the monitor of a node of zone 0 in a cluster of several zones.
 fn monitor() -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(origin(0, 0));
     monitor.set_one_zone(false);
@@ -39,39 +40,48 @@
 }
 
 #[test]
-fn what_one_node_found_keeps_new_flows_of_its_zone_away_and_ends_none() {
+fn a_single_finding_diverts_new_flows_of_its_zone_and_resets_none() {
     let mut monitor = monitor();
     assert!(monitor.note_finding(at(1_000), &finding(origin(1, 0), 950)));
     assert!(monitor.avoided(at(1_000)).contains(&cookie()));
     assert!(monitor.unreachable(at(1_000)).is_empty());
     assert!(monitor.ended(at(2_000)).is_empty());
 
-    let mut elsewhere = ReachabilityMonitor::new(origin(9, 5));
-    elsewhere.set_one_zone(false);
-    assert!(elsewhere.note_finding(at(1_000), &finding(origin(1, 0), 950)));
-    assert!(elsewhere.avoided(at(1_000)).is_empty(), "paths differ");
+    let mut other_zone = ReachabilityMonitor::new(origin(9, 5));
+    other_zone.set_one_zone(false);
+    assert!(other_zone.note_finding(at(1_000), &finding(origin(1, 0), 950)));
+    assert!(
+        other_zone.avoided(at(1_000)).is_empty(),
+        "network paths of other zones differ"
+    );
 }
 
 #[test]
-fn what_nodes_of_two_zones_found_ends_flows_everywhere() {
+fn findings_of_two_zones_reset_flows_in_all_zones() {
     let mut monitor = monitor();
     monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
     monitor.note_finding(at(1_100), &finding(origin(2, 5), 1_050));
-    assert!(monitor.unreachable(at(1_100)).is_empty(), "one zone");
+    assert!(
+        monitor.unreachable(at(1_100)).is_empty(),
+        "findings of only one zone"
+    );
     monitor.note_finding(at(1_200), &finding(origin(3, 6), 1_150));
     let all = BTreeSet::from([cookie()]);
     assert_eq!(monitor.unreachable(at(1_200)), all);
     assert_eq!(monitor.avoided(at(1_200)), all);
-    assert!(monitor.ended(at(1_399)).is_empty(), "peers may object");
+    assert!(
+        monitor.ended(at(1_399)).is_empty(),
+        "within the objection period"
+    );
     assert_eq!(monitor.ended(at(1_400)), all);
     assert!(monitor.lives(at(1_500), cookie()));
     assert!(monitor.unreachable(at(1_500)).is_empty());
     assert!(!monitor.note_finding(at(1_600), &finding(origin(4, 7), 1_450)));
 }
 
-/// What was asked in an earlier fault is no time to object in this one.
+/// Probe requests of an earlier fault must not shorten the objection period of the current one.
 #[test]
-fn peers_have_time_to_object_each_time() {
+fn the_objection_period_restarts_with_each_fault() {
     let mut monitor = monitor();
     for found_at in [1_000, 60_000] {
         monitor.note_finding(at(found_at), &finding(origin(1, 5), found_at));
@@ -82,7 +92,7 @@
 }
 
 #[test]
-fn in_one_zone_two_nodes_are_enough() {
+fn two_findings_are_enough_in_a_cluster_of_one_zone() {
     let mut monitor = ReachabilityMonitor::new(origin(0, 0));
     assert!(monitor.note_finding(at(1_000), &finding(origin(1, 0), 950)));
     assert!(!monitor.note_finding(at(1_000), &finding(origin(1, 0), 960)));
@@ -92,7 +102,7 @@
 }
 
 #[test]
-fn a_finding_is_told_on_once_and_holds_for_a_moment() {
+fn a_finding_is_forwarded_once_and_expires() {
     let mut monitor = monitor();
     let first = finding(origin(1, 0), 950);
     assert!(monitor.note_finding(at(1_000), &first));
@@ -106,52 +116,53 @@
 }
 
 #[test]
-fn an_instance_that_a_peer_reaches_again_is_avoided_until_it_shows_life() {
+fn an_instance_reached_again_by_peers_is_avoided_for_a_while() {
     let mut monitor = monitor();
     monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
     monitor.note_finding(at(1_000), &finding(origin(2, 6), 950));
-    let back = |origin| Finding {
+    let reached_again = |origin| Finding {
         reached: true,
         ..finding(origin, 2_000)
     };
-    assert!(monitor.note_finding(at(2_000), &back(origin(3, 5))));
+    assert!(monitor.note_finding(at(2_000), &reached_again(origin(3, 5))));
     assert!(monitor.unreachable(at(2_000)).is_empty());
-    assert!(monitor.note_finding(at(2_000), &back(origin(2, 6))));
+    assert!(monitor.note_finding(at(2_000), &reached_again(origin(2, 6))));
     assert!(
-        !monitor.note_finding(at(2_010), &back(origin(2, 6))),
-        "told before"
+        !monitor.note_finding(at(2_010), &reached_again(origin(2, 6))),
+        "already forwarded"
     );
     assert!(!monitor.avoided(at(11_999)).is_empty());
     assert!(monitor.avoided(at(12_000)).is_empty());
 }
 
-/// Else a finding and its withdrawal would go round among the nodes, each told on each time.
+/// Otherwise a finding and its withdrawal would circulate among the nodes endlessly, each forwarded
+/// every time.
 #[test]
-fn a_copy_of_a_finding_that_was_withdrawn_is_no_news() {
+fn a_copy_of_a_withdrawn_finding_is_not_forwarded() {
     let mut monitor = monitor();
     let first = finding(origin(1, 5), 950);
-    let back = Finding {
+    let reached_again = Finding {
         reached: true,
         ..finding(origin(1, 5), 2_000)
     };
     assert!(monitor.note_finding(at(1_000), &first));
-    assert!(monitor.note_finding(at(2_050), &back));
+    assert!(monitor.note_finding(at(2_050), &reached_again));
     for now in [2_060, 2_070] {
         assert!(!monitor.note_finding(at(now), &first));
-        assert!(!monitor.note_finding(at(now), &back));
+        assert!(!monitor.note_finding(at(now), &reached_again));
     }
     assert!(monitor.note_finding(at(4_050), &finding(origin(1, 5), 4_000)));
 }
 
-/// What others found counts for nothing against what this node finds itself.
+/// A node's own probe takes precedence over findings of other nodes.
 #[test]
-fn a_node_that_reaches_an_instance_drops_what_peers_found() {
+fn a_successful_own_probe_discards_findings_of_peers() {
     let mut monitor = monitor();
     monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
     monitor.note_finding(at(1_000), &finding(origin(2, 6), 950));
     assert!(
         !monitor.question(at(1_000), cookie(), Doubter::Node),
-        "it is answered"
+        "the peers' findings are already known"
     );
     assert!(monitor.question(at(1_000), cookie(), Doubter::Peer));
     monitor.questioned(Doubter::Peer);
@@ -161,7 +172,7 @@
 }
 
 #[test]
-fn a_peer_is_asked_until_one_of_another_zone_confirms_a_verdict() {
+fn probes_are_requested_until_another_zone_confirms_a_finding() {
     let mut monitor = monitor();
     monitor.question(at(900), cookie(), Doubter::Node);
     monitor.questioned(Doubter::Node);
@@ -169,33 +180,37 @@
     assert_eq!(monitor.unconfirmed(at(1_000)), [cookie()]);
     assert_eq!(monitor.unconfirmed(at(1_399)), []);
     monitor.note_finding(at(1_399), &finding(origin(1, 0), 1_350));
-    assert_eq!(monitor.unconfirmed(at(1_400)), [cookie()], "the own zone");
+    assert_eq!(
+        monitor.unconfirmed(at(1_400)),
+        [cookie()],
+        "confirmed only by the own zone"
+    );
     monitor.note_finding(at(1_500), &finding(origin(2, 5), 1_450));
     assert_eq!(monitor.unconfirmed(at(1_800)), []);
 }
 
-/// What a dead instance costs the cluster.
+/// Cost of a dead instance for the cluster.
 #[derive(Debug)]
 struct Cost {
-    /// Connections to it, and to others beside it.
+    /// Connections to it, and to control instances probed for comparison.
     connections: usize,
-    /// Findings and questions that the middle node sent, bytes.
+    /// Bytes of findings, probe requests and refutations that a node sent on average.
     bytes: usize,
-    /// Nodes that hold it unreachable half a second after the first did.
-    knowing: usize,
+    /// Nodes that consider it unreachable half a second after the first suspicion.
+    informed_nodes: usize,
 }
 
-/// One node's opening at an instance comes to nothing; probes of all nodes run for six seconds, by when its record
-/// has gone.
-fn cost_of_a_death(nodes: usize) -> Cost {
+/// An opening of one node at an instance fails. Probes of all nodes run for six seconds, after
+/// which the record of the instance would be deleted.
+fn cost_of_a_dead_instance(nodes: usize) -> Cost {
     let mut cluster = in_five_zones(nodes, 50);
     cluster.traffic.clear();
-    let began = cluster.now;
-    let doubting = cluster.node(nodes / 2);
-    doubting.coordinator.doubt(at(began), &[cookie()]);
+    let started = cluster.now;
+    let suspecting = cluster.node(nodes / 2);
+    suspecting.coordinator.doubt(at(started), &[cookie()]);
     let mut connections = 0;
-    let mut knowing = 0;
-    while cluster.now < began + 6_000 {
+    let mut informed_nodes = 0;
+    while cluster.now < started + 6_000 {
         for node in 0..nodes {
             let now = at(cluster.now);
             while let Some(batch) = cluster.node(node).coordinator.next_probe(now, &[]) {
@@ -212,16 +227,16 @@
             }
         }
         cluster.run(TICK);
-        if cluster.now == began + 500 {
+        if cluster.now == started + 500 {
             let now = at(cluster.now);
             let all = cluster.nodes.values();
-            knowing = all
+            informed_nodes = all
                 .filter(|node| node.coordinator.unreachable(now).contains(&cookie()))
                 .count();
         }
     }
-    let told = ["findings", "question", "objection"];
-    let bytes = told.map(|kind| {
+    let kinds = ["findings", "question", "objection"];
+    let bytes = kinds.map(|kind| {
         cluster
             .traffic
             .get(kind)
@@ -230,17 +245,21 @@
     Cost {
         connections,
         bytes: bytes.iter().sum::<usize>() / nodes,
-        knowing,
+        informed_nodes,
     }
 }
 
-/// Three attempts and two, beside controls, and two nodes that look twice whether it is still so.
+/// The limit covers three attempts and two more, connections to control instances, and two nodes
+/// that check twice whether the instance is still unreachable.
 #[test]
-fn a_dead_instance_costs_as_many_connections_in_a_large_cluster_as_in_a_small_one() {
-    let costs = [10, 100, 1_000].map(cost_of_a_death);
+fn the_cost_of_a_dead_instance_is_independent_of_the_cluster_size() {
+    let costs = [10, 100, 1_000].map(cost_of_a_dead_instance);
     for (cost, nodes) in costs.iter().zip([10, 100, 1_000]) {
         assert!(cost.connections <= 25, "{nodes} nodes: {cost:?}");
         assert!(cost.bytes <= 3_000, "{nodes} nodes: {cost:?}");
-        assert!(cost.knowing * 100 >= nodes * 90, "{nodes} nodes: {cost:?}");
+        assert!(
+            cost.informed_nodes * 100 >= nodes * 90,
+            "{nodes} nodes: {cost:?}"
+        );
     }
 }
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -1,4 +1,4 @@
-//! Nothing that a peer sends is trusted.
+//! Encoding and validation of peer messages. Messages are untrusted input.
 
 use crate::support::{at, configuration, node, of_service, record};
 use bellyoke_core::cookie::capacity::{CapacityClass, NodePlace, ZoneKey};
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_heartbeat_comes_back_as_it_was() {
+fn heartbeat_round_trip() {
     for key in [PeerKey::default(), PeerKey::new([7; 32])] {
         let bytes = heartbeat(6).encode(&key).unwrap();
         assert!(bytes.len() <= MAXIMUM_HEARTBEAT_LENGTH);
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn a_question_comes_back_as_it_was() {
-    let question = ProbeRequest {
+fn probe_request_round_trip() {
+    let request = ProbeRequest {
         cookies: (0..ProbeRequest::MAXIMUM_COOKIES as u32).collect(),
     };
     let key = PeerKey::new([7; 32]);
-    let bytes = question.encode(&key).unwrap();
+    let bytes = request.encode(&key).unwrap();
     assert_eq!(
         PeerDatagram::decode(&bytes, &key),
-        Ok(PeerDatagram::ProbeRequest(question))
+        Ok(PeerDatagram::ProbeRequest(request))
     );
     let forged = PeerDatagram::decode(&bytes, &PeerKey::default());
     assert_eq!(forged, Err(DecodeError::Tag));
 }
 
 #[test]
-fn a_full_report_of_findings_comes_back_as_it_was() {
+fn full_findings_report_round_trip() {
     let finding = |cookie| ReportedFinding {
         cookie,
         node: SocketAddrV4::new([10, 0, 0, 1].into(), 7_000),
@@ -108,20 +108,20 @@
 }
 
 #[test]
-fn an_objection_comes_back_as_it_was() {
-    let objection = Refutation {
+fn refutation_round_trip() {
+    let refutation = Refutation {
         cookies: (0..Refutation::MAXIMUM_COOKIES as u32).collect(),
     };
     let key = PeerKey::new([7; 32]);
-    let bytes = objection.encode(&key).unwrap();
+    let bytes = refutation.encode(&key).unwrap();
     let decoded = PeerDatagram::decode(&bytes, &key);
-    assert_eq!(decoded, Ok(PeerDatagram::Refutation(objection)));
+    assert_eq!(decoded, Ok(PeerDatagram::Refutation(refutation)));
     let forged = PeerDatagram::decode(&bytes, &PeerKey::default());
     assert_eq!(forged, Err(DecodeError::Tag));
 }
 
 #[test]
-fn a_snapshot_comes_back_as_it_was() {
+fn snapshot_round_trip() {
     let mut replica = node(vec![record(1, 1), record(2, 2)]);
     replica.replace_instances(at(5), Revision::new(20), vec![record(2, 2)]);
     let snapshot = replica.snapshot(at(100));
@@ -130,7 +130,7 @@
     assert_eq!(decode_snapshot(&bytes, &key), Ok(snapshot));
 }
 
-/// A snapshot of many routes to a few services, and of some instances and gone ones.
+/// Returns a snapshot of many routes to a few services, with some instances and tombstones.
 fn large_snapshot(routes: u16, instances: u64) -> Snapshot {
     let mut replica = node(Vec::new());
     let mut configuration = configuration(30, &[("till-service", 1)]);
@@ -148,13 +148,13 @@
     replica.adopt_configuration(configuration);
     let records = (1..=instances).map(|id| of_service("till-service", record(id, 40 + id)));
     replica.replace_instances(at(5), Revision::new(2_000), records.collect());
-    let left = (1..instances).map(|id| of_service("till-service", record(id, 40 + id)));
-    replica.replace_instances(at(6), Revision::new(2_001), left.collect());
+    let remaining = (1..instances).map(|id| of_service("till-service", record(id, 40 + id)));
+    replica.replace_instances(at(6), Revision::new(2_001), remaining.collect());
     replica.snapshot(at(7))
 }
 
 #[test]
-fn a_snapshot_names_each_service_once() {
+fn a_snapshot_stores_each_service_name_once() {
     let key = PeerKey::default();
     let snapshot = large_snapshot(1_881, 46);
     let bytes = encode_snapshot(&snapshot, &key).unwrap();
@@ -162,7 +162,8 @@
     assert_eq!(decode_snapshot(&bytes, &key), Ok(snapshot));
 }
 
-/// Identities and addresses as the store's: alike in nothing that an encoding could count on.
+/// Identities and addresses are scattered like those of the store; the encoding cannot rely on
+/// similarity between records.
 #[test]
 fn a_snapshot_of_thousands_of_instances_is_compressed() {
     let mut snapshot = large_snapshot(1_881, 1);
@@ -187,12 +188,12 @@
     assert_eq!(decode_snapshot(&bytes, &key), Ok(snapshot));
 }
 
-/// Where no key is set anybody can seal a message.
+/// Without a key anybody can seal a message. A forged length must not cause a large allocation.
 #[test]
-fn a_snapshot_that_would_unpack_to_too_much_is_refused() {
+fn a_snapshot_with_an_excessive_decompressed_length_is_rejected() {
     let key = PeerKey::default();
-    let honest = encode_snapshot(&node(Vec::new()).snapshot(at(0)), &key).unwrap();
-    let header = &honest[..2];
+    let valid = encode_snapshot(&node(Vec::new()).snapshot(at(0)), &key).unwrap();
+    let header = &valid[..2];
     let mut payload = u32::MAX.to_le_bytes().to_vec();
     payload.extend([0x1f, 7, 1, 0, 255, 255, 255, 0]);
     let mut hasher = blake3::Hasher::new();
@@ -201,9 +202,9 @@
     let mut forged = header.to_vec();
     forged.extend(hasher.finalize().as_bytes());
     forged.extend(payload);
-    let refused = decode_snapshot(&forged, &key);
+    let rejected = decode_snapshot(&forged, &key);
     let length = u32::MAX as usize;
-    assert_eq!(refused, Err(DecodeError::Length { length }));
+    assert_eq!(rejected, Err(DecodeError::Length { length }));
 }
 
 fn delta_message(records: u64) -> DeltaMessage {
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn a_delta_comes_back_as_it_was() {
+fn delta_round_trip() {
     let key = PeerKey::new([7; 32]);
     let message = delta_message(8);
     let bytes = message.encode(&key).unwrap();
@@ -230,13 +231,13 @@
 }
 
 #[test]
-fn a_delta_that_fits_no_datagram_is_not_sent() {
+fn a_delta_that_exceeds_a_datagram_is_not_encoded() {
     let encoded = delta_message(100).encode(&PeerKey::default());
     assert!(matches!(encoded, Err(EncodeError::TooLong { .. })));
 }
 
 #[test]
-fn a_request_comes_back_as_it_was() {
+fn fetch_request_round_trip() {
     let key = PeerKey::new([7; 32]);
     let request = FetchRequest {
         known: heartbeat(0).versions,
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn a_list_of_too_many_claims_is_refused() {
+fn a_heartbeat_with_too_many_claims_is_rejected() {
     let key = PeerKey::default();
     let mut heartbeat = heartbeat(1);
     heartbeat.claims.push(heartbeat.claims[0]);
@@ -258,7 +259,7 @@
 }
 
 #[test]
-fn another_key_is_refused() {
+fn a_message_with_another_key_is_rejected() {
     let bytes = heartbeat(1).encode(&PeerKey::new([7; 32])).unwrap();
     assert_eq!(
         Heartbeat::decode(&bytes, &PeerKey::new([8; 32])),
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn a_snapshot_is_no_heartbeat() {
+fn a_snapshot_is_not_decoded_as_a_heartbeat() {
     let key = PeerKey::default();
     let bytes = encode_snapshot(&node(Vec::new()).snapshot(at(0)), &key).unwrap();
     assert!(matches!(
@@ -281,7 +282,7 @@
 }
 
 #[test]
-fn a_list_of_too_many_peers_is_refused() {
+fn a_heartbeat_with_too_many_peers_is_rejected() {
     let key = PeerKey::default();
     let bytes = heartbeat(7).encode(&key).unwrap();
     assert!(matches!(
@@ -292,7 +293,7 @@
 
 proptest! {
     #[test]
-    fn random_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn random_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let key = PeerKey::default();
         prop_assert!(Heartbeat::decode(&bytes, &key).is_err());
         prop_assert!(PeerDatagram::decode(&bytes, &key).is_err());
@@ -301,7 +302,7 @@
     }
 
     #[test]
-    fn damaged_bytes_are_refused(index in any::<prop::sample::Index>(), flip in 1..=255_u8) {
+    fn corrupted_bytes_are_rejected(index in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let key = PeerKey::new([7; 32]);
         let mut bytes = heartbeat(3).encode(&key).unwrap();
         let index = index.index(bytes.len());
@@ -310,9 +311,9 @@
     }
 }
 
-/// A service that is replaced changes as many instances a second.
+/// The replacement of a service changes this many instances per second.
 #[test]
-fn a_datagram_tells_of_thirty_instances() {
+fn a_datagram_holds_changes_of_thirty_instances() {
     let records = (0..15).map(|number| InstanceRecord {
         started: Some(1_796_000_000_000 + number * 7_919),
         ..record(number * 0x9e37_79b1 % 0xffff_ffff, 40_000 + number)
--- a/crates/bellyoke-core/tests/cookie/spread.rs
+++ b/crates/bellyoke-core/tests/cookie/spread.rs
@@ -1,4 +1,4 @@
-//! What it costs to spread changes of instances, by the number of nodes.
+//! Cost of spreading instance changes, by cluster size.
 
 use crate::cluster::{Cluster, TICK, address, in_five_zones};
 use crate::support::{at, record};
@@ -7,23 +7,24 @@
 use bellyoke_core::cookie::instance::{InstanceEvent, InstanceId};
 use bellyoke_core::cookie::revision::Revision;
 
-/// Instances before a service is replaced.
-const INSTANCES: u64 = 400;
+/// Number of instances before a service is replaced.
+const INITIAL_INSTANCES: u64 = 400;
 
-/// Instances that come, and as many that go, in each second.
-const REPLACED: u64 = 12;
+/// Number of instances that are added, and number that are removed, per second.
+const REPLACED_PER_SECOND: u64 = 12;
 
-/// Seconds for which instances are replaced.
-const SECONDS: u64 = 3;
+/// Duration of the replacement in seconds.
+const REPLACEMENT_SECONDS: u64 = 3;
 
-/// The store tells the nodes that watch it of a batch of changes.
-fn replace(cluster: &mut Cluster, batch: u64) -> Revision {
-    let revision = Revision::new(INSTANCES + 100 * (batch + 1));
-    let first = batch * REPLACED + 1;
-    let gone = (first..first + REPLACED).map(|id| InstanceEvent::Gone(InstanceId(id)));
-    let new = first + INSTANCES..first + INSTANCES + REPLACED;
+/// Delivers a batch of changes from the store to the nodes that watch it.
+fn replace_batch(cluster: &mut Cluster, batch: u64) -> Revision {
+    let revision = Revision::new(INITIAL_INSTANCES + 100 * (batch + 1));
+    let first = batch * REPLACED_PER_SECOND + 1;
+    let removed =
+        (first..first + REPLACED_PER_SECOND).map(|id| InstanceEvent::Gone(InstanceId(id)));
+    let new = first + INITIAL_INSTANCES..first + INITIAL_INSTANCES + REPLACED_PER_SECOND;
     let new = new.map(|id| InstanceEvent::Put(record(id, revision.number())));
-    let events: Vec<InstanceEvent> = gone.chain(new).collect();
+    let events: Vec<InstanceEvent> = removed.chain(new).collect();
     let now = at(cluster.now);
     let mut watchers = cluster.with_duty(StoreDuty::Reader);
     watchers.extend(cluster.with_duty(StoreDuty::Backup));
@@ -39,32 +40,32 @@
     revision
 }
 
-/// What a node sends while a service is replaced.
+/// Traffic of a node during the replacement of a service.
 #[derive(Debug)]
 struct Cost {
-    /// Deltas and snapshots, bytes a node and second.
+    /// Bytes of deltas and snapshots per node and second.
     bytes: usize,
-    /// Datagrams of the middle and of the busiest node, a second.
+    /// Datagrams per second of the median and of the busiest node.
     datagrams: [usize; 2],
-    /// Nodes of a thousand that have adopted each change half a second after it.
+    /// Nodes per thousand that have adopted each change half a second after it.
     adopted: usize,
 }
 
-fn cost_of_a_replacement(nodes: usize) -> Cost {
-    let mut cluster = in_five_zones(nodes, INSTANCES);
+fn replacement_cost(nodes: usize) -> Cost {
+    let mut cluster = in_five_zones(nodes, INITIAL_INSTANCES);
     cluster.traffic.clear();
     for node in cluster.nodes.values_mut() {
         node.sent = 0;
     }
     let mut adopted = nodes;
-    for batch in 0..SECONDS {
-        let revision = replace(&mut cluster, batch);
+    for batch in 0..REPLACEMENT_SECONDS {
+        let revision = replace_batch(&mut cluster, batch);
         cluster.run(500);
-        let knows = |number: &usize| {
+        let has_revision = |number: &usize| {
             let directory = cluster.nodes[&address(*number)].coordinator.replica();
             directory.directory().as_of() >= Some(revision)
         };
-        adopted = adopted.min((0..nodes).filter(knows).count());
+        adopted = adopted.min((0..nodes).filter(has_revision).count());
         cluster.run(500);
     }
     let bytes = ["delta", "snapshot"].map(|kind| {
@@ -73,7 +74,7 @@
     });
     let mut sent: Vec<usize> = cluster.nodes.values().map(|node| node.sent).collect();
     sent.sort_unstable();
-    let seconds = usize::try_from(SECONDS).unwrap();
+    let seconds = usize::try_from(REPLACEMENT_SECONDS).unwrap();
     Cost {
         bytes: bytes.iter().sum::<usize>() / nodes / seconds,
         datagrams: [sent[nodes / 2] / seconds, sent[nodes - 1] / seconds],
@@ -81,11 +82,11 @@
     }
 }
 
-/// Each node tells four others once, however many there are.
+/// Each node forwards a change once to four peers, whatever the cluster size.
 #[test]
-fn a_replaced_service_costs_a_node_as_much_in_a_large_cluster_as_in_a_small_one() {
+fn the_cost_of_replacing_a_service_is_independent_of_the_cluster_size() {
     assert_eq!(TICK, 50);
-    let costs = [20, 200, 1_000].map(cost_of_a_replacement);
+    let costs = [20, 200, 1_000].map(replacement_cost);
     let [small, _, _] = &costs;
     for cost in &costs {
         assert!(cost.bytes <= small.bytes * 3 / 2, "{costs:?}");
