--- a/crates/bellyoke-core/src/cookie/exchange/asking.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/asking.rs
@@ -18,18 +18,17 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Mean time between two calls of one kind by all nodes together whose last call failed. It bounds
-/// how long the recovery of the store goes unnoticed, and it determines half of the calls during a
-/// long outage.
+/// Mean time between two calls of one kind, over all nodes whose last call failed. It bounds how
+/// long a recovery of the store goes unnoticed, and half of the calls during a long outage.
 const FAILED_CALL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Mean time between two calls of one kind by all nodes together that have not called recently.
-/// Possibly only the watchers have lost the store, and a change must still be in force in time: of
-/// eight nodes, three of them watchers, one calls within 1.4 s except in 0.2% of cases.
+/// Mean time between two calls of one kind, over all nodes that have not called recently. Possibly
+/// only the watchers have lost the store, and a change must still be in force in time: of eight
+/// nodes, three of them watchers, one calls within 1.4 s except in 0.2% of cases.
 const UNTRIED_CALL_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Mean time between two calls of one kind by all nodes together that the store answered recently.
-/// An answer reaches all nodes within some tens of milliseconds, and a handful of nodes call before
+/// Mean time between two calls of one kind, over all nodes that the store answered recently. An
+/// answer reaches all nodes within some tens of milliseconds, and a handful of nodes call before
 /// they receive it.
 const ANSWERED_CALL_INTERVAL: Duration = Duration::from_millis(10);
 
--- a/crates/bellyoke-core/src/cookie/exchange/doubts.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/doubts.rs
@@ -13,12 +13,13 @@
 /// the finding about a single one takes 0.1 s longer to reach all nodes.
 const FINDINGS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Number of peers that must suspect an instance.
+/// Number of peers that must suspect an instance before the suspicion counts.
 const REQUIRED_WITNESSES: usize = 2;
 
 impl Exchange {
     /// Sets the instances that fail to complete openings which this node sent itself. Suspicions
-    /// received from peers are not forwarded, and a suspicion ends with the nodes that observed it.
+    /// received from peers are not forwarded, and a suspicion therefore ends once the nodes that
+    /// observed the failures drop it.
     pub fn set_failing(&mut self, mut failing: Vec<Cookie>) {
         failing.truncate(Heartbeat::MAXIMUM_FAILING);
         self.failing = failing;
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -2,8 +2,8 @@
 //!
 //! A snapshot repeats a few names many times: each route names its services, each instance its
 //! service and zone. In this encoding each name and each group of equal route properties is stored
-//! once, and records refer to it by index. 1,881 routes and 46 instances take 17 kB instead of 138
-//! kB, which matters when a machine's link is slow and many nodes start at once.
+//! once, and records refer to it by index. 1,881 routes and 46 instances take 17 kB instead of
+//! 138 kB, which matters when a machine's link is slow and many nodes start at once.
 
 use super::message::DeltaMessage;
 use super::seal::{DecodeError, EncodeError};
