--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -7,7 +7,7 @@
 
 use bellyoke_core::cookie::coordinator::Coordinator;
 use bellyoke_core::cookie::exchange::{
-    Exchange, ExchangeSettings, PeerDatagram, PeerKey, Question, encode_snapshot,
+    Exchange, ExchangeSettings, PeerDatagram, PeerKey, ProbeRequest, encode_snapshot,
 };
 use bellyoke_core::cookie::follower::Update;
 use bellyoke_core::cookie::instance::{
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -184,7 +184,7 @@
     #[must_use]
     pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind) -> bool {
         let knows_all = !self.replica.versions().is_empty();
-        self.exchange.may_ask(now, kind, knows_all)
+        self.exchange.may_call_store(now, kind, knows_all)
     }
 
     /// Records the start of a store call for objects of a kind.
@@ -362,14 +362,14 @@
         FetchRequest {
             known: self.replica.versions(),
             zone: self.exchange.place().zone,
-            wants_all_gone: self.exchange.is_newcomer(),
+            wants_all_tombstones: self.exchange.started_recently(),
         }
     }
 
     /// Returns the snapshot that answers a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
-        let gone_since = if request.wants_all_gone {
+        let gone_since = if request.wants_all_tombstones {
             Revision::default()
         } else {
             request.known.directory_as_of
@@ -387,9 +387,9 @@
         self.replica.confirm(heartbeat.versions);
         let replica = &self.replica;
         let behind = |versions| replica.is_behind(versions);
-        let effects = self
-            .exchange
-            .heartbeat(now, from, heartbeat, replica.versions(), behind);
+        let effects =
+            self.exchange
+                .handle_heartbeat(now, from, heartbeat, replica.versions(), behind);
         Outcome {
             change: StateChange::default(),
             effects,
@@ -406,7 +406,7 @@
         self.record_versions(now, message.versions);
         let change = self.replica.merge_delta(now, message.delta);
         self.replica.confirm(message.versions);
-        self.exchange.note_versions(from, message.versions);
+        self.exchange.record_versions(from, message.versions);
         self.changed(now, before, change)
     }
 
@@ -432,7 +432,7 @@
         }
         let effects = if change.any() {
             let own = self.replica.versions();
-            self.exchange.changed(now, before, own)
+            self.exchange.push_changes(now, before, own)
         } else {
             Vec::new()
         };
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -2,7 +2,7 @@
 
 use super::{Coordinator, Outcome};
 use crate::cookie::directory::{Directory, KnownInstance};
-use crate::cookie::exchange::{ExchangeEffect, Objection, Question, ReachabilityReport};
+use crate::cookie::exchange::{ExchangeEffect, ProbeRequest, ReachabilityReport, Refutation};
 use crate::cookie::instance::{Cookie, InstanceState};
 use crate::cookie::placement::mix;
 use crate::cookie::reachability::{
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -1,17 +1,18 @@
-//! Peers tell each other how much they know, and fetch what they lack.
+//! Gossip between nodes: they exchange state versions and fetch the state that they lack.
 //!
-//! Gossip by random peer sampling (Demers et al. 1987; Jelasity et al. 2007): each period a node
-//! sends a short heartbeat with its versions to a few random peers, whatever the size of the
-//! cluster. What a node learns it pushes at once to a few, as a delta, and they push it on. Who is
-//! still behind fetches a snapshot from one that is ahead. So a node that the store refuses, or
-//! whose watch hangs, or that starts while the store is down, still learns everything.
+//! Gossip uses random peer sampling (Demers et al. 1987; Jelasity et al. 2007): in each period a
+//! node sends a short heartbeat with its state versions to a few random peers, whatever the size of
+//! the cluster. A node pushes each state change at once to a few peers as a delta, and they forward
+//! it. A node that is still behind fetches a snapshot from a peer that is ahead. A node therefore
+//! receives the whole state even if the store refuses its calls, its watch hangs, or it starts
+//! during a store outage.
 //!
-//! Three nodes watch the store ([`StoreDuty`]). Their confirmations that nothing newer is there
-//! spread the same way, and the others rest while these are fresh; whoever hears none for
-//! [`ExchangeSettings::freshness_bound`] asks the store itself.
+//! Three nodes watch the store ([`StoreDuty`]). Their confirmations that the state is current
+//! spread the same way, and the other nodes stay idle while these confirmations are fresh. A node
+//! that receives none for [`ExchangeSettings::freshness_bound`] calls the store itself.
 //!
-//! Unlike [`crate::node::membership`] this needs no agreed member list: nothing is decided by
-//! who takes part, so a sample of live peers is enough.
+//! Unlike [`crate::node::membership`], this protocol needs no agreed member list: no decision
+//! depends on the set of participants, and a sample of live peers is enough.
 
 mod asking;
 mod candidates;
@@ -32,12 +33,12 @@
 
 pub use candidates::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 pub use effect::ExchangeEffect;
-pub use fetches::FETCH_PATIENCE;
+pub use fetches::FETCH_STALL_TIMEOUT;
 pub use findings::{ReachabilityReport, ReportedFinding};
 pub use message::{
     DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, Objection, PeerDatagram, PeerSuggestion,
-    Question, ZoneSize, decode_snapshot, encode_snapshot,
+    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerDatagram, PeerSuggestion, ProbeRequest,
+    Refutation, ZoneSize, decode_snapshot, encode_snapshot,
 };
 pub(crate) use outliers::tallies_of;
 pub use outliers::{OutlierMessage, ReportedTally};
@@ -51,40 +52,40 @@
 use crate::cookie::reachability::Finding;
 use crate::cookie::replica::Versions;
 use crate::time::Timestamp;
-use asking::AskPacer;
-use candidates::{ClaimTable, in_order};
+use asking::StoreCallPacer;
+use candidates::{ClaimTable, rank_nodes};
 use fetches::{FetchPurpose, FetchTable};
 use peers::PeerTable;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use receivers::PUSHED_PEERS;
+use receivers::PUSH_SUGGESTIONS;
 use size::ClusterSize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use zone_sizes::ZoneSizes;
 
-/// Nodes that ask the store for all while nobody knows anything.
-const ASKERS: usize = 2;
+/// Number of nodes that read the whole state from the store while no node has it.
+const BOOTSTRAP_READERS: usize = 2;
 
-/// Snapshots that a node fetches after its start though it is not behind: the store doesn't tell
-/// of instances that have gone, and the first peer may have started just now itself.
-const INTRODUCTIONS: u32 = 2;
+/// Number of snapshots that a node fetches after its start even if it is not behind. The store does
+/// not report deleted instances, and the first peer may itself have just started.
+const STARTUP_FETCHES: u32 = 2;
 
-/// The exchange of one node.
+/// The gossip state of one node.
 #[derive(Debug)]
 pub struct Exchange {
     settings: ExchangeSettings,
     own_address: SocketAddrV4,
     place: NodePlace,
-    /// Whether it has too much to do for duties that others can take.
+    /// Whether the node is too busy for duties that other nodes can take.
     busy: bool,
     seeds: Vec<SocketAddrV4>,
     peers: PeerTable,
     zone_sizes: ZoneSizes,
-    /// How many nodes its own zone has, as of the last round.
+    /// Estimated number of nodes in the own zone, as of the last gossip round.
     own_zone_nodes: f64,
     random: ChaCha8Rng,
-    next_round: Timestamp,
+    next_gossip: Timestamp,
     fetches: FetchTable,
     behind_since: Option<Timestamp>,
     leaving: bool,
@@ -92,25 +93,26 @@
     /// Since when this node's own claim has been among the best.
     claimed_since: Option<Timestamp>,
     store_usable: bool,
-    /// Whether this node, or one that it heard, has read the newest state, and not only states that may be stale.
+    /// Whether this node, directly or through confirmations of peers, has the result of a read of
+    /// the newest state, as opposed to reads that may be stale.
     newest_was_read: bool,
     clock: FreshnessClock,
-    pacer: AskPacer,
-    /// The last confirmation that was pushed on.
-    told_confirmation: Timestamp,
-    distrust_until: Timestamp,
-    introductions: u32,
-    /// Whether a peer that another one named as a source had nothing.
-    misled: bool,
+    pacer: StoreCallPacer,
+    /// The last confirmation that was pushed to peers.
+    pushed_confirmation: Timestamp,
+    ignore_confirmations_until: Timestamp,
+    startup_fetches_left: u32,
+    /// Set once a peer that another node suggested as a source turned out to have no state.
+    ignore_suggested_versions: bool,
     failing: Vec<Cookie>,
-    /// Findings of probes that wait to be told, and when they may be.
-    untold: Vec<Finding>,
-    next_telling: Timestamp,
+    /// Probe findings that are not yet reported, and the earliest time of the next report.
+    pending_findings: Vec<Finding>,
+    next_findings_report: Timestamp,
     size: ClusterSize,
 }
 
 impl Exchange {
-    /// A node at `own_address` that knows only where to look for peers.
+    /// Creates the exchange of a node at `own_address` whose only known peers are `seeds`.
     #[must_use]
     pub fn new(
         settings: ExchangeSettings,
@@ -128,7 +130,7 @@
             zone_sizes: ZoneSizes::default(),
             own_zone_nodes: 1.0,
             random: ChaCha8Rng::seed_from_u64(random_seed),
-            next_round: Timestamp::ZERO,
+            next_gossip: Timestamp::ZERO,
             fetches: FetchTable::default(),
             behind_since: None,
             leaving: false,
@@ -137,70 +139,71 @@
             store_usable: true,
             newest_was_read: false,
             clock: FreshnessClock::new(settings.reads_zones),
-            pacer: AskPacer::new(),
-            told_confirmation: Timestamp::ZERO,
-            distrust_until: Timestamp::ZERO,
-            introductions: INTRODUCTIONS,
-            misled: false,
+            pacer: StoreCallPacer::new(),
+            pushed_confirmation: Timestamp::ZERO,
+            ignore_confirmations_until: Timestamp::ZERO,
+            startup_fetches_left: STARTUP_FETCHES,
+            ignore_suggested_versions: false,
             failing: Vec::new(),
-            untold: Vec::new(),
-            next_telling: Timestamp::ZERO,
+            pending_findings: Vec::new(),
+            next_findings_report: Timestamp::ZERO,
             size: ClusterSize::default(),
         };
         exchange.set_seeds(seeds);
         exchange
     }
 
-    /// The same, of a node that stands at a place.
+    /// Sets the zone and the capacity class of the node.
     #[must_use]
-    pub const fn standing_at(mut self, place: NodePlace) -> Self {
+    pub const fn with_place(mut self, place: NodePlace) -> Self {
         self.place = place;
         self
     }
 
-    /// Whether the node has too much to do for duties that others can take. They go to others, unless
-    /// these have too.
+    /// Sets whether the node is too busy for duties that other nodes can take. They move to other
+    /// nodes unless those are busy as well.
     pub const fn set_busy(&mut self, busy: bool) {
         self.busy = busy;
     }
 
-    /// Where the node stands, and what it tells others that it can bear.
+    /// Returns the zone and the capacity class that the node advertises.
     #[must_use]
     pub const fn place(&self) -> NodePlace {
         self.own_place()
     }
 
-    /// Whether it has too much to do for duties that others can take.
+    /// Returns whether the node is too busy for duties that other nodes can take.
     #[must_use]
     pub const fn is_busy(&self) -> bool {
         self.busy
     }
 
-    /// The zone of a peer, if it is known.
+    /// Returns the zone of a known peer.
     #[must_use]
     pub fn zone_of(&self, peer: SocketAddrV4) -> Option<ZoneKey> {
         self.peers.zone_of(peer)
     }
 
-    /// Where the node's claim stands among those that it knows, the first at zero; none if others are better.
+    /// Returns the rank of this node's claim among the best claims, starting at zero, or `None` if
+    /// it is not among them.
     #[must_use]
     pub fn claim_rank(&self) -> Option<usize> {
-        self.claims.place_of(self.own_address)
+        self.claims.rank_of(self.own_address)
     }
 
-    /// Replaces the addresses where peers are looked for.
+    /// Replaces the addresses of the seed nodes.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
         self.seeds.retain(|seed| *seed != self.own_address);
     }
 
-    /// Peers heard of late.
+    /// Returns the peers that were seen recently.
     pub fn peers(&self) -> impl Iterator<Item = (SocketAddrV4, &PeerRecord)> {
         self.peers.iter()
     }
 
-    /// Whether this node is one of the few that stand first by rank among those that it knows, alive or
-    /// suggested.
+    /// Returns whether this node is one of the first `BOOTSTRAP_READERS` by rank among all known
+    /// nodes, including those that were only suggested.
     #[must_use]
     pub fn ranks_among_first(&self) -> bool {
         let known = self.peers.iter();
@@ -208,18 +211,20 @@
             .map(|(address, record)| (address, record.place))
             .collect();
         known.push((self.own_address, self.own_place()));
-        let mut first = in_order(known, |node| *node).into_iter().take(ASKERS);
+        let mut first = rank_nodes(known, |node| *node)
+            .into_iter()
+            .take(BOOTSTRAP_READERS);
         first.any(|(address, _)| address == self.own_address)
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Returns when [`Self::tick`] is due next.
     #[must_use]
     pub const fn next_tick(&self) -> Timestamp {
-        self.next_round
+        self.next_gossip
     }
 
-    /// Time has passed. `own` is what this node knows; `behind` tells whether a peer's versions
-    /// are ahead of it.
+    /// Performs the work that is due at `now`. `own` is the state version of this node; `behind`
+    /// returns whether this node lacks something that a peer with the given versions has.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -227,23 +232,23 @@
         behind: impl Fn(Versions) -> bool,
     ) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        if now >= self.next_round {
-            self.next_round = now.after(self.jittered_period());
+        if now >= self.next_gossip {
+            self.next_gossip = now.after(self.jittered_period());
             for lost in self.peers.expire(now, self.settings.peer_lifetime) {
                 effects.push(ExchangeEffect::PeerLost(lost));
             }
             self.renew_claim(now);
-            self.draw_first_turns(now);
+            self.draw_first_slots(now);
             self.count_nodes(now);
-            self.send_round(now, own, &mut effects);
+            self.send_gossip(now, own, &mut effects);
         }
         self.fetch_if_behind(now, own, &behind, &mut effects);
         effects.extend(self.flush_findings(now));
         effects
     }
 
-    /// A heartbeat has come from `from`.
-    pub fn heartbeat(
+    /// Handles a heartbeat from `from`.
+    pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
@@ -262,18 +267,18 @@
             }
             return effects;
         }
-        self.pacer.heard(now);
+        self.pacer.record_heartbeat(now);
         let zone = self.own_zone();
-        if self.peers.heard(now, zone, from, heartbeat) {
+        if self.peers.record_heartbeat(now, zone, from, heartbeat) {
             effects.push(ExchangeEffect::PeerJoined(from));
         }
-        self.note_suggestions(now, heartbeat);
-        self.note_claims(now, &heartbeat.claims);
+        self.record_suggestions(now, heartbeat);
+        self.record_claims(now, &heartbeat.claims);
         if let Some(confirmed_at) = self.confirmation(now, heartbeat) {
-            self.pacer.peer_confirmed(confirmed_at);
+            self.pacer.record_peer_confirmation(confirmed_at);
             if !behind(heartbeat.versions) {
-                let by_newest = heartbeat.confirmed_by_newest;
-                self.hear_confirmation(now, confirmed_at, by_newest, own, &mut effects);
+                let by_newest = heartbeat.confirmed_by_newest_read;
+                self.adopt_confirmation(now, confirmed_at, by_newest, own, &mut effects);
             }
         }
         self.reply(now, from, heartbeat, own, &mut effects);
@@ -281,13 +286,13 @@
         effects
     }
 
-    /// A peer has sent a delta, and told its versions with it.
-    pub fn note_versions(&mut self, from: SocketAddrV4, versions: Versions) {
-        self.peers.note_versions(from, versions);
+    /// Records the versions that a peer sent with a delta.
+    pub fn record_versions(&mut self, from: SocketAddrV4, versions: Versions) {
+        self.peers.record_versions(from, versions);
     }
 
-    /// This node, which knew `before`, has learned something: tells a few peers at once.
-    pub fn changed(
+    /// Pushes the changes since the versions `before` to a few peers.
+    pub fn push_changes(
         &mut self,
         now: Timestamp,
         before: Versions,
@@ -303,61 +308,63 @@
         deltas.collect()
     }
 
-    /// Tells a few peers at once what doesn't show in the versions.
+    /// Pushes a heartbeat to a few peers, for changes that do not appear in the versions.
     pub fn announce(&mut self, now: Timestamp, own: Versions) -> Vec<ExchangeEffect> {
         let receivers = self.announce_receivers();
         let heartbeats = self.push_heartbeats(now, receivers, own).into_iter();
-        let sent = heartbeats.map(|(to, heartbeat)| ExchangeEffect::Send { to, heartbeat });
+        let sent =
+            heartbeats.map(|(to, heartbeat)| ExchangeEffect::SendHeartbeat { to, heartbeat });
         sent.collect()
     }
 
-    /// This node leaves: tells a few peers, who forget it.
+    /// Announces to a few peers that this node leaves; they remove it from their tables.
     pub fn leave(&mut self, now: Timestamp, own: Versions) -> Vec<ExchangeEffect> {
         self.leaving = true;
         self.withdraw_claim();
         self.announce(now, own)
     }
 
-    /// How many nodes there are, rather too many than too few.
+    /// Returns an estimate of the number of nodes that errs on the high side.
     #[must_use]
-    pub fn nodes_at_most(&self, now: Timestamp) -> f64 {
-        self.size.at_most(now)
+    pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
+        self.size.upper_bound(now)
     }
 
-    /// Whether this node has started of late, so that it may not have heard of all instances that have gone.
+    /// Returns whether this node started recently and may lack tombstones of deleted instances.
     #[must_use]
-    pub const fn is_newcomer(&self) -> bool {
-        self.introductions > 0
+    pub const fn started_recently(&self) -> bool {
+        self.startup_fetches_left > 0
     }
 
-    /// The fetch from a peer has brought data, though not all yet.
+    /// Records that the fetch from a peer has received data but is not complete.
     pub fn fetch_progressed(&mut self, now: Timestamp, from: SocketAddrV4) {
         let interval = self.settings.fetch_interval;
         self.fetches.progressed(now, from, interval);
     }
 
-    /// A snapshot of a peer with these versions was taken over.
-    pub fn fetched(&mut self, from: SocketAddrV4, versions: Versions) {
+    /// Records that a snapshot with these versions was fetched from a peer and merged.
+    pub fn fetch_succeeded(&mut self, from: SocketAddrV4, versions: Versions) {
         self.fetches.end(from);
         if versions.is_empty() {
-            self.note_fruitless(from);
+            self.record_empty_source(from);
         } else {
-            self.introductions = self.introductions.saturating_sub(1);
+            self.startup_fetches_left = self.startup_fetches_left.saturating_sub(1);
         }
     }
 
-    /// A fetch from `from` came to nothing.
+    /// Records that the fetch from `from` failed.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.fetches.end(from);
-        self.note_fruitless(from);
+        self.record_empty_source(from);
     }
 
-    /// A peer has nothing for this node: it isn't asked again before it speaks, and from now on only those
-    /// are that spoke themselves. What others tell is old where many have just started anew.
-    fn note_fruitless(&mut self, from: SocketAddrV4) {
-        if self.peers.discredit(from) && !self.misled {
-            self.misled = true;
-            self.fetches.may_begin_at_once();
+    /// Records that a peer had no state to offer. It is not fetched from again before its next
+    /// heartbeat, and if it was only suggested, suggested versions are ignored from then on: after
+    /// a restart of many nodes they are outdated.
+    fn record_empty_source(&mut self, from: SocketAddrV4) {
+        if self.peers.clear_versions(from) && !self.ignore_suggested_versions {
+            self.ignore_suggested_versions = true;
+            self.fetches.clear_delay();
         }
     }
 
@@ -367,10 +374,10 @@
             .mul_f64(self.random.random_range(0.8..=1.2))
     }
 
-    fn send_round(&mut self, now: Timestamp, own: Versions, effects: &mut Vec<ExchangeEffect>) {
-        for to in self.round_receivers() {
+    fn send_gossip(&mut self, now: Timestamp, own: Versions, effects: &mut Vec<ExchangeEffect>) {
+        for to in self.gossip_receivers() {
             let heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-            effects.push(ExchangeEffect::Send { to, heartbeat });
+            effects.push(ExchangeEffect::SendHeartbeat { to, heartbeat });
         }
     }
 
@@ -381,18 +388,20 @@
         own: Versions,
     ) -> Vec<(SocketAddrV4, Heartbeat)> {
         let heartbeats = receivers.into_iter();
-        let heartbeats = heartbeats.map(|to| (to, self.heartbeat_for(now, to, own, PUSHED_PEERS)));
+        let heartbeats =
+            heartbeats.map(|to| (to, self.heartbeat_for(now, to, own, PUSH_SUGGESTIONS)));
         heartbeats.collect()
     }
 
-    /// Counts the nodes of the own zone, for others, and all, for this one.
+    /// Counts the nodes of the own zone, which is advertised to peers, and the nodes of the
+    /// cluster.
     fn count_nodes(&mut self, now: Timestamp) {
         self.own_zone_nodes = self.estimated_zone_nodes();
         self.zone_sizes.expire(now);
         let nodes = self.own_zone_nodes.round().min(f64::from(u16::MAX)) as u16;
-        self.zone_sizes.note(self.own_zone(), nodes, now);
+        self.zone_sizes.record(self.own_zone(), nodes, now);
         let nodes = self.estimated_nodes();
-        self.size.note(now, nodes);
+        self.size.record(now, nodes);
     }
 
     fn heartbeat_for(
@@ -400,26 +409,26 @@
         now: Timestamp,
         to: SocketAddrV4,
         own: Versions,
-        most_peers: usize,
+        maximum_suggestions: usize,
     ) -> Heartbeat {
         let age = self.clock.age(now);
         Heartbeat {
             versions: own,
             leaving: self.leaving,
-            peers_know: false,
+            peers_up_to_date: false,
             confirmed_age_milliseconds: age.and_then(|age| u32::try_from(age.as_millis()).ok()),
-            confirmed_by_newest: self.newest_was_read,
+            confirmed_by_newest_read: self.newest_was_read,
             place: self.own_place(),
             claims: self.claims.claims(now),
             peers: self
                 .peers
-                .suggestions_for(to, most_peers, &mut self.random, |_| true),
-            zones: self.zone_sizes.told(now),
+                .suggestions_for(to, maximum_suggestions, &mut self.random, |_| true),
+            zones: self.zone_sizes.recent_counts(now),
             failing: self.failing.iter().map(|cookie| cookie.bits()).collect(),
         }
     }
 
-    /// A node that is behind, or that doesn't know anybody, is answered; but not too often.
+    /// Replies to a node that is behind or knows too few peers, at a limited rate.
     fn reply(
         &mut self,
         now: Timestamp,
@@ -430,24 +439,24 @@
     ) {
         let known = heartbeat.versions;
         let sender_is_behind = known.lacks(own);
-        let sender_is_lonely = heartbeat.peers.len() < self.settings.fanout;
-        if !(sender_is_behind || sender_is_lonely) || !self.peers.may_reply(now, to) {
+        let sender_lacks_peers = heartbeat.peers.len() < self.settings.fanout;
+        if !(sender_is_behind || sender_lacks_peers) || !self.peers.try_reply(now, to) {
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-        // No delta tells a node all that lacks everything of a kind: it has to know whom to ask.
-        let has_to_fetch = known.is_empty() && !own.is_empty();
-        if has_to_fetch {
-            self.name_sources(now, to, &mut heartbeat);
+        // A delta cannot supply a whole kind of objects. The node needs peers to fetch from.
+        let needs_snapshot = known.is_empty() && !own.is_empty();
+        if needs_snapshot {
+            self.suggest_sources(now, to, &mut heartbeat);
         }
-        effects.push(if sender_is_behind && !has_to_fetch {
+        effects.push(if sender_is_behind && !needs_snapshot {
             ExchangeEffect::SendDelta {
                 to,
                 known,
                 heartbeat,
             }
         } else {
-            ExchangeEffect::Send { to, heartbeat }
+            ExchangeEffect::SendHeartbeat { to, heartbeat }
         });
     }
 
@@ -459,31 +468,34 @@
         effects: &mut Vec<ExchangeEffect>,
     ) {
         let zone = self.own_zone();
-        let Some((from, versions)) =
-            self.peers
-                .newest(zone, !self.misled, behind, &mut self.random)
-        else {
+        let Some((from, versions)) = self.peers.newest(
+            zone,
+            !self.ignore_suggested_versions,
+            behind,
+            &mut self.random,
+        ) else {
             self.behind_since = None;
-            self.introduce(now, effects);
+            self.fetch_after_start(now, effects);
             return;
         };
         let since = *self.behind_since.get_or_insert(now);
-        // A node that lacks something altogether doesn't wait for the store, but for a peer that knows
-        // all: those that learn first have the one kind before the other.
+        // A node that has no state of some kind fetches at once instead of waiting for the store,
+        // but only from a peer with all kinds: the first nodes to get data have one kind before the
+        // others.
         let urgent = own.is_empty() && !versions.is_empty();
-        let patience_over = now.since(since) >= self.settings.patience;
-        if urgent || patience_over {
+        let delay_elapsed = now.since(since) >= self.settings.catch_up_delay;
+        if urgent || delay_elapsed {
             self.fetch(now, from, FetchPurpose::CatchUp, effects);
         }
     }
 
-    /// Fetches from any peer, after the start. This must not delay a fetch from one that is ahead.
-    fn introduce(&mut self, now: Timestamp, effects: &mut Vec<ExchangeEffect>) {
-        if self.introductions == 0 {
+    /// Fetches from any peer after the start. Does not delay a fetch from a peer that is ahead.
+    fn fetch_after_start(&mut self, now: Timestamp, effects: &mut Vec<ExchangeEffect>) {
+        if self.startup_fetches_left == 0 {
             return;
         }
         if let Some(from) = self.peers.sample_alive(self.own_zone(), &mut self.random) {
-            self.fetch(now, from, FetchPurpose::Introduction, effects);
+            self.fetch(now, from, FetchPurpose::Startup, effects);
         }
     }
 
@@ -494,15 +506,15 @@
         purpose: FetchPurpose,
         effects: &mut Vec<ExchangeEffect>,
     ) {
-        if !self.fetches.runs(from) && self.fetches.may_begin(now, purpose) {
+        if !self.fetches.is_fetching_from(from) && self.fetches.may_start(now, purpose) {
             let interval = self.settings.fetch_interval;
-            self.fetches.begin(now, from, purpose, interval);
+            self.fetches.start(now, from, purpose, interval);
             effects.push(ExchangeEffect::Fetch { from });
         }
     }
 }
 
-/// Milliseconds from an earlier time to now, as messages tell ages.
+/// Returns the time from `earlier` to `now` in milliseconds, the unit of ages in messages.
 fn milliseconds_since(now: Timestamp, earlier: Timestamp) -> u32 {
     u32::try_from(now.since(earlier).as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/bellyoke-core/src/cookie/exchange/peers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/peers.rs
@@ -1,4 +1,4 @@
-//! The peers that a node has heard of late.
+//! The table of peers that were seen recently.
 
 use super::message::{Heartbeat, PeerSuggestion};
 use crate::cookie::capacity::{NodePlace, ZoneKey};
@@ -11,31 +11,31 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most peers remembered. A sample is enough, so that the state of a node stays the same in a
-/// cluster of any size.
+/// Maximum number of peers in the table. A sample is enough and keeps the memory of a node constant
+/// in clusters of any size.
 const MAXIMUM_PEERS: usize = 256;
 
-/// The own zone may take as many times more of the table as another.
+/// How many times as many entries the own zone may have as another zone.
 const OWN_ZONE_WEIGHT: usize = 3;
 
-/// One in so many peers that are suggested is of another zone than the receiver's, if any is known.
-const FAR_SHARE: usize = 3;
+/// One in this many suggested peers is from another zone than the receiver's, if any is known.
+const OTHER_ZONE_DIVISOR: usize = 3;
 
-/// Shortest time between two replies to one peer.
+/// Minimum time between two replies to one peer.
 const REPLY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a node knows of one peer.
+/// The state of one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRecord {
-    /// When it was last heard, or suggested by another.
-    pub noted_at: Timestamp,
-    /// Whether it was heard itself.
-    pub heard: bool,
-    /// Where it stands, and what it can bear.
+    /// When the last heartbeat arrived, or the peer was suggested by another node.
+    pub last_seen_at: Timestamp,
+    /// Whether a heartbeat of the peer itself has arrived.
+    pub received_heartbeat: bool,
+    /// Zone and capacity class of the peer.
     pub place: NodePlace,
-    /// How much it knows, as it told itself or another told of it.
+    /// The peer's versions as advertised by itself or by another node.
     pub versions: Versions,
-    /// Instances that don't complete its openings.
+    /// Instances that fail to complete openings from the peer.
     pub failing: Vec<Cookie>,
     replied_at: Option<Timestamp>,
 }
@@ -53,13 +53,13 @@
             .map(|(address, record)| (*address, record))
     }
 
-    /// Whether a peer is known, be it only by hearsay.
-    pub(super) fn knows(&self, address: SocketAddrV4) -> bool {
+    /// Returns whether a peer is in the table, even if it was only suggested.
+    pub(super) fn contains(&self, address: SocketAddrV4) -> bool {
         self.records.contains_key(&address)
     }
 
-    /// Notes that a peer spoke. Returns whether it was not known to be alive.
-    pub(super) fn heard(
+    /// Records a heartbeat. Returns whether it is the first one of the peer.
+    pub(super) fn record_heartbeat(
         &mut self,
         now: Timestamp,
         own_zone: ZoneKey,
@@ -67,29 +67,29 @@
         heartbeat: &Heartbeat,
     ) -> bool {
         if !self.records.contains_key(&from) {
-            self.make_room(own_zone);
+            self.evict_if_full(own_zone);
         }
         let record = self.records.entry(from).or_insert(PeerRecord {
-            noted_at: now,
-            heard: false,
+            last_seen_at: now,
+            received_heartbeat: false,
             place: heartbeat.place,
             versions: heartbeat.versions,
             failing: Vec::new(),
             replied_at: None,
         });
-        record.noted_at = now;
+        record.last_seen_at = now;
         record.place = heartbeat.place;
         record.versions = heartbeat.versions;
         let failing = heartbeat.failing.iter();
         record.failing = failing
             .filter_map(|bits| Cookie::from_bits(*bits))
             .collect();
-        !std::mem::replace(&mut record.heard, true)
+        !std::mem::replace(&mut record.received_heartbeat, true)
     }
 
-    /// Notes a peer that another one told of, until it speaks itself or is forgotten, and how much it is
-    /// said to know.
-    pub(super) fn suggest(
+    /// Records a peer suggested by another node, and the versions that it supposedly has. The entry
+    /// remains until a heartbeat of the peer arrives or the entry expires.
+    pub(super) fn record_suggestion(
         &mut self,
         now: Timestamp,
         own_zone: ZoneKey,
@@ -98,18 +98,18 @@
     ) {
         let (address, place) = (peer.address, peer.place);
         if let Some(record) = self.records.get_mut(&address) {
-            if !record.heard && record.versions.is_empty() {
+            if !record.received_heartbeat && record.versions.is_empty() {
                 record.versions = known;
             }
             return;
         }
-        if self.records.len() >= MAXIMUM_PEERS && !self.is_scarce(own_zone, place.zone) {
+        if self.records.len() >= MAXIMUM_PEERS && !self.is_underrepresented(own_zone, place.zone) {
             return;
         }
-        self.make_room(own_zone);
+        self.evict_if_full(own_zone);
         let record = PeerRecord {
-            noted_at: now,
-            heard: false,
+            last_seen_at: now,
+            received_heartbeat: false,
             place,
             versions: known,
             failing: Vec::new(),
@@ -118,68 +118,74 @@
         self.records.insert(address, record);
     }
 
-    /// Returns whether the peer was known to be alive.
+    /// Removes a peer. Returns whether it had sent a heartbeat.
     pub(super) fn remove(&mut self, address: SocketAddrV4) -> bool {
         let removed = self.records.remove(&address);
-        removed.is_some_and(|record| record.heard)
+        removed.is_some_and(|record| record.received_heartbeat)
     }
 
-    /// Forgets silent peers, and returns those that had been heard.
+    /// Removes silent peers, and returns those that had sent a heartbeat.
     pub(super) fn expire(&mut self, now: Timestamp, lifetime: Duration) -> Vec<SocketAddrV4> {
-        let silent = |record: &PeerRecord| now.since(record.noted_at) >= lifetime;
+        let silent = |record: &PeerRecord| now.since(record.last_seen_at) >= lifetime;
         let lost = self
             .records
             .iter()
-            .filter(|(_, record)| record.heard && silent(record))
+            .filter(|(_, record)| record.received_heartbeat && silent(record))
             .map(|(address, _)| *address)
             .collect();
         self.records.retain(|_, record| !silent(record));
         lost
     }
 
-    /// Notes how much a known peer knows now.
-    pub(super) fn note_versions(&mut self, address: SocketAddrV4, versions: Versions) {
+    /// Updates the versions of a known peer.
+    pub(super) fn record_versions(&mut self, address: SocketAddrV4, versions: Versions) {
         if let Some(record) = self.records.get_mut(&address) {
             record.versions = versions;
         }
     }
 
-    /// A peer that is alive, by its own word or another's, of the own zone if there is one.
+    /// Returns a random peer that is alive according to itself or to another node, preferably of
+    /// the own zone.
     pub(super) fn sample_alive(
         &self,
         zone: ZoneKey,
         random: &mut impl Rng,
     ) -> Option<SocketAddrV4> {
         let alive = self.records.iter();
-        let alive = alive.filter(|(_, record)| record.heard || !record.versions.is_empty());
+        let alive =
+            alive.filter(|(_, record)| record.received_heartbeat || !record.versions.is_empty());
         choose_source(zone, alive, random).map(|(address, _)| address)
     }
 
-    /// The zone of a peer that is known.
+    /// Returns the zone of a known peer.
     pub(super) fn zone_of(&self, address: SocketAddrV4) -> Option<ZoneKey> {
         self.records.get(&address).map(|record| record.place.zone)
     }
 
-    /// How many peers of a zone are known.
+    /// Returns the number of known peers in a zone.
     pub(super) fn count_in(&self, zone: ZoneKey) -> usize {
         let records = self.records.values();
         records.filter(|record| record.place.zone == zone).count()
     }
 
-    /// Instances that at least `witnesses` peers suspect; all peers, if there are fewer.
+    /// Returns the instances that at least `witnesses` peers suspect. If there are fewer peers, all
+    /// of them must suspect an instance.
     pub(super) fn suspected(&self, witnesses: usize) -> BTreeSet<Cookie> {
-        let heard = self.records.values().filter(|record| record.heard);
-        let witnesses = witnesses.min(heard.clone().count());
+        let direct = self
+            .records
+            .values()
+            .filter(|record| record.received_heartbeat);
+        let witnesses = witnesses.min(direct.clone().count());
         let mut counts: BTreeMap<Cookie, usize> = BTreeMap::new();
-        for cookie in heard.flat_map(|record| &record.failing) {
+        for cookie in direct.flat_map(|record| &record.failing) {
             *counts.entry(*cookie).or_default() += 1;
         }
         let enough = counts.into_iter().filter(|(_, count)| *count >= witnesses);
         enough.map(|(cookie, _)| cookie).collect()
     }
 
-    /// Some peers of a zone.
-    pub(super) fn sample_near(
+    /// Returns random peers of a zone.
+    pub(super) fn sample_in_zone(
         &self,
         zone: ZoneKey,
         count: usize,
@@ -191,8 +197,8 @@
         near.map(|(address, _)| *address).sample(random, count)
     }
 
-    /// Some peers of other zones, of as many zones as possible.
-    pub(super) fn sample_far(
+    /// Returns random peers outside a zone, from as many zones as possible.
+    pub(super) fn sample_other_zones(
         &self,
         zone: ZoneKey,
         count: usize,
@@ -208,18 +214,19 @@
                 by_zone.entry(record.place.zone).or_default().push(*address);
             }
         }
-        let mut turns: Vec<((usize, u32), SocketAddrV4)> = Vec::new();
+        let mut candidates: Vec<((usize, u32), SocketAddrV4)> = Vec::new();
         for mut addresses in by_zone.into_values() {
             addresses.shuffle(random);
             let placed = addresses.into_iter().take(count).enumerate();
-            turns.extend(placed.map(|(turn, address)| ((turn, random.random()), address)));
+            candidates.extend(placed.map(|(round, address)| ((round, random.random()), address)));
         }
-        turns.sort_unstable();
-        let chosen = turns.into_iter().take(count);
+        candidates.sort_unstable();
+        let chosen = candidates.into_iter().take(count);
         chosen.map(|(_, address)| address).collect()
     }
 
-    /// Peers that are alive, for a receiver, who isn't among them: more of its zone than of others.
+    /// Returns live peers to suggest to a receiver, without the receiver: more of its zone than of
+    /// others.
     pub(super) fn suggestions_for(
         &self,
         receiver: SocketAddrV4,
@@ -227,10 +234,9 @@
         random: &mut impl Rng,
         wanted: impl Fn(&PeerRecord) -> bool,
     ) -> Vec<PeerSuggestion> {
-        let alive = self
-            .records
-            .iter()
-            .filter(|(address, record)| record.heard && **address != receiver && wanted(record));
+        let alive = self.records.iter().filter(|(address, record)| {
+            record.received_heartbeat && **address != receiver && wanted(record)
+        });
         let mut alive: Vec<PeerSuggestion> = alive
             .map(|(address, record)| PeerSuggestion {
                 address: *address,
@@ -244,15 +250,15 @@
         };
         let (near, far): (Vec<_>, Vec<_>) =
             alive.into_iter().partition(|peer| peer.place.zone == zone);
-        let least_far = far.len().min(count / FAR_SHARE);
+        let least_far = far.len().min(count / OTHER_ZONE_DIVISOR);
         let near_count = near.len().min(count - least_far);
         let near = near.into_iter().take(near_count);
         near.chain(far.into_iter().take(count - near_count))
             .collect()
     }
 
-    /// Whether a reply to the peer is due; if so it counts as sent.
-    pub(super) fn may_reply(&mut self, now: Timestamp, to: SocketAddrV4) -> bool {
+    /// Returns whether a reply to the peer is due, and if it is, records it as sent.
+    pub(super) fn try_reply(&mut self, now: Timestamp, to: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&to) else {
             return false;
         };
@@ -265,76 +271,82 @@
         due
     }
 
-    /// One of the peers that know more than this node, and what it knows; one that knows something of
-    /// all if there is one, of the own zone if there is one. `by_hearsay` lets it be one that only another
-    /// told of.
+    /// Returns a random peer with newer state than this node, and its versions. Prefers peers that
+    /// have state of all kinds, then peers of the own zone. `include_suggested` admits peers whose
+    /// versions only another node advertised.
     pub(super) fn newest(
         &self,
         zone: ZoneKey,
-        by_hearsay: bool,
+        include_suggested: bool,
         behind: &impl Fn(Versions) -> bool,
         random: &mut impl Rng,
     ) -> Option<(SocketAddrV4, Versions)> {
         let ahead = self.records.iter();
-        let ahead =
-            ahead.filter(|(_, record)| (record.heard || by_hearsay) && behind(record.versions));
+        let ahead = ahead.filter(|(_, record)| {
+            (record.received_heartbeat || include_suggested) && behind(record.versions)
+        });
         let complete = ahead
             .clone()
             .filter(|(_, record)| !record.versions.is_empty());
         choose_source(zone, complete, random).or_else(|| choose_source(zone, ahead, random))
     }
 
-    /// Forgets how much a peer claimed to know, until it speaks again. Returns whether only another one
-    /// had claimed it.
-    pub(super) fn discredit(&mut self, address: SocketAddrV4) -> bool {
+    /// Clears the versions of a peer until its next heartbeat. Returns whether only another node
+    /// had advertised them.
+    pub(super) fn clear_versions(&mut self, address: SocketAddrV4) -> bool {
         let Some(record) = self.records.get_mut(&address) else {
             return false;
         };
-        let was_named = !record.heard && !record.versions.is_empty();
+        let was_only_suggested = !record.received_heartbeat && !record.versions.is_empty();
         record.versions = Versions::default();
-        was_named
+        was_only_suggested
     }
 
-    /// Makes room for a peer: one that was only suggested goes first, then one of the zone with the
-    /// most, the one that was silent for longest. Whoever speaks must be known, or it is never answered.
-    fn make_room(&mut self, own_zone: ZoneKey) {
+    /// Evicts a peer if the table is full: first one that was only suggested, then the longest
+    /// silent one of the zone with the most entries. A peer that sends heartbeats needs an entry,
+    /// since nodes without one get no reply.
+    fn evict_if_full(&mut self, own_zone: ZoneKey) {
         if self.records.len() < MAXIMUM_PEERS {
             return;
         }
         let largest = self
-            .loads(own_zone)
+            .weighted_counts(own_zone)
             .into_iter()
             .max_by_key(|(_, load)| *load);
         let largest = largest.map(|(zone, _)| zone);
-        let first_to_go = self.records.iter().min_by_key(|(_, record)| {
-            let spared = Some(record.place.zone) != largest;
-            (record.heard, spared, record.noted_at)
+        let evicted = self.records.iter().min_by_key(|(_, record)| {
+            let outside_largest = Some(record.place.zone) != largest;
+            (
+                record.received_heartbeat,
+                outside_largest,
+                record.last_seen_at,
+            )
         });
-        if let Some(address) = first_to_go.map(|(address, _)| *address) {
+        if let Some(address) = evicted.map(|(address, _)| *address) {
             self.records.remove(&address);
         }
     }
 
-    /// How much of the table each zone takes; the own one may take more.
-    fn loads(&self, own_zone: ZoneKey) -> BTreeMap<ZoneKey, usize> {
-        let mut loads: BTreeMap<ZoneKey, usize> = BTreeMap::new();
+    /// Returns the number of entries of each zone, weighted by how many the zone may have.
+    fn weighted_counts(&self, own_zone: ZoneKey) -> BTreeMap<ZoneKey, usize> {
+        let mut weighted_counts: BTreeMap<ZoneKey, usize> = BTreeMap::new();
         for record in self.records.values() {
             let zone = record.place.zone;
             let weight = if zone == own_zone { 1 } else { OWN_ZONE_WEIGHT };
-            *loads.entry(zone).or_default() += weight;
+            *weighted_counts.entry(zone).or_default() += weight;
         }
-        loads
+        weighted_counts
     }
 
-    /// Whether a zone takes less than half of what the one with the most takes.
-    fn is_scarce(&self, own_zone: ZoneKey, zone: ZoneKey) -> bool {
-        let loads = self.loads(own_zone);
-        let most = loads.values().max().copied().unwrap_or_default();
-        loads.get(&zone).copied().unwrap_or_default() * 2 < most
+    /// Returns whether a zone has less than half the weighted entries of the largest one.
+    fn is_underrepresented(&self, own_zone: ZoneKey, zone: ZoneKey) -> bool {
+        let weighted_counts = self.weighted_counts(own_zone);
+        let most = weighted_counts.values().max().copied().unwrap_or_default();
+        weighted_counts.get(&zone).copied().unwrap_or_default() * 2 < most
     }
 }
 
-/// One of some peers to fetch from: of the own zone if one is there, more likely one that can bear more.
+/// Chooses a random peer to fetch from: one of the own zone if possible, weighted by capacity.
 fn choose_source<'a>(
     zone: ZoneKey,
     peers: impl Iterator<Item = (&'a SocketAddrV4, &'a PeerRecord)>,
@@ -343,7 +355,8 @@
     let mut chosen = None;
     let mut chosen_key = (false, 0.0);
     for (address, record) in peers {
-        // The greatest of such draws is each peer's by its share of all weights (Efraimidis and Spirakis 2006).
+        // The greatest of these draws belongs to each peer with a probability proportional to its
+        // weight (Efraimidis and Spirakis 2006).
         let draw: f64 = random.random_range(0.0..1.0);
         let draw = draw.powf(1.0 / f64::from(record.place.class.weight()));
         let key = (record.place.zone == zone, draw);
--- a/crates/bellyoke-core/src/cookie/exchange/receivers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/receivers.rs
@@ -1,9 +1,10 @@
-//! Who is told, and who is asked: peers of the own zone first.
+//! Choice of the peers that a node sends to, with a preference for its own zone.
 //!
-//! Bytes between zones are dear, and each zone needs to hear a thing once from outside. So each node
-//! tells peers of its own zone, and one of another zone by chance, so that a fixed number of a zone's
-//! nodes does, however many it has. Nobody is chosen for it: no node's death cuts a zone off, and
-//! none has to know that it was chosen.
+//! Traffic between zones is expensive, and each zone needs each update only once from outside.
+//! Therefore each node sends to peers of its own zone, and at random to one of another zone: the
+//! expected number of a zone's nodes that send to another zone is fixed, whatever the zone's size.
+//! No node is designated for this; the death of a single node does not cut a zone off, and no node
+//! needs to know about a special role.
 
 use super::peers::PeerRecord;
 use super::{Exchange, Heartbeat};
@@ -14,25 +15,27 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Nodes of each zone that tell another one what is new. That none of several zones tells one has a chance of
-/// one in four hundred (e to the minus six); then the next round does.
-const PUSH_CROSSINGS: f64 = 6.0;
+/// Expected number of nodes per zone that push an update to another zone. The probability that none
+/// of several zones pushes to a given one is 1 in 400 (e^-6); the next gossip round then covers it.
+const CROSS_ZONE_PUSHERS: f64 = 6.0;
 
-/// Nodes of each zone that tell another one in each round what they know.
-const ROUND_CROSSINGS: f64 = 4.0;
+/// Expected number of nodes per zone that send a heartbeat to another zone in each gossip round.
+const CROSS_ZONE_GOSSIPERS: f64 = 4.0;
 
-/// A seed now and then joins parts of the cluster that have lost each other.
-const SEED_CHANCE: f64 = 0.1;
+/// Probability that a gossip round includes a seed. It reconnects parts of the cluster that have
+/// lost each other.
+const SEED_PROBABILITY: f64 = 0.1;
 
-/// A peer that was heard so lately is told of as one to fetch from: in a zone of a hundred these are
-/// some twenty, and few of them have died since.
-const SOURCE_AGE: Duration = Duration::from_secs(2);
+/// A peer is suggested as a fetch source only if it was seen within this time. In a zone of a
+/// hundred nodes these are about twenty, and few of them have died since.
+const SOURCE_MAXIMUM_AGE: Duration = Duration::from_secs(2);
 
-/// Peers that a push tells of: enough that its sender isn't taken for one that knows nobody.
-pub(super) const PUSHED_PEERS: usize = 2;
+/// Number of suggested peers in a push. With fewer, receivers would conclude that the sender has
+/// too few peers.
+pub(super) const PUSH_SUGGESTIONS: usize = 2;
 
 impl Exchange {
-    /// The number of the zone that this node tells that it stands in.
+    /// Returns the zone that this node advertises.
     pub(super) const fn own_zone(&self) -> ZoneKey {
         if self.settings.own_zone_first {
             self.place.zone
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Where this node stands, and what it can bear at the moment.
+    /// Returns the zone and the current capacity class of this node.
     pub(super) const fn own_place(&self) -> NodePlace {
         NodePlace {
             zone: self.own_zone(),
@@ -53,13 +56,13 @@
         }
     }
 
-    /// Who gets the heartbeats of a round.
-    pub(super) fn round_receivers(&mut self) -> Vec<SocketAddrV4> {
+    /// Returns the receivers of the heartbeats of a gossip round.
+    pub(super) fn gossip_receivers(&mut self) -> Vec<SocketAddrV4> {
         let fanout = self.settings.fanout;
-        let mut receivers = self.draw_receivers(fanout, ROUND_CROSSINGS, |_| true);
-        let lonely = receivers.len() < fanout;
+        let mut receivers = self.draw_receivers(fanout, CROSS_ZONE_GOSSIPERS, |_| true);
+        let too_few_peers = receivers.len() < fanout;
         if let Some(seed) = self.random_seed()
-            && (lonely || self.random.random_bool(self.seed_chance(seed)))
+            && (too_few_peers || self.random.random_bool(self.seed_probability(seed)))
             && !receivers.contains(&seed)
         {
             receivers.push(seed);
@@ -67,33 +70,35 @@
         receivers
     }
 
-    /// Who is told at once of what a node with `own` versions has learned: nobody who has told that it
-    /// knows as much.
+    /// Returns the receivers of a state change of a node with `own` versions. Excludes peers that
+    /// are known to have the same state.
     pub(super) fn push_receivers(&mut self, own: Versions) -> Vec<SocketAddrV4> {
-        self.draw_receivers(self.settings.push_fanout, PUSH_CROSSINGS, |record| {
+        self.draw_receivers(self.settings.push_fanout, CROSS_ZONE_PUSHERS, |record| {
             record.versions.lacks(own)
         })
     }
 
-    /// Who is told at once of what doesn't show in the versions.
+    /// Returns the receivers of a change that does not appear in the versions.
     pub(super) fn announce_receivers(&mut self) -> Vec<SocketAddrV4> {
-        self.draw_receivers(self.settings.push_fanout, PUSH_CROSSINGS, |_| true)
+        self.draw_receivers(self.settings.push_fanout, CROSS_ZONE_PUSHERS, |_| true)
     }
 
-    /// Who is told of what can't wait for chance, as it is rare and ends flows: peers of the own zone, and one of another.
+    /// Returns the receivers of rare messages that end flows and for which a random cross-zone send
+    /// is too slow: peers of the own zone, and one of another zone.
     pub(super) fn urgent_receivers(&mut self) -> Vec<SocketAddrV4> {
         let all = self.own_zone_nodes;
         self.draw_receivers(self.settings.push_fanout, all, |_| true)
     }
 
-    /// Who is asked to confirm what this node found: a peer of another zone, or of the own one if there is no other.
+    /// Returns the peer to ask for a confirmation of this node's findings: one of another zone if
+    /// possible, otherwise one of the own zone.
     pub(super) fn confirming_receiver(&mut self) -> Option<SocketAddrV4> {
         let zone = self.own_zone();
         let random = &mut self.random;
-        let is_alive = |record: &PeerRecord| record.heard;
-        let mut receivers = self.peers.sample_far(zone, 1, random, is_alive);
+        let is_alive = |record: &PeerRecord| record.received_heartbeat;
+        let mut receivers = self.peers.sample_other_zones(zone, 1, random, is_alive);
         if receivers.is_empty() {
-            receivers = self.peers.sample_near(zone, 1, random, is_alive);
+            receivers = self.peers.sample_in_zone(zone, 1, random, is_alive);
         }
         receivers.pop()
     }
@@ -101,27 +106,28 @@
     fn draw_receivers(
         &mut self,
         count: usize,
-        crossings: f64,
+        cross_zone_senders: f64,
         wanted: impl Fn(&PeerRecord) -> bool,
     ) -> Vec<SocketAddrV4> {
         let zone = self.own_zone();
         let random = &mut self.random;
-        let mut receivers = self.peers.sample_near(zone, count, random, &wanted);
-        let crosses = random.random_bool((crossings / self.own_zone_nodes).clamp(0.0, 1.0));
+        let mut receivers = self.peers.sample_in_zone(zone, count, random, &wanted);
+        let sends_cross_zone =
+            random.random_bool((cross_zone_senders / self.own_zone_nodes).clamp(0.0, 1.0));
         let missing = count - receivers.len();
-        let far = missing.max(usize::from(crosses));
-        receivers.extend(self.peers.sample_far(zone, far, random, &wanted));
+        let far = missing.max(usize::from(sends_cross_zone));
+        receivers.extend(self.peers.sample_other_zones(zone, far, random, &wanted));
         receivers
     }
 
-    /// How likely a round goes to a seed as well.
-    fn seed_chance(&self, seed: SocketAddrV4) -> f64 {
+    /// Returns the probability that a gossip round includes the seed.
+    fn seed_probability(&self, seed: SocketAddrV4) -> f64 {
         let zone = self.own_zone();
         let is_near = zone == ZoneKey(0) || self.peers.zone_of(seed) == Some(zone);
         if is_near {
-            SEED_CHANCE
+            SEED_PROBABILITY
         } else {
-            SEED_CHANCE * (ROUND_CROSSINGS / self.own_zone_nodes).clamp(0.0, 1.0)
+            SEED_PROBABILITY * (CROSS_ZONE_GOSSIPERS / self.own_zone_nodes).clamp(0.0, 1.0)
         }
     }
 
@@ -133,31 +139,31 @@
         Some(self.seeds[index])
     }
 
-    /// Tells a node that lacks everything of a kind from whom it can fetch instead of this one, which it
-    /// asked since it had no other address.
-    pub(super) fn name_sources(
+    /// Adds fetch sources to the reply to a node that lacks a whole kind of objects and contacted
+    /// this node for want of other addresses.
+    pub(super) fn suggest_sources(
         &mut self,
         now: Timestamp,
         receiver: SocketAddrV4,
         heartbeat: &mut Heartbeat,
     ) {
-        let knows_of_late = |record: &PeerRecord| {
-            !record.versions.is_empty() && now.since(record.noted_at) < SOURCE_AGE
+        let has_recent_state = |record: &PeerRecord| {
+            !record.versions.is_empty() && now.since(record.last_seen_at) < SOURCE_MAXIMUM_AGE
         };
         let count = Heartbeat::MAXIMUM_PEERS;
-        let sources = self
-            .peers
-            .suggestions_for(receiver, count, &mut self.random, knows_of_late);
+        let sources =
+            self.peers
+                .suggestions_for(receiver, count, &mut self.random, has_recent_state);
         if !sources.is_empty() {
             heartbeat.peers = sources;
-            heartbeat.peers_know = true;
+            heartbeat.peers_up_to_date = true;
         }
     }
 
-    /// Notes what a heartbeat tells of other nodes.
-    pub(super) fn note_suggestions(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
+    /// Records the peers and zone sizes of a heartbeat.
+    pub(super) fn record_suggestions(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
         let zone = self.own_zone();
-        let known = if heartbeat.peers_know {
+        let known = if heartbeat.peers_up_to_date {
             heartbeat.versions
         } else {
             Versions::default()
@@ -167,14 +173,15 @@
                 continue;
             }
             if peer.place.zone == zone {
-                self.note_mention(peer.address);
+                self.record_mention(peer.address);
             }
-            self.peers.suggest(now, zone, peer, known);
+            self.peers.record_suggestion(now, zone, peer, known);
         }
         for size in &heartbeat.zones {
             let age = Duration::from_millis(u64::from(size.age_milliseconds));
             if size.zone != zone {
-                self.zone_sizes.note(size.zone, size.nodes, now.before(age));
+                self.zone_sizes
+                    .record(size.zone, size.nodes, now.before(age));
             }
         }
     }
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watching.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, and how long the others may rest.
+//! Which node watches the store, and how long the other nodes stay idle.
 
 use super::candidates::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
 use super::{Exchange, ExchangeEffect, Heartbeat};
@@ -8,17 +8,18 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// A confirmation is pushed on if it is newer by so much than the last one that was.
-const CONFIRMATION_STEP: Duration = Duration::from_millis(500);
+/// A confirmation is pushed to peers only if it is newer than the last pushed one by this time.
+const MINIMUM_CONFIRMATION_ADVANCE: Duration = Duration::from_millis(500);
 
-/// How long a claim must have been among the best before it counts.
-const CLAIM_PROBATION: Duration = Duration::from_secs(2);
+/// How long a claim must have been among the best before it takes effect.
+const CLAIM_SETTLING_PERIOD: Duration = Duration::from_secs(2);
+
+/// How long confirmations of peers are ignored after a stall of this process, since they may have
+/// waited in its socket buffer.
+const POST_STALL_IGNORE_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long confirmations of peers count for nothing after this process stood still, since they
-/// may have waited in its socket.
-const DISTRUST: Duration = Duration::from_millis(300);
 impl Exchange {
-    /// Whether the store answered this node's last call, if it made one.
+    /// Sets whether the store answered this node's last call, if there was one.
     pub fn set_store_usable(&mut self, store_usable: bool) {
         self.store_usable = store_usable;
         if !store_usable {
@@ -26,9 +27,9 @@
         }
     }
 
-    /// The store has answered this node's last call for objects of a kind, and what it told is taken over. A read that may
-    /// be stale shows that nothing is newer only as long as nobody has read the newest state, as right after a start of
-    /// all: it may lag by seconds.
+    /// Records that the store has answered this node's last call for objects of a kind and the
+    /// answer is merged. A read that may be stale confirms the state only until some node has read
+    /// the newest state, as right after a start of all nodes, since it may lag by seconds.
     pub fn store_confirmed(
         &mut self,
         now: Timestamp,
@@ -36,41 +37,43 @@
         own: Versions,
     ) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
-        let tells_newest = self.pacer.asked(kind) == Freshness::Newest;
-        self.newest_was_read |= tells_newest;
-        if now >= self.distrust_until && (tells_newest || !self.newest_was_read) {
+        let read_newest = self.pacer.requested_freshness(kind) == Freshness::Newest;
+        self.newest_was_read |= read_newest;
+        if now >= self.ignore_confirmations_until && (read_newest || !self.newest_was_read) {
             self.clock.confirm(kind, now);
             self.push_confirmation(now, own, &mut effects);
         }
         effects
     }
 
-    /// The process stood still: what peers said meanwhile may be old.
+    /// Handles a stall of the process: discards confirmations, which may be old.
     pub fn stalled(&mut self, now: Timestamp) {
         self.clock.forget();
-        self.pacer.stalled();
-        self.distrust_until = now.after(DISTRUST);
+        self.pacer.forget_peer_confirmations();
+        self.ignore_confirmations_until = now.after(POST_STALL_IGNORE_PERIOD);
     }
 
-    /// How long ago this node's state was known to be the newest; none if it never was.
+    /// Returns the time since this node's state was last confirmed to be the newest, or `None` if
+    /// it never was.
     #[must_use]
     pub fn confirmation_age(&self, now: Timestamp) -> Option<Duration> {
         self.clock.age(now)
     }
 
-    /// What this node reads of the store. A claim counts once it has stood for a while, so that
-    /// nodes that start or lose their watchers together don't all watch at once.
+    /// Returns what this node reads from the store. A claim takes effect only after
+    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers
+    /// together would all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
-        let stood = self.claimed_since.map(|since| now.since(since));
-        if stood.is_some_and(|stood| stood >= CLAIM_PROBATION) {
+        let held_for = self.claimed_since.map(|since| now.since(since));
+        if held_for.is_some_and(|held_for| held_for >= CLAIM_SETTLING_PERIOD) {
             self.claims.duty(self.own_address)
         } else {
             StoreDuty::Listener
         }
     }
 
-    /// How this node goes on reading objects of a kind.
+    /// Returns how this node continues to read objects of a kind.
     #[must_use]
     pub fn watch_plan(&self, now: Timestamp, kind: ObjectKind, own: Versions) -> WatchPlan {
         let confirmed_at = self.clock.confirmed_at(kind);
@@ -88,17 +91,17 @@
 
     pub(super) fn renew_claim(&mut self, now: Timestamp) {
         if self.store_usable && !self.leaving {
-            self.claims.note(self.own_address, self.own_place(), now);
+            self.claims.record(self.own_address, self.own_place(), now);
         }
         self.trim_claims(now);
     }
 
-    pub(super) fn note_claims(&mut self, now: Timestamp, claims: &[WatcherClaim]) {
+    pub(super) fn record_claims(&mut self, now: Timestamp, claims: &[WatcherClaim]) {
         for claim in claims {
             let age = Duration::from_millis(u64::from(claim.age_milliseconds));
             if claim.address != self.own_address && age < CLAIM_LIFETIME {
                 self.claims
-                    .note(claim.address, claim.place, now.before(age));
+                    .record(claim.address, claim.place, now.before(age));
             }
         }
         self.trim_claims(now);
@@ -106,7 +109,7 @@
 
     fn trim_claims(&mut self, now: Timestamp) {
         self.claims.trim(now);
-        if self.claims.place_of(self.own_address).is_none() {
+        if self.claims.rank_of(self.own_address).is_none() {
             self.claimed_since = None;
         } else {
             self.claimed_since.get_or_insert(now);
@@ -118,18 +121,19 @@
         self.claimed_since = None;
     }
 
-    /// When the sender of a heartbeat was last confirmed, if that can be trusted.
+    /// Returns when the sender of a heartbeat was last confirmed, or `None` if confirmations are
+    /// currently ignored.
     pub(super) fn confirmation(&self, now: Timestamp, heartbeat: &Heartbeat) -> Option<Timestamp> {
-        if now < self.distrust_until {
+        if now < self.ignore_confirmations_until {
             return None;
         }
         let age = heartbeat.confirmed_age_milliseconds?;
         Some(now.before(Duration::from_millis(u64::from(age))))
     }
 
-    /// A peer that this node isn't behind was confirmed at a time: so is this node. Word that rests on stale reads counts for
-    /// nothing once the newest state was read.
-    pub(super) fn hear_confirmation(
+    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that rest on
+    /// stale reads are ignored once the newest state was read.
+    pub(super) fn adopt_confirmation(
         &mut self,
         now: Timestamp,
         confirmed_at: Timestamp,
@@ -145,7 +149,7 @@
         self.push_confirmation(now, own, effects);
     }
 
-    /// Pushes the newest confirmation on, unless one about as new was pushed before.
+    /// Pushes the newest confirmation to peers, unless one that is about as new was already pushed.
     fn push_confirmation(
         &mut self,
         now: Timestamp,
@@ -156,10 +160,10 @@
             return;
         };
         let confirmed_at = now.before(age);
-        if confirmed_at < self.told_confirmation.after(CONFIRMATION_STEP) {
+        if confirmed_at < self.pushed_confirmation.after(MINIMUM_CONFIRMATION_ADVANCE) {
             return;
         }
-        self.told_confirmation = confirmed_at;
+        self.pushed_confirmation = confirmed_at;
         effects.extend(self.announce(now, own));
     }
 }
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -4,7 +4,7 @@
 use bellyoke_core::cookie::capacity::{NodePlace, ZoneKey};
 use bellyoke_core::cookie::coordinator::Coordinator;
 use bellyoke_core::cookie::exchange::{
-    Exchange, ExchangeEffect, ExchangeSettings, Heartbeat, PeerDatagram, Question,
+    Exchange, ExchangeEffect, ExchangeSettings, Heartbeat, PeerDatagram, ProbeRequest,
 };
 use bellyoke_core::cookie::follower::Update;
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder, ResetReason};
@@ -264,9 +264,9 @@
     let heartbeat = Heartbeat {
         versions: Versions::default(),
         leaving: false,
-        peers_know: false,
+        peers_up_to_date: false,
         confirmed_age_milliseconds: None,
-        confirmed_by_newest: false,
+        confirmed_by_newest_read: false,
         place: NodePlace::default(),
         claims: Vec::new(),
         peers: Vec::new(),
@@ -324,7 +324,7 @@
     assert_eq!(reported_instances(&effects), [vec![cookie(1).bits()]]);
 
     let mut other = coordinator();
-    let question = Question {
+    let question = ProbeRequest {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
     let request = PeerDatagram::Question(question);
