--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -189,12 +189,12 @@
 
     /// Records the start of a store call for objects of a kind.
     pub fn record_store_call(&mut self, now: Timestamp, kind: ObjectKind, freshness: Freshness) {
-        self.exchange.note_asked(now, kind, freshness);
+        self.exchange.record_store_call(now, kind, freshness);
     }
 
     /// Records whether the store answered the last call for objects of a kind.
     pub fn record_store_availability(&mut self, now: Timestamp, kind: ObjectKind, usable: bool) {
-        self.exchange.note_answered(now, usable);
+        self.exchange.record_store_answer(now, usable);
         self.store_usable[kind as usize] = usable;
         self.exchange
             .set_store_usable(self.store_usable == [true; ObjectKind::COUNT]);
@@ -270,8 +270,8 @@
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
             PeerDatagram::Delta(message) => self.handle_delta(now, from, message),
-            PeerDatagram::Question(question) => self.handle_probe_request(now, &question),
-            PeerDatagram::Objection(objection) => self.handle_refutation(now, &objection),
+            PeerDatagram::ProbeRequest(question) => self.handle_probe_request(now, &question),
+            PeerDatagram::Refutation(objection) => self.handle_refutation(now, &objection),
             PeerDatagram::Findings(report) => self.handle_findings(now, &report),
             PeerDatagram::Outliers(message) => self.handle_outlier_message(now, &message),
         }
@@ -286,7 +286,7 @@
     ) -> Outcome {
         let before = self.replica.versions();
         self.record_versions(now, snapshot.versions);
-        self.exchange.fetched(from, snapshot.versions);
+        self.exchange.fetch_succeeded(from, snapshot.versions);
         let change = self.replica.merge(now, snapshot);
         self.changed(now, before, change)
     }
@@ -332,7 +332,7 @@
     /// Returns an upper estimate of the number of nodes.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
-        self.exchange.nodes_at_most(now)
+        self.exchange.node_count_upper_bound(now)
     }
 
     /// Returns the instances that peers suspect.
--- a/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
@@ -114,7 +114,7 @@
         if now >= self.outlier_state.next_review {
             self.outlier_state.next_review = now.after(REVIEW_INTERVAL);
             if self.exchange.collects_reports() {
-                let nodes = self.exchange.nodes_at_most(now);
+                let nodes = self.exchange.node_count_upper_bound(now);
                 changes = self.outlier_state.detector.review(now, table, nodes);
                 effects.extend(self.announce(now));
             }
@@ -148,7 +148,7 @@
             OutlierMessage::Verdicts(verdicts) => {
                 if self.outlier_state.verdicts.record(now, verdicts) {
                     self.outlier_state.verdicts_changed = true;
-                    effects = self.exchange.pass_verdicts(verdicts);
+                    effects = self.exchange.forward_verdicts(verdicts);
                 }
             }
         }
@@ -180,9 +180,9 @@
         self.outlier_state.sequence += 1;
         let verdicts = self
             .exchange
-            .own_verdicts(self.outlier_state.sequence, &outliers);
+            .build_verdicts(self.outlier_state.sequence, &outliers);
         self.outlier_state.announced = outliers;
         self.outlier_state.verdicts.record(now, &verdicts);
-        self.exchange.pass_verdicts(&verdicts)
+        self.exchange.forward_verdicts(&verdicts)
     }
 }
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -86,7 +86,7 @@
             changes.extend(change);
         }
         self.update_records(now);
-        let mut effects = self.exchange.tell_findings(now, findings);
+        let mut effects = self.exchange.report_findings(now, findings);
         effects.extend(self.request_confirmation(now));
         (changes, effects)
     }
@@ -98,9 +98,9 @@
             return Vec::new();
         }
         self.reachability
-            .set_single_zone(self.exchange.stands_in_only_zone());
+            .set_single_zone(self.exchange.knows_only_own_zone());
         let unconfirmed = self.reachability.take_unconfirmed(now);
-        self.exchange.ask_peer(&unconfirmed)
+        self.exchange.request_probes(&unconfirmed)
     }
 
     /// Records the findings in a peer's report, and forwards those that are new.
@@ -110,7 +110,7 @@
         report: &ReachabilityReport,
     ) -> Outcome {
         self.reachability
-            .set_single_zone(self.exchange.stands_in_only_zone());
+            .set_single_zone(self.exchange.knows_only_own_zone());
         let directory = self.replica.directory();
         let reachability = &mut self.reachability;
         let findings = report.findings_at(now);
@@ -120,7 +120,7 @@
             .collect();
         Outcome {
             change: StateChange::default(),
-            effects: self.exchange.tell_findings(now, new_findings),
+            effects: self.exchange.report_findings(now, new_findings),
         }
     }
 
@@ -160,13 +160,13 @@
         let refuted: Vec<Cookie> = alive
             .filter(|cookie| self.reachability.record_alive(now, *cookie))
             .collect();
-        let effects = self.exchange.tell_living(&refuted);
+        let effects = self.exchange.refute_suspicions(&refuted);
         (refuted, effects)
     }
 
     /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
     /// new.
-    pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Objection) -> Outcome {
+    pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Refutation) -> Outcome {
         let alive = objection.cookies.iter();
         let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
         let (_, effects) = self.report_alive(now, &alive);
@@ -208,7 +208,11 @@
     }
 
     /// Handles a peer's request to probe instances that it cannot reach.
-    pub(super) fn handle_probe_request(&mut self, now: Timestamp, question: &Question) -> Outcome {
+    pub(super) fn handle_probe_request(
+        &mut self,
+        now: Timestamp,
+        question: &ProbeRequest,
+    ) -> Outcome {
         let suspects = question.cookies.iter();
         let suspects = suspects.filter_map(|bits| Cookie::from_bits(*bits));
         for cookie in suspects {
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -159,7 +159,7 @@
 #[test]
 fn one_reader_and_two_backups_are_elected_at_any_size() {
     for size in [3, 10, 200] {
-        let cluster = watched(size);
+        let cluster = watching_cluster(size);
         assert_eq!(
             cluster.with_duty(StoreDuty::Reader).len(),
             1,
@@ -176,11 +176,11 @@
 #[test]
 fn listeners_stay_idle_while_watchers_confirm_the_state() {
     for size in [10, 100] {
-        let mut cluster = watched(size);
+        let mut cluster = watching_cluster(size);
         let mut idle = 0;
         for _ in 0..40 {
-            cluster.run(TICK);
-            idle += cluster.resting();
+            cluster.run(TICK_MS);
+            idle += cluster.passive_nodes();
         }
         let possible = 40 * (size - WATCHERS);
         assert!(
@@ -192,7 +192,7 @@
 
 #[test]
 fn no_node_stays_idle_without_confirmations() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     cluster.store_answers = false;
     cluster.run(1_600);
     assert_eq!(cluster.passive_nodes(), 0);
@@ -208,7 +208,7 @@
 
 #[test]
 fn no_node_has_a_duty_while_the_store_is_unavailable() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     for node in cluster.nodes.values_mut() {
         node.coordinator
             .record_store_availability(at(cluster.now), ObjectKind::Instances, false);
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_single_node_is_the_reader() {
-    assert_eq!(watched(1).with_duty(StoreDuty::Reader).len(), 1);
+    assert_eq!(watching_cluster(1).with_duty(StoreDuty::Reader).len(), 1);
 }
 
 #[test]
@@ -236,7 +236,7 @@
 
 #[test]
 fn watchers_that_die_or_lose_the_store_are_replaced() {
-    let mut cluster = watched(20);
+    let mut cluster = watching_cluster(20);
     let readers = cluster.with_duty(StoreDuty::Reader);
     let backups = cluster.with_duty(StoreDuty::Backup);
     cluster.nodes.get_mut(&readers[0]).unwrap().alive = false;
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_reader_that_leaves_is_replaced() {
-    let mut cluster = watched(10);
+    let mut cluster = watching_cluster(10);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let now = at(cluster.now);
     let node = cluster.nodes.get_mut(&reader).unwrap();
@@ -273,15 +273,15 @@
 
 #[test]
 fn a_change_reaches_most_nodes_at_once_as_a_delta() {
-    let mut cluster = watched(100);
+    let mut cluster = watching_cluster(100);
     let fetched =
         |cluster: &Cluster| -> usize { cluster.nodes.values().map(|node| node.fetched).sum() };
     let before = fetched(&cluster);
     cluster.learn(3, 9);
     assert!(
-        cluster.knowing(9) >= 80,
+        cluster.nodes_knowing(9) >= 80,
         "only {} nodes have it at once",
-        cluster.knowing(9)
+        cluster.nodes_knowing(9)
     );
     cluster.run(1_500);
     assert_eq!(cluster.nodes_knowing(9), 100);
@@ -291,7 +291,7 @@
 
 #[test]
 fn a_starting_node_with_the_current_list_still_fetches_tombstones() {
-    let mut cluster = watched(5);
+    let mut cluster = watching_cluster(5);
     cluster.learn(0, 9);
     cluster.run(1_000);
     cluster.start(4);
@@ -318,7 +318,7 @@
     let mut node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
     for _ in 0..5 {
         let empty_snapshot = Replica::new(TOMBSTONE_LIFETIME).snapshot(at(0));
-        node.snapshot(at(100), address(1), empty_snapshot);
+        node.apply_snapshot(at(100), address(1), empty_snapshot);
     }
     let peer = watching_cluster(3)
         .nodes
@@ -388,7 +388,7 @@
     }
     for (number, heartbeat) in heartbeats.into_iter().enumerate() {
         let datagram = PeerDatagram::Heartbeat(heartbeat);
-        node.datagram(at(heartbeats_at), address(number + 1), datagram);
+        node.handle_datagram(at(heartbeats_at), address(number + 1), datagram);
     }
     node
 }
@@ -402,7 +402,7 @@
             WatchPlan::RestUntil(until) => at(*now) < until,
             WatchPlan::Watch(_) | WatchPlan::Confirm => false,
         };
-        !is_idle && node.may_ask(at(*now), ObjectKind::Instances)
+        !is_idle && node.may_call_store(at(*now), ObjectKind::Instances)
     })
 }
 
@@ -492,15 +492,15 @@
 
 #[test]
 fn confirmations_that_waited_through_a_stall_are_ignored() {
-    let cluster = watched(3);
+    let cluster = watching_cluster(3);
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let listener = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut listener = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), listener);
     let snapshot = cluster.nodes[&reader].coordinator.replica().snapshot(at(0));
     let versions = snapshot.versions;
-    listener.snapshot(at(0), reader, snapshot);
+    listener.apply_snapshot(at(0), reader, snapshot);
     // Otherwise it would become the reader.
-    listener.note_store(at(0), ObjectKind::Instances, false);
+    listener.record_store_availability(at(0), ObjectKind::Instances, false);
     let heartbeat = |age| {
         PeerDatagram::Heartbeat(Heartbeat {
             versions,
@@ -520,18 +520,18 @@
         matches!(plan, WatchPlan::RestUntil(until) if until > at(now))
     };
     listener.tick(at(0));
-    listener.datagram(at(50), reader, heartbeat(0));
+    listener.handle_datagram(at(50), reader, heartbeat(0));
     assert!(is_idle(&listener, 100));
     // The process stalls for four seconds; this heartbeat waited in its socket buffer.
-    listener.datagram(at(4_100), reader, heartbeat(0));
+    listener.handle_datagram(at(4_100), reader, heartbeat(0));
     assert!(!is_idle(&listener, 4_100));
     listener.tick(at(4_110));
-    listener.datagram(at(4_300), reader, heartbeat(0));
+    listener.handle_datagram(at(4_300), reader, heartbeat(0));
     assert!(!is_idle(&listener, 4_300));
     for now in [4_400, 4_500] {
         listener.tick(at(now));
     }
-    listener.datagram(at(4_550), reader, heartbeat(100));
+    listener.handle_datagram(at(4_550), reader, heartbeat(100));
     assert!(is_idle(&listener, 4_550));
     let plan = listener.watch_plan(at(4_550), ObjectKind::Configuration);
     assert_eq!(plan, WatchPlan::RestUntil(at(4_450 + 1_500)));
@@ -545,8 +545,12 @@
     let exchange = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut new_node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
     new_node.tick(at(START));
-    let peer = watched(3).nodes.remove(&address(0)).unwrap().coordinator;
-    new_node.snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
+    let peer = watching_cluster(3)
+        .nodes
+        .remove(&address(0))
+        .unwrap()
+        .coordinator;
+    new_node.apply_snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
@@ -564,7 +568,7 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    new_node.datagram(at(START + 50), address(0), datagram);
+    new_node.handle_datagram(at(START + 50), address(0), datagram);
     let plan = new_node.watch_plan(at(START + 60), ObjectKind::Instances);
     assert_eq!(
         plan,
@@ -588,7 +592,7 @@
 
 #[test]
 fn a_listener_without_confirmations_reads_the_newest_state() {
-    let cluster = watched(5);
+    let cluster = watching_cluster(5);
     let listener = cluster.with_duty(StoreDuty::Listener)[0];
     let coordinator = &cluster.nodes[&listener].coordinator;
     let plan = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
@@ -688,7 +692,10 @@
 #[test]
 fn the_cluster_size_estimate_drops_only_after_a_delay() {
     let mut node = new_node();
-    assert!(node.nodes_at_most(at(10_000)) >= 300.0, "just started");
+    assert!(
+        node.node_count_upper_bound(at(10_000)) >= 300.0,
+        "just started"
+    );
     for now in (10_000..20_000).step_by(100) {
         for number in 1..=40 {
             let heartbeat = Heartbeat {
@@ -713,12 +720,16 @@
         node.tick(at(now));
     }
     assert_eq!(
-        node.nodes_at_most(at(70_000)),
+        node.node_count_upper_bound(at(70_000)),
         41.0,
         "isolated for less than a minute"
     );
     for now in (70_000..200_000).step_by(100) {
         node.tick(at(now));
     }
-    assert_eq!(node.nodes_at_most(at(200_000)), 1.0, "isolated for longer");
+    assert_eq!(
+        node.node_count_upper_bound(at(200_000)),
+        1.0,
+        "isolated for longer"
+    );
 }
--- a/crates/bellyoke-core/tests/cookie/exchange_zones.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange_zones.rs
@@ -42,14 +42,14 @@
 
 /// Returns the mean and the maximum time in milliseconds until a change has reached all nodes.
 fn propagation_times(size: usize, layout: Layout) -> (u64, u64) {
-    let mut cluster = watched_in(size, layout);
+    let mut cluster = watching_cluster_in(size, layout);
     let mut times = Vec::new();
     for change in 0..20 {
         let revision = 100 + change as u64;
         cluster.learn(change * 7 % size, revision);
         let started = cluster.now;
-        while cluster.knowing(revision) < size {
-            cluster.run(TICK);
+        while cluster.nodes_knowing(revision) < size {
+            cluster.run(TICK_MS);
         }
         times.push(cluster.now - started);
         cluster.run(1_000);
@@ -79,7 +79,7 @@
         let (mean, longest) = propagation_times(size, zones(count));
         let (mean_off, longest_off) = propagation_times(size, without_zone_preference(count));
         println!("{size} nodes in {count}: {mean} {longest}, off: {mean_off} {longest_off}");
-        assert!(mean <= mean_off + TICK && longest <= longest_off.max(1_000));
+        assert!(mean <= mean_off + TICK_MS && longest <= longest_off.max(1_000));
     }
 }
 
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_fully_restarted_zone_receives_the_state_from_other_zones() {
-    let mut cluster = watched_in(60, zones(3));
+    let mut cluster = watching_cluster_in(60, zones(3));
     cluster.learn(1, 50);
     cluster.run(2_000);
     for number in (0..60).step_by(3) {
@@ -109,7 +109,7 @@
 /// As many nodes join as there are, and they know only the addresses of three seeds.
 #[test]
 fn seeds_serve_few_of_the_snapshots_of_starting_nodes() {
-    let mut cluster = watched_in(150, zones(3));
+    let mut cluster = watching_cluster_in(150, zones(3));
     cluster.learn(1, 50);
     cluster.run(3_000);
     cluster.nodes.values_mut().for_each(|node| node.served = 0);
@@ -137,16 +137,16 @@
 #[test]
 fn a_zone_whose_only_updated_node_dies_gets_the_update_from_others() {
     for victim in [1, 4, 22] {
-        let mut cluster = watched_in(60, zones(3));
+        let mut cluster = watching_cluster_in(60, zones(3));
         let others: Vec<SocketAddrV4> = cluster.nodes.keys().copied().collect();
         for other in others {
-            cluster.lost.push((address(victim), other));
+            cluster.cut_links.push((address(victim), other));
         }
         cluster.learn(victim, 50);
-        cluster.run(TICK);
-        assert_eq!(cluster.knowing(50), 1, "all its messages were lost");
+        cluster.run(TICK_MS);
+        assert_eq!(cluster.nodes_knowing(50), 1, "all its messages were lost");
         cluster.node(victim).alive = false;
-        cluster.lost.clear();
+        cluster.cut_links.clear();
         cluster.learn(2, 50);
         cluster.run(1_500);
         assert_eq!(cluster.nodes_knowing(50), 59);
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_partitioned_zone_elects_watchers_and_rejoins() {
-    let mut cluster = watched_in(60, zones(3));
+    let mut cluster = watching_cluster_in(60, zones(3));
     partition_first_zone(&mut cluster);
     cluster.run(12_000);
     let watchers: BTreeSet<usize> = [StoreDuty::Reader, StoreDuty::Backup]
@@ -193,11 +193,11 @@
 #[test]
 fn listeners_of_all_zones_stay_idle_while_watchers_confirm() {
     for count in [3, 6] {
-        let mut cluster = watched_in(120, zones(count));
+        let mut cluster = watching_cluster_in(120, zones(count));
         let mut idle = 0;
         for _ in 0..40 {
-            cluster.run(TICK);
-            idle += cluster.resting();
+            cluster.run(TICK_MS);
+            idle += cluster.passive_nodes();
         }
         let possible = 40 * (120 - WATCHERS);
         assert!(idle * 100 >= possible * 95, "{idle} of {possible} idle");
@@ -211,7 +211,7 @@
             large_nodes: 6,
             ..zones(count)
         };
-        let cluster = watched_in(90, layout);
+        let cluster = watching_cluster_in(90, layout);
         let mut watchers = cluster.with_duty(StoreDuty::Reader);
         watchers.extend(cluster.with_duty(StoreDuty::Backup));
         assert_eq!(watchers.len(), WATCHERS);
@@ -270,7 +270,7 @@
 /// If all nodes are busy, three of them watch nevertheless.
 #[test]
 fn three_nodes_watch_even_if_all_are_busy() {
-    let mut cluster = watched_in(30, zones(3));
+    let mut cluster = watching_cluster_in(30, zones(3));
     for number in 0..30 {
         cluster.node(number).coordinator.set_link_paced(true);
     }
@@ -345,7 +345,7 @@
 /// refutation late resets flows of a live one.
 #[test]
 fn findings_probe_requests_and_refutations_always_reach_another_zone() {
-    let class = CapacityClass::LEAST;
+    let class = CapacityClass::SMALLEST;
     let cookie = Cookie::of(InstanceId(7));
     for seed in 0..20 {
         let mut exchange = isolated_exchange(seed);
@@ -385,7 +385,7 @@
 
 #[test]
 fn snapshots_come_from_the_own_zone_first_and_from_others_if_it_fails() {
-    let class = CapacityClass::LEAST;
+    let class = CapacityClass::SMALLEST;
     for seed in 0..20 {
         let peers = [(1, 7, class), (2, 0, class), (3, 8, class)];
         let sources = sources(seed, &peers);
@@ -420,7 +420,7 @@
     let mut exchange = isolated_exchange(1);
     let own = Versions::default();
     let mut receive = |number: usize, zone: u16| {
-        let heartbeat = heartbeat_of(zone, CapacityClass::LEAST, 0);
+        let heartbeat = heartbeat_of(zone, CapacityClass::SMALLEST, 0);
         let now = at(10_000 + number as u64);
         exchange.handle_heartbeat(now, address(number), &heartbeat, own, |_| false);
     };
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -48,8 +48,8 @@
     assert!(monitor.ended(at(2_000)).is_empty());
 
     let mut other_zone = ReachabilityMonitor::new(origin(9, 5));
-    other_zone.set_one_zone(false);
-    assert!(other_zone.note_finding(at(1_000), &finding(origin(1, 0), 950)));
+    other_zone.set_single_zone(false);
+    assert!(other_zone.record_finding(at(1_000), &finding(origin(1, 0), 950)));
     assert!(
         other_zone.avoided(at(1_000)).is_empty(),
         "network paths of other zones differ"
@@ -59,13 +59,13 @@
 #[test]
 fn findings_of_two_zones_reset_flows_in_all_zones() {
     let mut monitor = monitor();
-    monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
-    monitor.note_finding(at(1_100), &finding(origin(2, 5), 1_050));
+    monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
+    monitor.record_finding(at(1_100), &finding(origin(2, 5), 1_050));
     assert!(
         monitor.unreachable(at(1_100)).is_empty(),
         "findings of only one zone"
     );
-    monitor.note_finding(at(1_200), &finding(origin(3, 6), 1_150));
+    monitor.record_finding(at(1_200), &finding(origin(3, 6), 1_150));
     let all = BTreeSet::from([cookie()]);
     assert_eq!(monitor.unreachable(at(1_200)), all);
     assert_eq!(monitor.avoided(at(1_200)), all);
@@ -118,17 +118,17 @@
 #[test]
 fn an_instance_reached_again_by_peers_is_avoided_for_a_while() {
     let mut monitor = monitor();
-    monitor.note_finding(at(1_000), &finding(origin(1, 5), 950));
-    monitor.note_finding(at(1_000), &finding(origin(2, 6), 950));
+    monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
+    monitor.record_finding(at(1_000), &finding(origin(2, 6), 950));
     let reached_again = |origin| Finding {
         reached: true,
         ..finding(origin, 2_000)
     };
-    assert!(monitor.note_finding(at(2_000), &reached_again(origin(3, 5))));
+    assert!(monitor.record_finding(at(2_000), &reached_again(origin(3, 5))));
     assert!(monitor.unreachable(at(2_000)).is_empty());
-    assert!(monitor.note_finding(at(2_000), &reached_again(origin(2, 6))));
+    assert!(monitor.record_finding(at(2_000), &reached_again(origin(2, 6))));
     assert!(
-        !monitor.note_finding(at(2_010), &reached_again(origin(2, 6))),
+        !monitor.record_finding(at(2_010), &reached_again(origin(2, 6))),
         "already forwarded"
     );
     assert!(!monitor.avoided(at(11_999)).is_empty());
@@ -145,11 +145,11 @@
         reached: true,
         ..finding(origin(1, 5), 2_000)
     };
-    assert!(monitor.note_finding(at(1_000), &first));
-    assert!(monitor.note_finding(at(2_050), &reached_again));
+    assert!(monitor.record_finding(at(1_000), &first));
+    assert!(monitor.record_finding(at(2_050), &reached_again));
     for now in [2_060, 2_070] {
-        assert!(!monitor.note_finding(at(now), &first));
-        assert!(!monitor.note_finding(at(now), &reached_again));
+        assert!(!monitor.record_finding(at(now), &first));
+        assert!(!monitor.record_finding(at(now), &reached_again));
     }
     assert!(monitor.record_finding(at(4_050), &finding(origin(1, 5), 4_000)));
 }
@@ -161,7 +161,7 @@
     monitor.record_finding(at(1_000), &finding(origin(1, 5), 950));
     monitor.record_finding(at(1_000), &finding(origin(2, 6), 950));
     assert!(
-        !monitor.question(at(1_000), cookie(), Doubter::Node),
+        !monitor.suspect(at(1_000), cookie(), SuspicionSource::OwnOpening),
         "the peers' findings are already known"
     );
     assert!(monitor.suspect(at(1_000), cookie(), SuspicionSource::PeerRequest));
@@ -174,19 +174,19 @@
 #[test]
 fn probes_are_requested_until_another_zone_confirms_a_finding() {
     let mut monitor = monitor();
-    monitor.question(at(900), cookie(), Doubter::Node);
-    monitor.questioned(Doubter::Node);
-    monitor.probed(at(1_000), cookie(), ProbeOutcome::Unreachable);
-    assert_eq!(monitor.unconfirmed(at(1_000)), [cookie()]);
-    assert_eq!(monitor.unconfirmed(at(1_399)), []);
-    monitor.note_finding(at(1_399), &finding(origin(1, 0), 1_350));
+    monitor.suspect(at(900), cookie(), SuspicionSource::OwnOpening);
+    monitor.take_suspects(SuspicionSource::OwnOpening);
+    monitor.record_probe(at(1_000), cookie(), ProbeOutcome::Unreachable);
+    assert_eq!(monitor.take_unconfirmed(at(1_000)), [cookie()]);
+    assert_eq!(monitor.take_unconfirmed(at(1_399)), []);
+    monitor.record_finding(at(1_399), &finding(origin(1, 0), 1_350));
     assert_eq!(
-        monitor.unconfirmed(at(1_400)),
+        monitor.take_unconfirmed(at(1_400)),
         [cookie()],
         "confirmed only by the own zone"
     );
-    monitor.note_finding(at(1_500), &finding(origin(2, 5), 1_450));
-    assert_eq!(monitor.unconfirmed(at(1_800)), []);
+    monitor.record_finding(at(1_500), &finding(origin(2, 5), 1_450));
+    assert_eq!(monitor.take_unconfirmed(at(1_800)), []);
 }
 
 /// Cost of a dead instance for the cluster.
@@ -203,11 +203,11 @@
 /// An opening of one node at an instance fails. Probes of all nodes run for six seconds, after
 /// which the record of the instance would be deleted.
 fn cost_of_a_dead_instance(nodes: usize) -> Cost {
-    let mut cluster = in_five_zones(nodes, 50);
+    let mut cluster = cluster_in_five_zones(nodes, 50);
     cluster.traffic.clear();
     let started = cluster.now;
     let suspecting = cluster.node(nodes / 2);
-    suspecting.coordinator.doubt(at(started), &[cookie()]);
+    suspecting.coordinator.suspect(at(started), &[cookie()]);
     let mut connections = 0;
     let mut informed_nodes = 0;
     while cluster.now < started + 6_000 {
@@ -226,7 +226,7 @@
                 cluster.perform(address(node), outcome);
             }
         }
-        cluster.run(TICK);
+        cluster.run(TICK_MS);
         if cluster.now == started + 500 {
             let now = at(cluster.now);
             let all = cluster.nodes.values();
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -283,7 +283,7 @@
 
 fn requested_probes(effects: &[ExchangeEffect]) -> Vec<Vec<u32>> {
     let requests = effects.iter().filter_map(|effect| match effect {
-        ExchangeEffect::SendQuestion { question, .. } => Some(question.cookies.clone()),
+        ExchangeEffect::SendProbeRequest { request, .. } => Some(request.cookies.clone()),
         _ => None,
     });
     requests.collect()
@@ -327,7 +327,7 @@
     let question = ProbeRequest {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
-    let request = PeerDatagram::Question(question);
+    let request = PeerDatagram::ProbeRequest(question);
     let effects = other.handle_datagram(at(500), peer(), request).effects;
     assert_eq!(effects, [], "a request is not forwarded");
     // It probes the instance itself: a peer's request alone ends no flow.
--- a/crates/bellyoke-core/tests/cookie/spread.rs
+++ b/crates/bellyoke-core/tests/cookie/spread.rs
@@ -52,7 +52,7 @@
 }
 
 fn replacement_cost(nodes: usize) -> Cost {
-    let mut cluster = in_five_zones(nodes, INITIAL_INSTANCES);
+    let mut cluster = cluster_in_five_zones(nodes, INITIAL_INSTANCES);
     cluster.traffic.clear();
     for node in cluster.nodes.values_mut() {
         node.sent = 0;
@@ -85,7 +85,7 @@
 /// Each node forwards a change once to four peers, whatever the cluster size.
 #[test]
 fn the_cost_of_replacing_a_service_is_independent_of_the_cluster_size() {
-    assert_eq!(TICK, 50);
+    assert_eq!(TICK_MS, 50);
     let costs = [20, 200, 1_000].map(replacement_cost);
     let [small, _, _] = &costs;
     for cost in &costs {
