--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -95,12 +95,12 @@
     let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
     let mut node = Coordinator::new(Replica::new(Duration::from_secs(70)), exchange);
     let items = (0..instances).map(|number| record(number, u64::from(number)));
-    let list = Update::Whole {
+    let list = Update::List {
         at: Revision::new(LISTED),
         items: items.collect(),
     };
     node.instances(time(0), list);
-    let configuration = Update::Whole {
+    let configuration = Update::List {
         at: Revision::new(LISTED),
         items: vec![configuration()],
     };
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -7,7 +7,7 @@
 mod probing;
 
 use crate::cookie::capacity::BusyDetector;
-use crate::cookie::era::{CallContext, EraTracker, Standing};
+use crate::cookie::era::{AnswerValidity, CallContext, EraTracker};
 use crate::cookie::exchange::{
     DeltaMessage, Exchange, ExchangeEffect, FetchRequest, Heartbeat, PeerDatagram, StoreDuty,
 };
@@ -52,7 +52,7 @@
 /// let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
 /// let replica = Replica::new(Duration::from_secs(70));
 /// let mut coordinator = Coordinator::new(replica, exchange);
-/// let empty = Update::Whole { at: Revision::new(3), items: Vec::new() };
+/// let empty = Update::List { at: Revision::new(3), items: Vec::new() };
 /// assert!(coordinator.instances(Timestamp::ZERO, empty).change.directory);
 /// ```
 #[derive(Debug)]
@@ -130,10 +130,10 @@
     pub fn watch_plan(&self, now: Timestamp, kind: ObjectKind) -> WatchPlan {
         let versions = self.replica.versions();
         match self.exchange.watch_plan(now, kind, versions) {
-            plan if !self.eras.was_restored_of_late(now) => plan,
-            plan @ WatchPlan::RestUntil(time) if now < time => plan,
+            plan if !self.eras.was_recently_restored(now) => plan,
+            plan @ WatchPlan::IdleUntil(time) if now < time => plan,
             WatchPlan::Watch(_) => WatchPlan::Watch(Freshness::Newest),
-            WatchPlan::Confirm | WatchPlan::RestUntil(_) => WatchPlan::Confirm,
+            WatchPlan::Confirm | WatchPlan::IdleUntil(_) => WatchPlan::Confirm,
         }
     }
 
@@ -163,8 +163,8 @@
         context: CallContext,
         read: &Read,
         reply: &Reply<Item, Event>,
-    ) -> Standing {
-        self.eras.judge(now, context, read, reply)
+    ) -> AnswerValidity {
+        self.eras.classify(now, context, read, reply)
     }
 
     /// The revision up to which everything of a kind is known, wherever it came from.
@@ -206,7 +206,7 @@
     ) -> Outcome {
         let before = self.replica.versions();
         let directory = match update {
-            Update::Whole { at, items } => self.replica.replace_instances(now, at, items),
+            Update::List { at, items } => self.replica.replace_instances(now, at, items),
             Update::Changes { at, events } => self.replica.apply_instances(now, at, events),
         };
         let change = StateChange {
@@ -223,7 +223,7 @@
         update: Update<Configuration, Configuration>,
     ) -> Outcome {
         let before = self.replica.versions();
-        let (Update::Whole {
+        let (Update::List {
             at,
             items: configurations,
         }
@@ -243,7 +243,7 @@
     pub fn zones(&mut self, now: Timestamp, update: Update<DrainedZone, ZoneEvent>) -> Outcome {
         let before = self.replica.versions();
         let zones = match update {
-            Update::Whole { at, items } => self.replica.replace_zones(now, at, items),
+            Update::List { at, items } => self.replica.replace_zones(now, at, items),
             Update::Changes { at, events } => self.replica.apply_zones(now, at, events),
         };
         let change = StateChange {
@@ -419,7 +419,7 @@
     /// A peer has told its versions, and with them the era of the store that it knows.
     fn note_versions(&mut self, now: Timestamp, versions: Versions) {
         if !versions.is_empty() {
-            self.eras.note(now, versions.latest().era());
+            self.eras.record_era(now, versions.latest().era());
         }
     }
 
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -177,12 +177,12 @@
             return;
         }
         let directory = self.replica.directory();
-        let succeeded = directory.succeeded();
+        let succeeded = directory.with_reused_address();
         let state_of = |cookie| {
             let known = directory.find(cookie)?;
             Some(if succeeded.contains(&known.record.id) {
                 RecordState::Succeeded
-            } else if known.gone_at.is_some() {
+            } else if known.removed_at.is_some() {
                 RecordState::Gone
             } else {
                 RecordState::Present
@@ -216,7 +216,7 @@
 ) -> Vec<SocketAddrV4> {
     let is_sound = |known: &&KnownInstance| {
         let cookie = Cookie::of(known.record.id);
-        let serves = known.gone_at.is_none() && known.record.state == InstanceState::Ready;
+        let serves = known.removed_at.is_none() && known.record.state == InstanceState::Ready;
         serves && known.warm_at <= now && !reachability.is_in_doubt(now, cookie)
     };
     let proven_first = proven.iter().filter_map(|cookie| directory.find(*cookie));
--- a/crates/bellyoke-core/src/cookie/delta.rs
+++ b/crates/bellyoke-core/src/cookie/delta.rs
@@ -47,11 +47,11 @@
     /// use bellyoke_core::cookie::revision::Revision;
     ///
     /// let gap = RevisionGap { from: Revision::new(4), to: Revision::new(9) };
-    /// assert!(gap.holds(Revision::new(5)));
-    /// assert!(!gap.holds(Revision::new(4)) && !gap.holds(Revision::new(9)));
+    /// assert!(gap.contains(Revision::new(5)));
+    /// assert!(!gap.contains(Revision::new(4)) && !gap.contains(Revision::new(9)));
     /// ```
     #[must_use]
-    pub fn holds(self, revision: Revision) -> bool {
+    pub fn contains(self, revision: Revision) -> bool {
         self.from < revision && revision < self.to
     }
 }
--- a/crates/bellyoke-core/src/cookie/directory.rs
+++ b/crates/bellyoke-core/src/cookie/directory.rs
@@ -4,20 +4,20 @@
 //! and an outage of the store takes records of healthy instances. So a gone instance stays
 //! known (a tombstone) for as long as a flow of its may live, and its flows go on.
 
+mod address_reuse;
 mod restoration;
-mod succession;
 
-pub use succession::FirstCreation;
+pub use address_reuse::FirstCreation;
 
 use crate::cookie::delta::{DirectoryDelta, RevisionGap};
 use crate::cookie::instance::{Cookie, InstanceEvent, InstanceId, InstanceRecord};
 use crate::cookie::revision::Revision;
 use crate::time::Timestamp;
+use address_reuse::earlier;
 use restoration::is_of_another_era;
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use succession::earlier;
 
 /// Most tombstones held; the oldest go first. 64 times the instances of the users' largest
 /// service.
@@ -35,13 +35,13 @@
     /// From when on it works at full speed.
     pub warm_at: Timestamp,
     /// When its record went, if it has.
-    pub gone_at: Option<Timestamp>,
+    pub removed_at: Option<Timestamp>,
     /// The revision by which its record had gone, if it has; it may have gone a little earlier.
-    pub gone_revision: Revision,
+    pub removed_revision: Revision,
     /// Whether this node knew an earlier run of the instance.
     pub restarted: bool,
     /// Until when it takes no new flows, as it may have ended before the store was restored.
-    pub doubted_until: Option<Timestamp>,
+    pub excluded_until: Option<Timestamp>,
 }
 
 /// A gone instance as nodes tell each other of it.
@@ -67,14 +67,14 @@
     /// The last spans of which only lists at their ends are known, the oldest first.
     gaps: Vec<RevisionGap>,
     /// No instance went before, of those that are known; none if none has gone.
-    oldest_gone_at: Option<Timestamp>,
-    /// What [`Self::succeeded`] told, until something changes: asked for again with each table and each doubt, and
+    oldest_removed_at: Option<Timestamp>,
+    /// What [`Self::with_reused_address`] told, until something changes: asked for again with each table and each doubt, and
     /// it looks at all instances.
-    succeeded: OnceCell<BTreeSet<InstanceId>>,
+    with_reused_address: OnceCell<BTreeSet<InstanceId>>,
     /// Instances that have started again since they were last asked for.
     restarted: Vec<InstanceId>,
-    /// When the first of [`KnownInstance::doubted_until`] is over, if there is one.
-    first_doubt_ends: Option<Timestamp>,
+    /// When the first of [`KnownInstance::excluded_until`] is over, if there is one.
+    first_exclusion_ends_at: Option<Timestamp>,
 }
 
 impl Directory {
@@ -88,10 +88,10 @@
             changed_at: Revision::new(0),
             complete_since: Revision::new(0),
             gaps: Vec::new(),
-            oldest_gone_at: None,
-            succeeded: OnceCell::new(),
+            oldest_removed_at: None,
+            with_reused_address: OnceCell::new(),
             restarted: Vec::new(),
-            first_doubt_ends: None,
+            first_exclusion_ends_at: None,
         }
     }
 
@@ -140,7 +140,7 @@
     /// Takes over a whole list that was true at revision `at`, from the store or a peer.
     /// Returns whether anything changed; a list older than what is known changes nothing.
     pub fn replace(&mut self, now: Timestamp, at: Revision, records: Vec<InstanceRecord>) -> bool {
-        let learned = self.learn_creations(records.iter().filter_map(FirstCreation::of));
+        let learned = self.merge_creations(records.iter().filter_map(FirstCreation::of));
         if self.as_of.is_some_and(|known| at < known) {
             return learned;
         }
@@ -148,7 +148,7 @@
         match self.as_of {
             None => self.complete_since = at,
             // Peers that know a revision in between can't be told by a delta, nor that nothing has changed.
-            Some(from) if from < at => self.note_gap(RevisionGap { from, to: at }),
+            Some(from) if from < at => self.record_gap(RevisionGap { from, to: at }),
             Some(_) => {}
         }
         if self.as_of != Some(at) {
@@ -156,14 +156,14 @@
         }
         let listed: BTreeSet<InstanceId> = records.iter().map(|record| record.id).collect();
         for known in self.known.values_mut() {
-            if !listed.contains(&known.record.id) && known.gone_at.is_none() {
-                known.gone_at = Some(now);
-                known.gone_revision = at;
+            if !listed.contains(&known.record.id) && known.removed_at.is_none() {
+                known.removed_at = Some(now);
+                known.removed_revision = at;
                 changed = true;
             }
         }
         if changed {
-            self.note_gone(now);
+            self.record_removal(now);
         }
         for record in records {
             changed |= self.put(now, record);
@@ -195,11 +195,14 @@
     #[must_use]
     pub fn delta_since(&self, now: Timestamp, since: Revision) -> Option<DirectoryDelta> {
         let as_of = self.as_of?;
-        let is_in_gap = self.gaps.iter().any(|gap| gap.holds(since));
+        let is_in_gap = self.gaps.iter().any(|gap| gap.contains(since));
         if since < self.complete_since || since >= as_of || is_in_gap {
             return None;
         }
-        let present = self.known.values().filter(|known| known.gone_at.is_none());
+        let present = self
+            .known
+            .values()
+            .filter(|known| known.removed_at.is_none());
         let changed = present.filter(|known| known.record.revision > since);
         Some(DirectoryDelta {
             since,
@@ -216,22 +219,22 @@
         let Some(as_of) = self.as_of.filter(|as_of| *as_of >= delta.since) else {
             return false;
         };
-        if delta.gaps.iter().any(|gap| gap.holds(as_of)) {
+        if delta.gaps.iter().any(|gap| gap.contains(as_of)) {
             return false;
         }
         for gap in delta.gaps.iter().filter(|gap| as_of <= gap.from) {
-            self.note_gap(*gap);
+            self.record_gap(*gap);
         }
-        let learned = self.learn_creations(delta.records.iter().filter_map(FirstCreation::of));
+        let learned = self.merge_creations(delta.records.iter().filter_map(FirstCreation::of));
         let gone = delta.gone.iter();
         let gone = gone.map(|tombstone| InstanceEvent::Gone(tombstone.record.id));
         let put = delta.records.into_iter().map(InstanceEvent::Put);
         let changed = self.apply(now, delta.as_of, put.chain(gone).collect());
-        self.learn_tombstones(now, delta.gone) || changed || learned
+        self.merge_tombstones(now, delta.gone) || changed || learned
     }
 
     /// What came and went within a span isn't known. Of many spans the oldest counts as if all before it were unknown.
-    fn note_gap(&mut self, gap: RevisionGap) {
+    fn record_gap(&mut self, gap: RevisionGap) {
         if self.gaps.contains(&gap) {
             return;
         }
@@ -259,27 +262,27 @@
 
     /// Learns of gone instances that this node never saw, so that their flows go on here too, and of
     /// earlier creations of those that it knows. Returns whether anything was new.
-    pub fn learn_tombstones(&mut self, now: Timestamp, tombstones: Vec<Tombstone>) -> bool {
+    pub fn merge_tombstones(&mut self, now: Timestamp, tombstones: Vec<Tombstone>) -> bool {
         let records = tombstones.iter().map(|tombstone| &tombstone.record);
-        let mut changed = self.learn_creations(records.filter_map(FirstCreation::of));
+        let mut changed = self.merge_creations(records.filter_map(FirstCreation::of));
         for tombstone in tombstones {
             let age = Duration::from_millis(u64::from(tombstone.age_milliseconds));
             let known = self.known.contains_key(&tombstone.record.id);
             if known || age >= self.tombstone_lifetime {
                 continue;
             }
-            let gone_at = now.before(age);
+            let removed_at = now.before(age);
             let id = tombstone.record.id;
             let instance = KnownInstance {
                 record: tombstone.record,
-                warm_at: gone_at,
-                gone_at: Some(gone_at),
-                gone_revision: tombstone.revision,
+                warm_at: removed_at,
+                removed_at: Some(removed_at),
+                removed_revision: tombstone.revision,
                 restarted: false,
-                doubted_until: None,
+                excluded_until: None,
             };
             self.known.insert(id, instance);
-            self.note_gone(gone_at);
+            self.record_removal(removed_at);
             changed = true;
         }
         changed
@@ -287,33 +290,37 @@
 
     /// Forgets gone instances that can have no flow any more, and ends doubts. Returns whether there was any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
-        let doubts_ended = self.end_doubts(now);
-        self.forget_gone(now) || doubts_ended
+        let exclusions_ended = self.end_exclusions(now);
+        self.expire_tombstones(now) || exclusions_ended
     }
 
-    fn forget_gone(&mut self, now: Timestamp) -> bool {
+    fn expire_tombstones(&mut self, now: Timestamp) -> bool {
         let before = self.known.len();
         let lifetime = self.tombstone_lifetime;
-        let oldest = self.oldest_gone_at;
-        let is_due = oldest.is_some_and(|gone_at| now.since(gone_at) >= lifetime);
+        let oldest = self.oldest_removed_at;
+        let is_due = oldest.is_some_and(|removed_at| now.since(removed_at) >= lifetime);
         if !is_due && before <= MAXIMUM_TOMBSTONES {
             return false;
         }
         let complete_since = &mut self.complete_since;
         self.known.retain(|_, known| {
             let kept = known
-                .gone_at
-                .is_none_or(|gone_at| now.since(gone_at) < lifetime);
+                .removed_at
+                .is_none_or(|removed_at| now.since(removed_at) < lifetime);
             if !kept {
-                *complete_since = known.gone_revision.max(*complete_since);
+                *complete_since = known.removed_revision.max(*complete_since);
             }
             kept
         });
         self.drop_excess_tombstones();
-        self.oldest_gone_at = self.known.values().filter_map(|known| known.gone_at).min();
+        self.oldest_removed_at = self
+            .known
+            .values()
+            .filter_map(|known| known.removed_at)
+            .min();
         let expired = self.known.len() != before;
         if expired {
-            self.succeeded.take();
+            self.with_reused_address.take();
         }
         expired
     }
@@ -321,14 +328,17 @@
     /// The records of all present instances, with the time they stay cold from `now` on.
     #[must_use]
     pub fn records(&self, now: Timestamp) -> Vec<InstanceRecord> {
-        let present = self.known.values().filter(|known| known.gone_at.is_none());
+        let present = self
+            .known
+            .values()
+            .filter(|known| known.removed_at.is_none());
         present.map(|known| known.record_at(now)).collect()
     }
 
     /// The instances that went after a revision, with their age.
     #[must_use]
     pub fn tombstones_since(&self, now: Timestamp, since: Revision) -> Vec<Tombstone> {
-        self.tombstones_where(now, |known| known.gone_revision > since)
+        self.tombstones_where(now, |known| known.removed_revision > since)
     }
 
     fn tombstones_where(
@@ -338,30 +348,30 @@
     ) -> Vec<Tombstone> {
         let gone = self.known.values().filter(|known| wanted(known));
         let gone = gone.filter_map(|known| {
-            let age = now.since(known.gone_at?);
+            let age = now.since(known.removed_at?);
             Some(Tombstone {
                 record: known.record.clone(),
                 age_milliseconds: saturating_milliseconds(age),
-                revision: known.gone_revision,
+                revision: known.removed_revision,
             })
         });
         gone.collect()
     }
 
     /// An instance went at a time.
-    fn note_gone(&mut self, gone_at: Timestamp) {
+    fn record_removal(&mut self, removed_at: Timestamp) {
         let oldest = self
-            .oldest_gone_at
-            .map_or(gone_at, |oldest| oldest.min(gone_at));
-        self.oldest_gone_at = Some(oldest);
-        self.succeeded.take();
+            .oldest_removed_at
+            .map_or(removed_at, |oldest| oldest.min(removed_at));
+        self.oldest_removed_at = Some(oldest);
+        self.with_reused_address.take();
     }
 
     fn advance(&mut self, at: Revision, changed: bool) -> bool {
         self.as_of = Some(at);
         if changed {
             self.changed_at = at;
-            self.succeeded.take();
+            self.with_reused_address.take();
         }
         changed
     }
@@ -378,7 +388,7 @@
             if is_of_another_era(&record, known) {
                 return self.put_across_eras(now, record);
             }
-            let is_known = known.gone_at.is_none() && known.record.revision >= record.revision;
+            let is_known = known.removed_at.is_none() && known.record.revision >= record.revision;
             if is_known || is_of_earlier_run(&record, &known.record) {
                 return false;
             }
@@ -392,10 +402,10 @@
         }
         let instance = KnownInstance {
             warm_at: now.after(cold),
-            gone_at: None,
-            gone_revision: Revision::new(0),
+            removed_at: None,
+            removed_revision: Revision::new(0),
             restarted,
-            doubted_until: None,
+            excluded_until: None,
             record,
         };
         self.known.insert(instance.record.id, instance);
@@ -412,10 +422,10 @@
         record: Option<InstanceRecord>,
     ) -> bool {
         match (self.known.get_mut(&id), record) {
-            (Some(known), _) if known.gone_at.is_none() => {
-                known.gone_at = Some(now);
-                known.gone_revision = at;
-                self.note_gone(now);
+            (Some(known), _) if known.removed_at.is_none() => {
+                known.removed_at = Some(now);
+                known.removed_revision = at;
+                self.record_removal(now);
                 true
             }
             (Some(known), Some(record)) => {
@@ -425,21 +435,21 @@
                     let created = earlier(known.record.created, record.created);
                     known.record = InstanceRecord { created, ..record };
                 }
-                known.gone_at = Some(now);
-                known.gone_revision = at;
+                known.removed_at = Some(now);
+                known.removed_revision = at;
                 true
             }
             (None, Some(record)) => {
                 let instance = KnownInstance {
                     record,
                     warm_at: now,
-                    gone_at: Some(now),
-                    gone_revision: at,
+                    removed_at: Some(now),
+                    removed_revision: at,
                     restarted: false,
-                    doubted_until: None,
+                    excluded_until: None,
                 };
                 self.known.insert(id, instance);
-                self.note_gone(now);
+                self.record_removal(now);
                 true
             }
             _ => false,
@@ -453,13 +463,13 @@
         let mut gone: Vec<(Timestamp, InstanceId)> = self
             .known
             .values()
-            .filter_map(|known| Some((known.gone_at?, known.record.id)))
+            .filter_map(|known| Some((known.removed_at?, known.record.id)))
             .collect();
         let excess = gone.len().saturating_sub(MAXIMUM_TOMBSTONES);
         gone.sort_unstable();
         for (_, id) in gone.into_iter().take(excess) {
             if let Some(known) = self.known.remove(&id) {
-                self.complete_since = known.gone_revision.max(self.complete_since);
+                self.complete_since = known.removed_revision.max(self.complete_since);
             }
         }
     }
--- a/crates/bellyoke-core/src/cookie/directory/succession.rs
+++ b/crates/bellyoke-core/src/cookie/directory/address_reuse.rs
@@ -26,13 +26,17 @@
     /// the later one, so that they take no new flow. The store counts creations, and all nodes read
     /// the same count; where one isn't known, nothing is told of either instance.
     #[must_use]
-    pub fn succeeded(&self) -> &BTreeSet<InstanceId> {
-        self.succeeded.get_or_init(|| self.find_succeeded())
+    pub fn with_reused_address(&self) -> &BTreeSet<InstanceId> {
+        self.with_reused_address
+            .get_or_init(|| self.find_reused_addresses())
     }
 
-    fn find_succeeded(&self) -> BTreeSet<InstanceId> {
+    fn find_reused_addresses(&self) -> BTreeSet<InstanceId> {
         let mut latest: HashMap<SocketAddrV4, Revision> = HashMap::with_capacity(self.known.len());
-        let present = self.known.values().filter(|known| known.gone_at.is_none());
+        let present = self
+            .known
+            .values()
+            .filter(|known| known.removed_at.is_none());
         for record in present.map(|known| &known.record) {
             let Some(created) = record.created else {
                 continue;
@@ -41,22 +45,22 @@
             *held = created.max(*held);
         }
         let records = self.known.values().map(|known| &known.record);
-        let succeeded = records.filter(|record| {
+        let with_reused_address = records.filter(|record| {
             let later = latest.get(&record.address).zip(record.created);
             later.is_some_and(|(latest, created)| *latest > created)
         });
-        succeeded.map(|record| record.id).collect()
+        with_reused_address.map(|record| record.id).collect()
     }
 
     /// Instances that have ended for certain: their records have gone, and another one that was
     /// created later is present at their address. Two that run never share one.
     #[must_use]
     pub fn superseded(&self) -> BTreeSet<InstanceId> {
-        let mut ended = self.succeeded().clone();
+        let mut ended = self.with_reused_address().clone();
         let is_gone = |id: &InstanceId| {
             self.known
                 .get(id)
-                .is_some_and(|known| known.gone_at.is_some())
+                .is_some_and(|known| known.removed_at.is_some())
         };
         ended.retain(is_gone);
         ended
@@ -70,7 +74,10 @@
         for known in self.known.values() {
             *holders.entry(known.record.address).or_default() += 1;
         }
-        let present = self.known.values().filter(|known| known.gone_at.is_none());
+        let present = self
+            .known
+            .values()
+            .filter(|known| known.removed_at.is_none());
         let shared = present.filter(|known| holders[&known.record.address] > 1);
         let creations = shared.filter_map(|known| {
             let created = known.record.created?;
@@ -84,7 +91,7 @@
     }
 
     /// Hears of creations, of which the smallest of an instance counts. Returns whether any was new.
-    pub fn learn_creations(&mut self, creations: impl IntoIterator<Item = FirstCreation>) -> bool {
+    pub fn merge_creations(&mut self, creations: impl IntoIterator<Item = FirstCreation>) -> bool {
         let mut changed = false;
         for FirstCreation {
             id,
@@ -103,7 +110,7 @@
             }
         }
         if changed {
-            self.succeeded.take();
+            self.with_reused_address.take();
         }
         changed
     }
--- a/crates/bellyoke-core/src/cookie/directory/restoration.rs
+++ b/crates/bellyoke-core/src/cookie/directory/restoration.rs
@@ -3,7 +3,7 @@
 //! The copy may tell of states that instances have left since. Their runs (id and start) tell which: a run that drains or has
 //! gone doesn't take new flows on the word of a copy, nor does it start anew.
 
-use super::succession::earlier;
+use super::address_reuse::earlier;
 use super::{Directory, KnownInstance};
 use crate::cookie::instance::{InstanceRecord, InstanceState};
 use crate::cookie::revision::Revision;
@@ -12,19 +12,19 @@
 
 /// How long an instance takes no new flows that was known to have gone, and of which a restored store tells: that may be
 /// older, and then the store drops the record again once the instance has missed some heartbeats.
-const RETURN_DOUBT: Duration = Duration::from_secs(5);
+const REAPPEARANCE_EXCLUSION: Duration = Duration::from_secs(5);
 
 impl Directory {
     /// Ends doubts whose time is over. Returns whether there was any.
-    pub(super) fn end_doubts(&mut self, now: Timestamp) -> bool {
-        if self.first_doubt_ends.is_none_or(|ends| now < ends) {
+    pub(super) fn end_exclusions(&mut self, now: Timestamp) -> bool {
+        if self.first_exclusion_ends_at.is_none_or(|ends| now < ends) {
             return false;
         }
         for known in self.known.values_mut() {
-            known.doubted_until = known.doubted_until.filter(|until| now < *until);
+            known.excluded_until = known.excluded_until.filter(|until| now < *until);
         }
-        let doubts = self.known.values().filter_map(|known| known.doubted_until);
-        self.first_doubt_ends = doubts.min();
+        let doubts = self.known.values().filter_map(|known| known.excluded_until);
+        self.first_exclusion_ends_at = doubts.min();
         true
     }
 
@@ -52,21 +52,21 @@
             created,
             ..record
         };
-        let returns = known.gone_at.is_some();
-        if !returns && tells_the_same(&told, &known.record) {
+        let returns = known.removed_at.is_some();
+        if !returns && has_same_content(&told, &known.record) {
             known.record.created = created;
             return false;
         }
-        if returns && known.gone_revision.era() < told.revision.era() {
-            let until = now.after(RETURN_DOUBT);
-            known.doubted_until = Some(until);
+        if returns && known.removed_revision.era() < told.revision.era() {
+            let until = now.after(REAPPEARANCE_EXCLUSION);
+            known.excluded_until = Some(until);
             let first = self
-                .first_doubt_ends
+                .first_exclusion_ends_at
                 .map_or(until, |first| first.min(until));
-            self.first_doubt_ends = Some(first);
+            self.first_exclusion_ends_at = Some(first);
         }
-        known.gone_at = None;
-        known.gone_revision = Revision::new(0);
+        known.removed_at = None;
+        known.removed_revision = Revision::new(0);
         known.record = told;
         true
     }
@@ -79,7 +79,7 @@
 }
 
 /// Whether two records of one run tell the same, but for their revisions.
-fn tells_the_same(one: &InstanceRecord, other: &InstanceRecord) -> bool {
+fn has_same_content(one: &InstanceRecord, other: &InstanceRecord) -> bool {
     one.service == other.service
         && one.address == other.address
         && one.zone == other.zone
--- a/crates/bellyoke-core/src/cookie/era.rs
+++ b/crates/bellyoke-core/src/cookie/era.rs
@@ -11,7 +11,7 @@
 
 /// How long reads that may be stale are not used after a restoration: they may be answered from a state before it, and be
 /// some seconds old.
-const STALE_READS_PAUSE: Duration = Duration::from_secs(10);
+const STALE_READ_EXCLUSION: Duration = Duration::from_secs(10);
 
 /// What a node knew when it made a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 /// What an answer counts for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AnswerValidity {
     /// It comes from the store's present era.
     Current,
     /// It comes from an earlier era, or may do.
@@ -33,10 +33,10 @@
     Restored,
 }
 
-impl Standing {
+impl AnswerValidity {
     /// The answer as far as it counts: a follower lists anew on word of a restoration.
     #[must_use]
-    pub fn counting<Item, Event>(self, answer: Answer<Item, Event>) -> Answer<Item, Event> {
+    pub fn filter<Item, Event>(self, answer: Answer<Item, Event>) -> Answer<Item, Event> {
         match self {
             Self::Current => answer,
             Self::Outdated => Answer::Failed,
@@ -48,7 +48,7 @@
 /// The store's eras as a node learns of them.
 ///
 /// ```
-/// use bellyoke_core::cookie::era::{EraTracker, Standing};
+/// use bellyoke_core::cookie::era::{EraTracker, AnswerValidity};
 /// use bellyoke_core::cookie::follower::{Answer, Freshness, Read, Reply};
 /// use bellyoke_core::cookie::revision::{Revision, StoreEra};
 /// use bellyoke_core::time::Timestamp;
@@ -60,8 +60,8 @@
 ///     answer: Answer::Page { items: Vec::new(), next_after: None, at: Revision::new(at) },
 /// };
 /// let context = eras.call_context(Revision::new(26));
-/// assert_eq!(eras.judge(Timestamp::ZERO, context, &list, &reply(26)), Standing::Current);
-/// assert_eq!(eras.judge(Timestamp::ZERO, context, &list, &reply(24)), Standing::Restored);
+/// assert_eq!(eras.classify(Timestamp::ZERO, context, &list, &reply(26)), AnswerValidity::Current);
+/// assert_eq!(eras.classify(Timestamp::ZERO, context, &list, &reply(24)), AnswerValidity::Restored);
 /// assert_eq!(eras.era(), StoreEra(1));
 /// ```
 #[derive(Debug, Default)]
@@ -70,7 +70,7 @@
     /// Whether any era is known, be it the first.
     is_known: bool,
     /// Whether the store tells its era.
-    is_told: bool,
+    reports_era: bool,
     /// When the node learned of the present era; none if it is the first one that it knows.
     restored_at: Option<Timestamp>,
 }
@@ -92,7 +92,7 @@
     }
 
     /// Hears of an era. The first one that a node hears of is no restoration.
-    pub fn note(&mut self, now: Timestamp, era: StoreEra) {
+    pub fn record_era(&mut self, now: Timestamp, era: StoreEra) {
         if era > self.era {
             self.era = era;
             self.restored_at = self.is_known.then_some(now);
@@ -108,45 +108,45 @@
 
     /// Whether the store was restored so lately that only its newest state counts.
     #[must_use]
-    pub fn was_restored_of_late(&self, now: Timestamp) -> bool {
+    pub fn was_recently_restored(&self, now: Timestamp) -> bool {
         self.restored_at
-            .is_some_and(|restored_at| now.since(restored_at) < STALE_READS_PAUSE)
+            .is_some_and(|restored_at| now.since(restored_at) < STALE_READ_EXCLUSION)
     }
 
     /// What a reply counts for, to a call that was made in `context`.
-    pub fn judge<Item, Event>(
+    pub fn classify<Item, Event>(
         &mut self,
         now: Timestamp,
         context: CallContext,
         read: &Read,
         reply: &Reply<Item, Event>,
-    ) -> Standing {
+    ) -> AnswerValidity {
         if let Some(era) = reply.era {
-            self.is_told = true;
-            self.note(now, era);
+            self.reports_era = true;
+            self.record_era(now, era);
             return if era < self.era {
-                Standing::Outdated
+                AnswerValidity::Outdated
             } else {
-                Standing::Current
+                AnswerValidity::Current
             };
         }
         if matches!(reply.answer, Answer::Failed) {
-            return Standing::Current;
+            return AnswerValidity::Current;
         }
-        if self.is_told || context.era < self.era {
-            return Standing::Outdated;
+        if self.reports_era || context.era < self.era {
+            return AnswerValidity::Outdated;
         }
-        self.note(now, context.era);
-        if shows_a_loss(context, read, &reply.answer) {
-            self.note(now, context.era.next());
-            return Standing::Restored;
+        self.record_era(now, context.era);
+        if reveals_restoration(context, read, &reply.answer) {
+            self.record_era(now, context.era.next());
+            return AnswerValidity::Restored;
         }
-        Standing::Current
+        AnswerValidity::Current
     }
 }
 
 /// Whether the store has lost what was known when the call was made.
-fn shows_a_loss<Item, Event>(
+fn reveals_restoration<Item, Event>(
     context: CallContext,
     read: &Read,
     answer: &Answer<Item, Event>,
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -71,7 +71,7 @@
             None => None,
             Some(packed) => match unpack_directory(&self.names, packed)? {
                 DirectoryPart::Changes(delta) => Some(delta),
-                DirectoryPart::Whole(_) => {
+                DirectoryPart::Full(_) => {
                     return Err(DecodeError::Invalid("a delta with a whole list".to_owned()));
                 }
             },
@@ -320,7 +320,7 @@
     directory: &DirectoryPart,
 ) -> Result<PackedDirectory, EncodeError> {
     Ok(match directory {
-        DirectoryPart::Whole(whole) => PackedDirectory::Whole {
+        DirectoryPart::Full(whole) => PackedDirectory::Whole {
             as_of: whole.as_of,
             records: pack_records(names, &whole.records)?,
         },
@@ -346,7 +346,7 @@
     packed: PackedDirectory,
 ) -> Result<DirectoryPart, DecodeError> {
     Ok(match packed {
-        PackedDirectory::Whole { as_of, records } => DirectoryPart::Whole(DirectorySnapshot {
+        PackedDirectory::Whole { as_of, records } => DirectoryPart::Full(DirectorySnapshot {
             as_of,
             records: unpack_records(names, records)?,
         }),
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watching.rs
@@ -47,7 +47,7 @@
 
     /// The process stood still: what peers said meanwhile may be old.
     pub fn stalled(&mut self, now: Timestamp) {
-        self.clock.forget();
+        self.clock.clear();
         self.pacer.stalled();
         self.distrust_until = now.after(DISTRUST);
     }
@@ -80,7 +80,7 @@
             (StoreDuty::Reader, _) => WatchPlan::Watch(Freshness::Newest),
             _ if !is_fresh && self.newest_was_read => WatchPlan::Confirm,
             (StoreDuty::Listener, Some(stale_at)) if !own.is_empty() => {
-                WatchPlan::RestUntil(stale_at)
+                WatchPlan::IdleUntil(stale_at)
             }
             (StoreDuty::Backup | StoreDuty::Listener, _) => WatchPlan::Watch(Freshness::MayBeStale),
         }
--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -8,7 +8,7 @@
 
 mod call;
 
-pub use call::{Answer, Freshness, Next, Read, Reply, Update, WatchPlan};
+pub use call::{Answer, Freshness, NextAction, Read, Reply, Update, WatchPlan};
 
 use crate::cookie::revision::{Revision, StoreEra};
 use crate::time::Timestamp;
@@ -21,47 +21,47 @@
     /// How long the store may hold a watch open that may be stale. A connection that says
     /// nothing for longer is dead, so this bounds how long a cut goes unnoticed.
     pub watch_wait: Duration,
-    /// The same for a watch of the newest state, which is dearer. With [`Self::reader_pause`] it must be shorter than the
+    /// The same for a watch of the newest state, which is dearer. With [`Self::reader_watch_pause`] it must be shorter than the
     /// time for which others rest after a confirmation: the answer is their next one.
     pub reader_watch_wait: Duration,
     /// Pause of a stale watch after changes, so that those that come together cost one call.
-    pub pause: Duration,
+    pub watch_pause: Duration,
     /// The same for a watch of the newest state.
-    pub reader_pause: Duration,
+    pub reader_watch_pause: Duration,
     /// Pause after the first failure; doubles with each further one.
-    pub backoff_first: Duration,
+    pub initial_backoff: Duration,
     /// Longest pause.
-    pub backoff_longest: Duration,
+    pub maximum_backoff: Duration,
     /// How much more than the least of machines this one bears: so much sooner it goes on with a long list.
-    pub list_weight: f64,
+    pub relative_capacity: f64,
 }
 
 /// A first list that has more pages goes on after a random part of so many times as long as the first page took. That
 /// is long where many nodes list at once: a few then read the whole list, and the others learn it from them. 986 nodes
 /// that all read 10,000 records of 250 bytes take a store with 1,000 Mbit/s for 20 s (worked out); one page each takes 1 s.
-const LIST_SPREAD: f64 = 10.0;
+const LIST_SPREAD_FACTOR: f64 = 10.0;
 
 /// Pause after a read that may be stale has told that history is gone, before the list is read: word of one who reads the
 /// newest state comes within some tens of milliseconds. Short beside the time within which a change must be in force.
-const LAG_PAUSE: Duration = Duration::from_millis(300);
+const RELIST_DELAY_AFTER_STALE_READ: Duration = Duration::from_millis(300);
 
 /// Longest wait for the second page. A node that is alone with a slow store goes on after it; with 1,000 nodes that have
 /// waited 1 s for the first page a dozen go on in each tenth of a second.
-const LONGEST_LIST_WAIT: Duration = Duration::from_secs(8);
+const MAXIMUM_LIST_DELAY: Duration = Duration::from_secs(8);
 
 /// How long a watch may wait whose answer is wanted at once.
-const CONFIRM_WAIT: Duration = Duration::from_millis(10);
+const CONFIRM_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 impl Default for FollowerSettings {
     fn default() -> Self {
         Self {
             watch_wait: Duration::from_millis(750),
             reader_watch_wait: Duration::from_millis(750),
-            pause: Duration::from_millis(50),
-            reader_pause: Duration::from_millis(500),
-            backoff_first: Duration::from_millis(100),
-            backoff_longest: Duration::from_millis(1_000),
-            list_weight: 1.0,
+            watch_pause: Duration::from_millis(50),
+            reader_watch_pause: Duration::from_millis(500),
+            initial_backoff: Duration::from_millis(100),
+            maximum_backoff: Duration::from_millis(1_000),
+            relative_capacity: 1.0,
         }
     }
 }
@@ -103,10 +103,10 @@
     /// When a watch last brought changes.
     changed_at: Option<Timestamp>,
     /// When the last call began.
-    asked_at: Option<Timestamp>,
+    call_started_at: Option<Timestamp>,
     /// Whether it may be answered from an older state. One whose history is gone may be that of a store that lags: others
     /// are told what is new, and a list each time costs the store 2.5 MB at 10,000 instances.
-    asked_stale: bool,
+    last_call_may_be_stale: bool,
     /// Whether the last call was refused as one too many. The store may still answer cheaper reads, which may be stale.
     throttled: bool,
     /// The store's era. What was read in an earlier one is no place to go on from.
@@ -123,8 +123,8 @@
             failures: 0,
             not_before: Timestamp::ZERO,
             changed_at: None,
-            asked_at: None,
-            asked_stale: false,
+            call_started_at: None,
+            last_call_may_be_stale: false,
             throttled: false,
             era: StoreEra(0),
         }
@@ -145,12 +145,12 @@
     }
 
     /// A call begins.
-    pub fn asked(&mut self, now: Timestamp, read: &Read) {
+    pub fn start_call(&mut self, now: Timestamp, read: &Read) {
         if let (Read::List { freshness, .. }, Phase::Watching { from }) = (read, &self.phase) {
             self.phase = Phase::list(*freshness, *from);
         }
-        self.asked_at = Some(now);
-        self.asked_stale = matches!(
+        self.call_started_at = Some(now);
+        self.last_call_may_be_stale = matches!(
             read,
             Read::Watch {
                 freshness: Freshness::MayBeStale,
@@ -161,14 +161,14 @@
 
     /// What to do now. `plan` is how it goes on once it has a list.
     #[must_use]
-    pub fn next(&self, now: Timestamp, plan: WatchPlan) -> Next {
+    pub fn next_action(&self, now: Timestamp, plan: WatchPlan) -> NextAction {
         if now < self.not_before {
-            return Next::WaitUntil(self.not_before);
+            return NextAction::WaitUntil(self.not_before);
         }
         match &self.phase {
             Phase::Listing {
                 after, freshness, ..
-            } => Next::Call(Read::List {
+            } => NextAction::Call(Read::List {
                 after: after.clone(),
                 freshness: *freshness,
             }),
@@ -191,7 +191,7 @@
     /// Whether it is reading a list that what the node has heard from elsewhere, up to here, makes
     /// needless.
     #[must_use]
-    pub fn is_needless(&self, at: Revision) -> bool {
+    pub fn is_list_redundant(&self, at: Revision) -> bool {
         matches!(&self.phase, Phase::Listing { forgotten, .. } if at > *forgotten)
     }
 
@@ -216,7 +216,7 @@
             }
             Answer::Changes { at, .. } if at.era() != self.watched_from().era() => {
                 self.enter_era(at.era());
-                self.list_anew(now, random);
+                self.restart_list(now, random);
                 None
             }
             Answer::Page { at, .. } if self.has_pages_of_another_era(at.era()) => {
@@ -231,7 +231,7 @@
                 self.enter_era(at.era());
                 self.failures = 0;
                 if next_after.is_some() && self.is_first_page() {
-                    self.not_before = now.after(self.list_wait(now, random));
+                    self.not_before = now.after(self.list_delay(now, random));
                 }
                 self.page(items, next_after, at)
             }
@@ -243,7 +243,7 @@
                 self.changes(events, at)
             }
             Answer::HistoryGone => {
-                self.list_anew(now, random);
+                self.restart_list(now, random);
                 None
             }
             Answer::Throttled => {
@@ -266,11 +266,12 @@
     }
 
     /// The watch can't go on from where it is.
-    fn list_anew(&mut self, now: Timestamp, random: &mut impl Rng) {
+    fn restart_list(&mut self, now: Timestamp, random: &mut impl Rng) {
         let forgotten = self.watched_from();
         self.phase = Phase::list(Freshness::Newest, forgotten);
-        if self.asked_stale {
-            self.not_before = now.after(LAG_PAUSE.mul_f64(random.random_range(0.5..=1.0)));
+        if self.last_call_may_be_stale {
+            self.not_before =
+                now.after(RELIST_DELAY_AFTER_STALE_READ.mul_f64(random.random_range(0.5..=1.0)));
         }
     }
 
@@ -282,32 +283,35 @@
         }
     }
 
-    fn watch(&self, now: Timestamp, from: Revision, plan: WatchPlan) -> Next {
+    fn watch(&self, now: Timestamp, from: Revision, plan: WatchPlan) -> NextAction {
         let freshness = match plan {
             WatchPlan::Watch(_) | WatchPlan::Confirm if self.throttled => Freshness::MayBeStale,
             WatchPlan::Watch(freshness) => freshness,
             WatchPlan::Confirm => Freshness::Newest,
-            WatchPlan::RestUntil(time) if now < time => return Next::WaitUntil(time),
-            WatchPlan::RestUntil(_) => Freshness::MayBeStale,
+            WatchPlan::IdleUntil(time) if now < time => return NextAction::WaitUntil(time),
+            WatchPlan::IdleUntil(_) => Freshness::MayBeStale,
         };
         let (wait, pause) = match freshness {
-            Freshness::Newest => (self.settings.reader_watch_wait, self.settings.reader_pause),
-            Freshness::MayBeStale => (self.settings.watch_wait, self.settings.pause),
+            Freshness::Newest => (
+                self.settings.reader_watch_wait,
+                self.settings.reader_watch_pause,
+            ),
+            Freshness::MayBeStale => (self.settings.watch_wait, self.settings.watch_pause),
         };
         let pause_ends = self.changed_at.map(|changed_at| changed_at.after(pause));
         if let Some(pause_ends) = pause_ends.filter(|pause_ends| now < *pause_ends) {
-            return Next::WaitUntil(pause_ends);
+            return NextAction::WaitUntil(pause_ends);
         }
         if from.era() < self.era {
-            return Next::Call(Read::List {
+            return NextAction::Call(Read::List {
                 after: None,
                 freshness: Freshness::Newest,
             });
         }
-        Next::Call(Read::Watch {
+        NextAction::Call(Read::Watch {
             from,
             wait: if plan == WatchPlan::Confirm {
-                CONFIRM_WAIT
+                CONFIRM_WATCH_WAIT
             } else {
                 wait
             },
@@ -324,12 +328,12 @@
     }
 
     /// How long others have to read the list, after its first page.
-    fn list_wait(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
+    fn list_delay(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
         let took = self
-            .asked_at
-            .map_or(Duration::ZERO, |asked_at| now.since(asked_at));
-        let spread = LIST_SPREAD / self.settings.list_weight;
-        let longest = took.mul_f64(spread).min(LONGEST_LIST_WAIT);
+            .call_started_at
+            .map_or(Duration::ZERO, |call_started_at| now.since(call_started_at));
+        let spread = LIST_SPREAD_FACTOR / self.settings.relative_capacity;
+        let longest = took.mul_f64(spread).min(MAXIMUM_LIST_DELAY);
         longest.mul_f64(random.random_range(0.0..1.0))
     }
 
@@ -359,7 +363,7 @@
         }
         let items = std::mem::take(items);
         self.phase = Phase::Watching { from: list_at };
-        Some(Update::Whole { at: list_at, items })
+        Some(Update::List { at: list_at, items })
     }
 
     fn changes<Event>(&mut self, events: Vec<Event>, at: Revision) -> Option<Update<Item, Event>> {
@@ -374,8 +378,8 @@
     /// failed together don't come back together.
     fn back_off(&mut self, now: Timestamp, random: &mut impl Rng) {
         let doublings = self.failures.min(16);
-        let doubled = self.settings.backoff_first.saturating_mul(1 << doublings);
-        let longest = doubled.min(self.settings.backoff_longest);
+        let doubled = self.settings.initial_backoff.saturating_mul(1 << doublings);
+        let longest = doubled.min(self.settings.maximum_backoff);
         self.failures = self.failures.saturating_add(1);
         self.not_before = now.after(longest.mul_f64(random.random_range(0.5..=1.0)));
     }
--- a/crates/bellyoke-core/src/cookie/follower/call.rs
+++ b/crates/bellyoke-core/src/cookie/follower/call.rs
@@ -21,7 +21,7 @@
     /// It asks whether anything is newer, and doesn't wait for a change: others may rest as soon as it knows.
     Confirm,
     /// It asks nothing until then.
-    RestUntil(Timestamp),
+    IdleUntil(Timestamp),
 }
 
 /// A call to the store.
@@ -57,7 +57,7 @@
 
 /// What a follower wants next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Make this call and hand in its answer.
     Call(Read),
     /// Ask again then.
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update<Item, Event> {
     /// A whole list, true at a revision.
-    Whole {
+    List {
         /// The revision.
         at: Revision,
         /// All objects.
@@ -136,7 +136,7 @@
     #[must_use]
     pub const fn at(&self) -> Revision {
         match self {
-            Self::Whole { at, .. } | Self::Changes { at, .. } => *at,
+            Self::List { at, .. } | Self::Changes { at, .. } => *at,
         }
     }
 }
@@ -146,7 +146,7 @@
     #[must_use]
     pub fn last(&self) -> Option<&Object> {
         match self {
-            Self::Whole { items, .. } => items.last(),
+            Self::List { items, .. } => items.last(),
             Self::Changes { events, .. } => events.last(),
         }
     }
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -114,8 +114,8 @@
         if is_cold && !self.cold.admits(now, candidate.id, share) {
             return None;
         }
-        if let Some(gone_at) = candidate.gone_at {
-            return (now.since(gone_at) < RECENTLY_GONE).then_some(Suitability::RecentlyGone);
+        if let Some(removed_at) = candidate.removed_at {
+            return (now.since(removed_at) < RECENTLY_GONE).then_some(Suitability::RecentlyGone);
         }
         let cookie = candidate.cookie;
         if self.is_avoided(cookie) || self.monitor.is_suspected(now, cookie) {
--- a/crates/bellyoke-core/src/cookie/freshness.rs
+++ b/crates/bellyoke-core/src/cookie/freshness.rs
@@ -110,7 +110,7 @@
     }
 
     /// Forgets all confirmations, as after a stall: what peers said meanwhile is old.
-    pub const fn forget(&mut self) {
+    pub const fn clear(&mut self) {
         self.confirmed_at = [None; ObjectKind::COUNT];
     }
 }
--- a/crates/bellyoke-core/src/cookie/publication.rs
+++ b/crates/bellyoke-core/src/cookie/publication.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 /// Least time between two tables.
-const SHORTEST_REST: Duration = Duration::from_millis(5);
+const MINIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Most time between two tables: a fifteenth of the shortest time within which a change of instances must be in force.
-const LONGEST_REST: Duration = Duration::from_millis(200);
+const MAXIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// So much longer than the building of a table took, by the clock, another one has to wait: building them takes a
 /// twentieth of what the thread gets of its processor, and a tenth where one takes 20 ms (10,000 instances on an eighth of
 /// a core).
-const RESTS: u32 = 20;
+const BUILD_TIME_MULTIPLE: u32 = 20;
 
 /// Paces the tables of one node.
 ///
@@ -31,24 +31,24 @@
 /// let at = |milliseconds: u64| Timestamp::from_micros(milliseconds * 1_000);
 /// let instances = StateChange { directory: true, ..StateChange::default() };
 /// let mut pacer = TablePacer::default();
-/// pacer.changed(at(0), instances);
+/// pacer.record_change(at(0), instances);
 /// assert!(pacer.is_due(at(0)));
-/// pacer.published(at(0), Duration::from_millis(2));
-/// pacer.changed(at(10), instances);
+/// pacer.record_publication(at(0), Duration::from_millis(2));
+/// pacer.record_change(at(10), instances);
 /// assert!(!pacer.is_due(at(39)));
 /// assert!(pacer.is_due(at(40)));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TablePacer {
     /// Whether the state has changed since the last table.
-    is_behind: bool,
+    has_unpublished_changes: bool,
     next_at: Timestamp,
 }
 
 impl TablePacer {
     /// The state has changed. What operators have changed doesn't wait: that is rare.
-    pub fn changed(&mut self, now: Timestamp, change: StateChange) {
-        self.is_behind |= change.any();
+    pub fn record_change(&mut self, now: Timestamp, change: StateChange) {
+        self.has_unpublished_changes |= change.any();
         if change.configuration || change.zones {
             self.next_at = now;
         }
@@ -57,19 +57,19 @@
     /// Whether a table is to be built now.
     #[must_use]
     pub fn is_due(&self, now: Timestamp) -> bool {
-        self.is_behind && now >= self.next_at
+        self.has_unpublished_changes && now >= self.next_at
     }
 
     /// Whether the last table lacks something.
     #[must_use]
-    pub const fn is_behind(&self) -> bool {
-        self.is_behind
+    pub const fn has_unpublished_changes(&self) -> bool {
+        self.has_unpublished_changes
     }
 
     /// A table was published whose building began at `now` and took so long.
-    pub fn published(&mut self, now: Timestamp, took: Duration) {
-        self.is_behind = false;
-        let rest = took.saturating_mul(RESTS);
-        self.next_at = now.after(rest.clamp(SHORTEST_REST, LONGEST_REST));
+    pub fn record_publication(&mut self, now: Timestamp, took: Duration) {
+        self.has_unpublished_changes = false;
+        let interval = took.saturating_mul(BUILD_TIME_MULTIPLE);
+        self.next_at = now.after(interval.clamp(MINIMUM_TABLE_INTERVAL, MAXIMUM_TABLE_INTERVAL));
     }
 }
--- a/crates/bellyoke-core/src/cookie/replica.rs
+++ b/crates/bellyoke-core/src/cookie/replica.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 
 /// Changes of the configuration that are kept for peers that missed one.
-const RECENT_CONFIGURATIONS: usize = 8;
+const MAXIMUM_RECENT_DELTAS: usize = 8;
 
 /// Most routes of a change that is kept; larger ones don't fit a datagram anyway.
-const LONGEST_CONFIGURATION_DELTA: usize = 16;
+const MAXIMUM_DELTA_ROUTES: usize = 16;
 
 /// Who brought a piece of news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DirectoryPart {
     /// All of them.
-    Whole(DirectorySnapshot),
+    Full(DirectorySnapshot),
     /// What has changed since the revision that the peer named.
     Changes(DirectoryDelta),
 }
@@ -220,11 +220,12 @@
     /// Takes over a configuration if it is newer. Returns whether it was. The operators' number tells, since a restored store
     /// may give a later revision to an earlier configuration.
     pub fn adopt_configuration(&mut self, configuration: Configuration) -> bool {
-        let held = self.configuration.as_ref();
-        if held.is_some_and(|held| configuration.version <= held.version) {
+        let current = self.configuration.as_ref();
+        if current.is_some_and(|current| configuration.version <= current.version) {
             return false;
         }
-        let delta = held.and_then(|held| ConfigurationDelta::between(held, &configuration));
+        let delta =
+            current.and_then(|current| ConfigurationDelta::between(current, &configuration));
         self.remember_configuration_delta(delta);
         self.configuration_as_of = configuration.revision.max(self.configuration_as_of);
         self.configuration = Some(configuration);
@@ -265,7 +266,7 @@
         let mut change = StateChange::default();
         for step in &delta.configuration {
             let next = self.configuration.as_ref();
-            let next = next.and_then(|held| step.apply(held));
+            let next = next.and_then(|current| step.apply(current));
             if let Some(next) = next {
                 change.configuration |= self.adopt_configuration(next);
             }
@@ -320,15 +321,15 @@
             Some(DirectoryPart::Changes(delta)) => {
                 change.directory = self.directory.apply_delta(now, delta);
             }
-            Some(DirectoryPart::Whole(whole)) => {
+            Some(DirectoryPart::Full(whole)) => {
                 let known = self.directory.as_of();
                 if known.is_none_or(|known| whole.as_of > known) {
                     change.directory = self.directory.replace(now, whole.as_of, whole.records);
                 }
             }
         }
-        change.directory |= self.directory.learn_tombstones(now, snapshot.tombstones);
-        change.directory |= self.directory.learn_creations(snapshot.creations);
+        change.directory |= self.directory.merge_tombstones(now, snapshot.tombstones);
+        change.directory |= self.directory.merge_creations(snapshot.creations);
         if let Some(zones) = snapshot.zones {
             change.zones = self.zones.adopt(now, zones);
         }
@@ -364,11 +365,11 @@
         versions: Versions,
         gone_since: Revision,
     ) -> Snapshot {
-        let held = self.configuration.as_ref();
+        let current = self.configuration.as_ref();
         Snapshot {
             versions: self.versions(),
-            configuration: held
-                .filter(|held| held.version > versions.configuration)
+            configuration: current
+                .filter(|current| current.version > versions.configuration)
                 .cloned(),
             directory: self.directory_part(now, versions.directory_as_of),
             tombstones: self.directory.tombstones_since(now, gone_since),
@@ -384,7 +385,9 @@
     }
 
     fn configuration_version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |held| held.version)
+        self.configuration
+            .as_ref()
+            .map_or(0, |current| current.version)
     }
 
     fn directory_part(&self, now: Timestamp, since: Revision) -> Option<DirectoryPart> {
@@ -395,7 +398,7 @@
         if let Some(delta) = self.directory.delta_since(now, since) {
             return Some(DirectoryPart::Changes(delta));
         }
-        Some(DirectoryPart::Whole(DirectorySnapshot {
+        Some(DirectoryPart::Full(DirectorySnapshot {
             as_of,
             records: self.directory.records(now),
         }))
@@ -416,12 +419,11 @@
     }
 
     fn remember_configuration_delta(&mut self, delta: Option<ConfigurationDelta>) {
-        let Some(delta) = delta.filter(|delta| delta.put.len() <= LONGEST_CONFIGURATION_DELTA)
-        else {
+        let Some(delta) = delta.filter(|delta| delta.put.len() <= MAXIMUM_DELTA_ROUTES) else {
             self.recent_configurations.clear();
             return;
         };
-        if self.recent_configurations.len() >= RECENT_CONFIGURATIONS {
+        if self.recent_configurations.len() >= MAXIMUM_RECENT_DELTAS {
             self.recent_configurations.pop_front();
         }
         self.recent_configurations.push_back(delta);
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -24,7 +24,7 @@
     /// From when on it works at full speed.
     pub warm_at: Timestamp,
     /// When its record went, if it has.
-    pub gone_at: Option<Timestamp>,
+    pub removed_at: Option<Timestamp>,
     /// Flows that it bears in a minute while it is cold; zero if that isn't told.
     pub cold_flows_per_minute: u32,
     /// Requests that it works on at once; zero if that isn't told.
@@ -107,7 +107,7 @@
     ) -> Self {
         let destinations = destinations(directory);
         let ended = directory.superseded();
-        let succeeded = directory.succeeded();
+        let succeeded = directory.with_reused_address();
         let superseded = destinations
             .iter()
             .filter(|(_, destination)| ended.contains(&destination.instance))
@@ -287,7 +287,7 @@
 /// From when on an instance works at full speed. One whose zone was restored after its record last
 /// changed may be cold though the record doesn't tell.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
-    let restoration = zones.restoration(&known.record.zone);
+    let restoration = zones.last_undrain(&known.record.zone);
     let restoration =
         restoration.filter(|restoration| restoration.revision >= known.record.revision);
     let Some((restoration, limits)) = restoration.zip(limits) else {
@@ -385,7 +385,7 @@
             };
             let is_drained = record.state != InstanceState::Ready || zones.is_drained(&record.zone);
             let takes_flows = holds_cookie(record.id) && !succeeded.contains(&record.id);
-            if is_drained || !takes_flows || known.doubted_until.is_some() {
+            if is_drained || !takes_flows || known.excluded_until.is_some() {
                 continue;
             }
             let limits = self.limits.get(&record.service[..]).copied();
@@ -397,7 +397,7 @@
                 cookie: Cookie::of(record.id),
                 address: record.address,
                 warm_at: warm_at(known, zones, limits),
-                gone_at: known.gone_at,
+                removed_at: known.removed_at,
                 cold_flows_per_minute: limits.map_or(0, |limits| limits.cold_flows_per_minute),
                 slots: record.slots,
                 zone: zone_number(zone_names, &record.zone),
--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -12,11 +12,11 @@
 
 /// How long a restored zone stays noted: many times the seconds that an instance stays cold and
 /// that its next heartbeat takes.
-pub const RESTORATION_LIFETIME: Duration = Duration::from_secs(60);
+pub const UNDRAIN_RETENTION: Duration = Duration::from_secs(60);
 
 /// How long a zone stays drained after a restoration of the store that has lost the drain: time for the operators to write
 /// it again.
-pub const REWRITE_TIME: Duration = Duration::from_secs(5);
+pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
 /// Most zones that are told to a peer; a set fits one datagram with room to spare.
 pub const MAXIMUM_ZONES: usize = 32;
@@ -32,7 +32,7 @@
 
 /// A zone that takes new flows again.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct RestoredZone {
+pub struct UndrainedZone {
     /// Name of the zone.
     pub zone: String,
     /// The revision by which it had been restored.
@@ -47,7 +47,7 @@
     /// It is drained.
     Drained(DrainedZone),
     /// The zone of this name takes new flows again.
-    Restored(String),
+    Undrained(String),
 }
 
 /// All drained zones as a peer tells them.
@@ -60,12 +60,12 @@
     /// The drained zones.
     pub drained: Vec<DrainedZone>,
     /// Zones that were restored of late.
-    pub restored: Vec<RestoredZone>,
+    pub undrained: Vec<UndrainedZone>,
 }
 
 /// When a zone was restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Restoration {
+pub struct Undrain {
     /// The revision by which it had been.
     pub revision: Revision,
     /// When this node, or the peer that told it, heard of that.
@@ -84,18 +84,18 @@
 /// let mut zones = ZoneDrains::unknown();
 /// zones.replace(now, Revision::new(7), vec![drained]);
 /// assert!(zones.is_drained("cork"));
-/// zones.apply(now, Revision::new(9), vec![ZoneEvent::Restored("cork".to_owned())]);
+/// zones.apply(now, Revision::new(9), vec![ZoneEvent::Undrained("cork".to_owned())]);
 /// assert!(!zones.is_drained("cork"));
-/// assert_eq!(zones.restoration("cork").unwrap().revision, Revision::new(9));
+/// assert_eq!(zones.last_undrain("cork").unwrap().revision, Revision::new(9));
 /// ```
 #[derive(Debug)]
 pub struct ZoneDrains {
     as_of: Option<Revision>,
     changed_at: Revision,
     drained: BTreeMap<String, Revision>,
-    restored: BTreeMap<String, Restoration>,
+    undrained: BTreeMap<String, Undrain>,
     /// Until when zones stay drained whose drain is known from before a restoration of the store.
-    kept_until: BTreeMap<String, Timestamp>,
+    retained_until: BTreeMap<String, Timestamp>,
 }
 
 impl ZoneDrains {
@@ -106,8 +106,8 @@
             as_of: None,
             changed_at: Revision::new(0),
             drained: BTreeMap::new(),
-            restored: BTreeMap::new(),
-            kept_until: BTreeMap::new(),
+            undrained: BTreeMap::new(),
+            retained_until: BTreeMap::new(),
         }
     }
 
@@ -119,8 +119,8 @@
             as_of: Some(Revision::new(1)),
             changed_at: Revision::new(1),
             drained: BTreeMap::new(),
-            restored: BTreeMap::new(),
-            kept_until: BTreeMap::new(),
+            undrained: BTreeMap::new(),
+            retained_until: BTreeMap::new(),
         }
     }
 
@@ -150,8 +150,8 @@
 
     /// When a zone was restored, if that was of late.
     #[must_use]
-    pub fn restoration(&self, zone: &str) -> Option<Restoration> {
-        self.restored.get(zone).copied()
+    pub fn last_undrain(&self, zone: &str) -> Option<Undrain> {
+        self.undrained.get(zone).copied()
     }
 
     /// Takes over a whole list that was true at revision `at`. Returns whether it tells anything
@@ -167,14 +167,14 @@
             if listed.contains_key(&zone) {
                 continue;
             }
-            if drained_at.era() < at.era() && self.is_kept(now, &zone) {
+            if drained_at.era() < at.era() && self.is_retained(now, &zone) {
                 listed.insert(zone, drained_at);
-            } else if !self.was_restored_after(&zone, drained_at) {
-                self.restore(now, at, zone);
+            } else if !self.was_undrained_after(&zone, drained_at) {
+                self.undrain(now, at, zone);
             }
         }
         self.drained = listed;
-        self.keep_earlier(now, at);
+        self.retain_earlier_drains(now, at);
         // What came and went before is in no list, so that a peer that knows a revision in
         // between may hold another set.
         self.advance(at, true);
@@ -192,9 +192,9 @@
                 ZoneEvent::Drained(drain) => {
                     self.drained.insert(drain.zone, drain.revision);
                 }
-                ZoneEvent::Restored(zone) => {
+                ZoneEvent::Undrained(zone) => {
                     if self.drained.remove(&zone).is_some() {
-                        self.restore(now, at, zone);
+                        self.undrain(now, at, zone);
                     }
                 }
             }
@@ -205,17 +205,17 @@
 
     /// Takes over a peer's set if it is newer. Returns whether it was.
     pub fn adopt(&mut self, now: Timestamp, snapshot: ZoneSnapshot) -> bool {
-        for restored in snapshot.restored {
-            self.learn_restoration(now, restored);
+        for undrained in snapshot.undrained {
+            self.merge_undrain(now, undrained);
         }
-        let newer = self.as_of.is_none_or(|known| snapshot.changed_at > known);
-        if newer {
+        let is_newer = self.as_of.is_none_or(|known| snapshot.changed_at > known);
+        if is_newer {
             self.replace(now, snapshot.as_of, snapshot.drained);
             self.changed_at = snapshot.changed_at;
         } else {
             self.confirm(snapshot.changed_at, snapshot.as_of);
         }
-        newer
+        is_newer
     }
 
     /// A peer's word that nothing has changed after `changed_at` up to `as_of`.
@@ -230,19 +230,19 @@
     /// Forgets zones that were restored long ago, and takes zones for restored whose drains a restored store has lost and
     /// nobody has written again. Returns whether there was such a zone.
     pub fn expire(&mut self, now: Timestamp) -> bool {
-        let recent = |restoration: &Restoration| now.since(restoration.at) < RESTORATION_LIFETIME;
-        self.restored.retain(|_, restoration| recent(restoration));
-        let Some(as_of) = self.as_of.filter(|_| !self.kept_until.is_empty()) else {
+        let recent = |undrain: &Undrain| now.since(undrain.at) < UNDRAIN_RETENTION;
+        self.undrained.retain(|_, undrain| recent(undrain));
+        let Some(as_of) = self.as_of.filter(|_| !self.retained_until.is_empty()) else {
             return false;
         };
-        let over = self.kept_until.extract_if(.., |_, until| now >= *until);
-        let over: Vec<String> = over.map(|(zone, _)| zone).collect();
+        let expired = self.retained_until.extract_if(.., |_, until| now >= *until);
+        let expired: Vec<String> = expired.map(|(zone, _)| zone).collect();
         let mut changed = false;
-        for zone in over {
+        for zone in expired {
             let drained_at = self.drained.get(&zone);
             if drained_at.is_some_and(|drained_at| drained_at.era() < as_of.era()) {
                 self.drained.remove(&zone);
-                self.restore(now, as_of, zone);
+                self.undrain(now, as_of, zone);
                 changed = true;
             }
         }
@@ -257,59 +257,60 @@
             zone: zone.clone(),
             revision: *revision,
         });
-        let restored = self.restored.iter();
-        let restored = restored.map(|(zone, restoration)| RestoredZone {
+        let undrained = self.undrained.iter();
+        let undrained = undrained.map(|(zone, undrain)| UndrainedZone {
             zone: zone.clone(),
-            revision: restoration.revision,
-            age_milliseconds: u32::try_from(now.since(restoration.at).as_millis())
-                .unwrap_or(u32::MAX),
+            revision: undrain.revision,
+            age_milliseconds: u32::try_from(now.since(undrain.at).as_millis()).unwrap_or(u32::MAX),
         });
         Some(ZoneSnapshot {
             as_of: self.as_of?,
             changed_at: self.changed_at,
             drained: drained.collect(),
-            restored: restored.take(MAXIMUM_ZONES).collect(),
+            undrained: undrained.take(MAXIMUM_ZONES).collect(),
         })
     }
 
     /// Whether a zone that a restored store tells nothing of still counts as drained.
-    fn is_kept(&self, now: Timestamp, zone: &str) -> bool {
-        self.kept_until.get(zone).is_none_or(|until| now < *until)
+    fn is_retained(&self, now: Timestamp, zone: &str) -> bool {
+        self.retained_until
+            .get(zone)
+            .is_none_or(|until| now < *until)
     }
 
     /// Notes until when drains from before the era of a revision count.
-    fn keep_earlier(&mut self, now: Timestamp, at: Revision) {
+    fn retain_earlier_drains(&mut self, now: Timestamp, at: Revision) {
         let earlier = self.drained.iter();
         let earlier = earlier.filter(|(_, drained_at)| drained_at.era() < at.era());
         for (zone, _) in earlier {
-            let until = now.after(REWRITE_TIME);
-            self.kept_until.entry(zone.clone()).or_insert(until);
+            let until = now.after(DRAIN_REWRITE_GRACE);
+            self.retained_until.entry(zone.clone()).or_insert(until);
         }
     }
 
-    fn was_restored_after(&self, zone: &str, drained_at: Revision) -> bool {
-        let restoration = self.restored.get(zone);
-        restoration.is_some_and(|restoration| restoration.revision > drained_at)
+    fn was_undrained_after(&self, zone: &str, drained_at: Revision) -> bool {
+        let undrain = self.undrained.get(zone);
+        undrain.is_some_and(|undrain| undrain.revision > drained_at)
     }
 
-    fn restore(&mut self, now: Timestamp, at: Revision, zone: String) {
-        let restoration = Restoration {
+    fn undrain(&mut self, now: Timestamp, at: Revision, zone: String) {
+        let undrain = Undrain {
             revision: at,
             at: now,
         };
-        self.restored.insert(zone, restoration);
+        self.undrained.insert(zone, undrain);
     }
 
-    fn learn_restoration(&mut self, now: Timestamp, told: RestoredZone) {
+    fn merge_undrain(&mut self, now: Timestamp, told: UndrainedZone) {
         let age = Duration::from_millis(u64::from(told.age_milliseconds));
-        let known = self.restored.get(&told.zone);
-        let newer = known.is_none_or(|known| known.revision < told.revision);
-        if newer && age < RESTORATION_LIFETIME {
-            let restoration = Restoration {
+        let known = self.undrained.get(&told.zone);
+        let is_newer = known.is_none_or(|known| known.revision < told.revision);
+        if is_newer && age < UNDRAIN_RETENTION {
+            let undrain = Undrain {
                 revision: told.revision,
                 at: now.before(age),
             };
-            self.restored.insert(told.zone, restoration);
+            self.undrained.insert(told.zone, undrain);
         }
     }
 
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -138,14 +138,14 @@
     pub fn learn(&mut self, number: usize, revision: u64) {
         let now = at(self.now);
         let node = self.node(number);
-        let configurations = Update::Whole {
+        let configurations = Update::List {
             at: Revision::new(revision),
             items: vec![configuration(revision, &[("till", 1)])],
         };
         let mut outcome = node.coordinator.configurations(now, configurations);
         let known = node.coordinator.known_up_to(ObjectKind::Instances);
         let instances = if known == Revision::default() {
-            Update::Whole {
+            Update::List {
                 at: Revision::new(revision),
                 items: vec![record(revision, revision)],
             }
@@ -313,7 +313,7 @@
             let plan = node
                 .coordinator
                 .watch_plan(at(self.now), ObjectKind::Instances);
-            matches!(plan, WatchPlan::RestUntil(until) if until > at(self.now))
+            matches!(plan, WatchPlan::IdleUntil(until) if until > at(self.now))
         };
         self.nodes.values().filter(rests).count()
     }
@@ -356,7 +356,7 @@
         let items = vec![configuration];
         coordinator.configurations(
             at(0),
-            Update::Whole {
+            Update::List {
                 at: revision,
                 items,
             },
@@ -364,7 +364,7 @@
         let items = records.clone();
         coordinator.instances(
             at(0),
-            Update::Whole {
+            Update::List {
                 at: revision,
                 items,
             },
--- a/crates/bellyoke-core/tests/cookie/directory.rs
+++ b/crates/bellyoke-core/tests/cookie/directory.rs
@@ -13,14 +13,14 @@
 fn present(directory: &Directory) -> Vec<u64> {
     let present = directory
         .instances()
-        .filter(|known| known.gone_at.is_none());
+        .filter(|known| known.removed_at.is_none());
     present.map(|known| known.record.id.0).collect()
 }
 
 fn gone(directory: &Directory) -> Vec<u64> {
     let gone = directory
         .instances()
-        .filter(|known| known.gone_at.is_some());
+        .filter(|known| known.removed_at.is_some());
     gone.map(|known| known.record.id.0).collect()
 }
 
@@ -125,7 +125,7 @@
             revision: Revision::new(5),
         },
     ];
-    assert!(directory.learn_tombstones(at(100_000), tombstones));
+    assert!(directory.merge_tombstones(at(100_000), tombstones));
     assert_eq!(present(&directory), [1]);
     assert_eq!(gone(&directory), [2], "3 is too old to have a flow");
 }
@@ -138,7 +138,7 @@
         age_milliseconds: 60_000,
         revision: Revision::new(5),
     };
-    directory.learn_tombstones(at(100_000), vec![tombstone]);
+    directory.merge_tombstones(at(100_000), vec![tombstone]);
     assert!(!directory.expire(at(109_999)));
     assert!(directory.expire(at(110_000)));
 }
--- a/crates/bellyoke-core/tests/cookie/ended_instances.rs
+++ b/crates/bellyoke-core/tests/cookie/ended_instances.rs
@@ -156,7 +156,7 @@
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(at(0), Revision::new(20), vec![record(2, 2), successor()]);
     let went_last = tombstone(record(1, 1), 200, 25);
-    directory.learn_tombstones(at(3_000), vec![went_last.clone()]);
+    directory.merge_tombstones(at(3_000), vec![went_last.clone()]);
     assert_eq!(directory.superseded(), BTreeSet::from([InstanceId(1)]));
     let snapshot = Snapshot {
         tombstones: vec![went_last],
@@ -195,7 +195,7 @@
         directory
     };
     let mut by_tombstone = late();
-    assert!(by_tombstone.learn_tombstones(at(10), vec![tombstone(record(1, 1), 5, 8)]));
+    assert!(by_tombstone.merge_tombstones(at(10), vec![tombstone(record(1, 1), 5, 8)]));
     assert_eq!(created(&by_tombstone), Some(Revision::new(1)));
     let mut by_old_list = late();
     assert!(by_old_list.replace(at(10), Revision::new(20), vec![record(1, 4)]));
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -328,13 +328,13 @@
 /// others told of by `age`, milliseconds, at `hears`.
 fn unanswered(hears: u64, age: u32) -> Coordinator {
     let mut node = newborn();
-    let empty = || Update::Whole {
+    let empty = || Update::List {
         at: Revision::new(9),
         items: Vec::new(),
     };
     node.instances(at(10_000), empty());
     let routes = vec![configuration(9, &[("till", 1)])];
-    let routes = Update::Whole {
+    let routes = Update::List {
         at: Revision::new(9),
         items: routes,
     };
@@ -375,7 +375,7 @@
     let mut times = (from..from + 60_000).step_by(100);
     times.find(|now| {
         let rests = match node.watch_plan(at(*now), ObjectKind::Instances) {
-            WatchPlan::RestUntil(until) => at(*now) < until,
+            WatchPlan::IdleUntil(until) => at(*now) < until,
             WatchPlan::Watch(_) | WatchPlan::Confirm => false,
         };
         !rests && node.may_ask(at(*now), ObjectKind::Instances)
@@ -488,7 +488,7 @@
     };
     let rests = |listener: &Coordinator, now| {
         let plan = listener.watch_plan(at(now), ObjectKind::Configuration);
-        matches!(plan, WatchPlan::RestUntil(until) if until > at(now))
+        matches!(plan, WatchPlan::IdleUntil(until) if until > at(now))
     };
     listener.tick(at(0));
     listener.datagram(at(50), reader, heartbeat(0));
@@ -505,7 +505,7 @@
     listener.datagram(at(4_550), reader, heartbeat(100));
     assert!(rests(&listener, 4_550));
     let plan = listener.watch_plan(at(4_550), ObjectKind::Configuration);
-    assert_eq!(plan, WatchPlan::RestUntil(at(4_450 + 1_500)));
+    assert_eq!(plan, WatchPlan::IdleUntil(at(4_450 + 1_500)));
 }
 
 /// Ages that a node is told may be greater than its own: it must neither rest on an old
@@ -559,7 +559,7 @@
     let listener = cluster.with_duty(StoreDuty::Listener)[0];
     let coordinator = &cluster.nodes[&listener].coordinator;
     let rests = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
-    assert!(matches!(rests, WatchPlan::RestUntil(until) if until > at(cluster.now)));
+    assert!(matches!(rests, WatchPlan::IdleUntil(until) if until > at(cluster.now)));
     let later = cluster.now + 10_000;
     let plan = coordinator.watch_plan(at(later), ObjectKind::Instances);
     assert_eq!(plan, WatchPlan::Confirm, "its rest is over");
--- a/crates/bellyoke-core/tests/cookie/follower.rs
+++ b/crates/bellyoke-core/tests/cookie/follower.rs
@@ -2,7 +2,7 @@
 
 use crate::support::at;
 use bellyoke_core::cookie::follower::{
-    Answer, Follower, FollowerSettings, Freshness, Next, Read, Update, WatchPlan,
+    Answer, Follower, FollowerSettings, Freshness, NextAction, Read, Update, WatchPlan,
 };
 use bellyoke_core::cookie::revision::Revision;
 use proptest::prelude::*;
@@ -33,9 +33,9 @@
         harness
     }
 
-    fn next(&self) -> Next {
+    fn next(&self) -> NextAction {
         let plan = WatchPlan::Watch(Freshness::MayBeStale);
-        self.follower.next(at(self.now), plan)
+        self.follower.next_action(at(self.now), plan)
     }
 
     fn answer(&mut self, answer: TestAnswer) -> Option<Update<u32, u32>> {
@@ -51,15 +51,15 @@
     }
 }
 
-fn list(after: Option<&str>, freshness: Freshness) -> Next {
-    Next::Call(Read::List {
+fn list(after: Option<&str>, freshness: Freshness) -> NextAction {
+    NextAction::Call(Read::List {
         after: after.map(str::to_owned),
         freshness,
     })
 }
 
-fn watch(from: u64) -> Next {
-    Next::Call(Read::Watch {
+fn watch(from: u64) -> NextAction {
+    NextAction::Call(Read::Watch {
         from: Revision::new(from),
         wait: Duration::from_millis(750),
         freshness: Freshness::MayBeStale,
@@ -71,7 +71,7 @@
     let mut harness = Harness::new();
     assert_eq!(harness.next(), list(None, Freshness::MayBeStale));
     let update = harness.answer(page(&[1, 2], None, 10));
-    let whole = Update::Whole {
+    let whole = Update::List {
         at: Revision::new(10),
         items: vec![1, 2],
     };
@@ -92,7 +92,7 @@
     assert_eq!(harness.answer(page(&[1], Some("a"), 10)), None);
     assert_eq!(harness.next(), list(Some("a"), Freshness::MayBeStale));
     let update = harness.answer(page(&[2], None, 15));
-    let whole = Update::Whole {
+    let whole = Update::List {
         at: Revision::new(10),
         items: vec![1, 2],
     };
@@ -109,7 +109,7 @@
     let mut harness = Harness::new();
     harness.answer(page(&[1], Some("a"), 10));
     let update = harness.answer(page(&[2], None, 7));
-    let whole = Update::Whole {
+    let whole = Update::List {
         at: Revision::new(7),
         items: vec![1, 2],
     };
@@ -128,8 +128,8 @@
 fn what_peers_told_makes_a_list_needless() {
     let mut harness = Harness::new();
     harness.answer(page(&[1], Some("one"), 10));
-    assert!(!harness.follower.is_needless(Revision::new(0)));
-    assert!(harness.follower.is_needless(Revision::new(12)));
+    assert!(!harness.follower.is_list_redundant(Revision::new(0)));
+    assert!(harness.follower.is_list_redundant(Revision::new(12)));
     harness.follower.skip_to(Revision::new(12));
     assert_eq!(harness.next(), watch(12));
     assert_eq!(harness.answer(page(&[2], None, 11)), None, "it comes late");
@@ -150,8 +150,8 @@
     assert_eq!(harness.next(), watch(11));
 }
 
-fn newest_watch(from: u64) -> Next {
-    Next::Call(Read::Watch {
+fn newest_watch(from: u64) -> NextAction {
+    NextAction::Call(Read::Watch {
         from: Revision::new(from),
         wait: FollowerSettings::default().reader_watch_wait,
         freshness: Freshness::Newest,
@@ -162,7 +162,7 @@
 fn a_reader_watches_for_the_newest_state() {
     let harness = Harness::watching();
     let plan = WatchPlan::Watch(Freshness::Newest);
-    assert_eq!(harness.follower.next(at(0), plan), newest_watch(10));
+    assert_eq!(harness.follower.next_action(at(0), plan), newest_watch(10));
 }
 
 #[test]
@@ -173,12 +173,15 @@
         events: vec![1],
         at: Revision::new(12),
     });
-    assert_eq!(harness.next(), Next::WaitUntil(at(5_050)));
+    assert_eq!(harness.next(), NextAction::WaitUntil(at(5_050)));
     let plan = WatchPlan::Watch(Freshness::Newest);
-    let next = |now| harness.follower.next(at(now), plan);
-    let pause_ends = at(5_000).after(FollowerSettings::default().reader_pause);
-    assert_eq!(next(5_000), Next::WaitUntil(pause_ends));
-    assert_eq!(harness.follower.next(pause_ends, plan), newest_watch(12));
+    let next = |now| harness.follower.next_action(at(now), plan);
+    let pause_ends = at(5_000).after(FollowerSettings::default().reader_watch_pause);
+    assert_eq!(next(5_000), NextAction::WaitUntil(pause_ends));
+    assert_eq!(
+        harness.follower.next_action(pause_ends, plan),
+        newest_watch(12)
+    );
 }
 
 #[test]
@@ -195,21 +198,21 @@
 #[test]
 fn a_node_that_rests_asks_nothing_and_goes_on_from_what_it_heard_meanwhile() {
     let mut harness = Harness::watching();
-    let rest = WatchPlan::RestUntil(at(4_000));
+    let rest = WatchPlan::IdleUntil(at(4_000));
     assert_eq!(
-        harness.follower.next(at(0), rest),
-        Next::WaitUntil(at(4_000))
+        harness.follower.next_action(at(0), rest),
+        NextAction::WaitUntil(at(4_000))
     );
     harness.follower.skip_to(Revision::new(30));
     harness.follower.skip_to(Revision::new(20));
-    assert_eq!(harness.follower.next(at(4_000), rest), watch(30));
+    assert_eq!(harness.follower.next_action(at(4_000), rest), watch(30));
 }
 
 #[test]
 fn a_node_without_a_list_does_not_rest() {
     let harness = Harness::new();
-    let rest = WatchPlan::RestUntil(at(4_000));
-    let next = harness.follower.next(at(0), rest);
+    let rest = WatchPlan::IdleUntil(at(4_000));
+    let next = harness.follower.next_action(at(0), rest);
     assert_eq!(next, list(None, Freshness::MayBeStale));
 }
 
@@ -243,7 +246,7 @@
 fn a_failed_watch_goes_on_where_it_was() {
     let mut harness = Harness::watching();
     harness.answer(Answer::Failed);
-    assert!(matches!(harness.next(), Next::WaitUntil(_)));
+    assert!(matches!(harness.next(), NextAction::WaitUntil(_)));
     harness.now += 1_000;
     assert_eq!(harness.next(), watch(10));
 }
@@ -283,7 +286,7 @@
         harness.random = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..failures {
             harness.answer(Answer::Failed);
-            let Next::WaitUntil(until) = harness.next() else {
+            let NextAction::WaitUntil(until) = harness.next() else {
                 panic!("no pause after a failure");
             };
             let pause = until.since(at(harness.now));
@@ -300,23 +303,23 @@
 };
 
 /// How long a node waits before the second page, once its first page took so long; over many seeds.
-fn list_waits(took: u64, list_weight: f64) -> Vec<u64> {
+fn list_waits(took: u64, relative_capacity: f64) -> Vec<u64> {
     let waits = (0..200).map(|seed| {
         let settings = FollowerSettings {
-            list_weight,
+            relative_capacity,
             ..FollowerSettings::default()
         };
         let mut follower = Follower::new(settings);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        follower.asked(at(1_000), &LIST);
+        follower.start_call(at(1_000), &LIST);
         let now = 1_000 + took;
         let none: Option<Update<u32, u32>> =
             follower.answer(at(now), page(&[1], Some("a"), 10), &mut random);
         assert_eq!(none, None);
         let plan = WatchPlan::Watch(Freshness::MayBeStale);
-        match follower.next(at(now), plan) {
-            Next::WaitUntil(until) => until.since(at(now)).as_millis() as u64,
-            Next::Call(_) => 0,
+        match follower.next_action(at(now), plan) {
+            NextAction::WaitUntil(until) => until.since(at(now)).as_millis() as u64,
+            NextAction::Call(_) => 0,
         }
     });
     waits.collect()
@@ -338,12 +341,12 @@
 #[test]
 fn a_list_goes_on_without_a_wait_after_its_second_page() {
     let mut harness = Harness::new();
-    harness.follower.asked(at(0), &LIST);
+    harness.follower.start_call(at(0), &LIST);
     harness.now = 100;
     harness.answer(page(&[1], Some("a"), 10));
     harness.now = 8_100;
     assert_eq!(harness.next(), list(Some("a"), Freshness::MayBeStale));
-    harness.follower.asked(at(8_100), &LIST);
+    harness.follower.start_call(at(8_100), &LIST);
     harness.now = 8_200;
     harness.answer(page(&[2], Some("b"), 10));
     assert_eq!(harness.next(), list(Some("b"), Freshness::MayBeStale));
@@ -359,24 +362,27 @@
             wait: Duration::from_millis(750),
             freshness,
         };
-        harness.follower.asked(at(0), &watch);
+        harness.follower.start_call(at(0), &watch);
         harness.answer(Answer::HistoryGone);
-        let is_listing = matches!(harness.next(), Next::Call(Read::List { .. }));
+        let is_listing = matches!(harness.next(), NextAction::Call(Read::List { .. }));
         assert_eq!(is_listing, !waits, "{freshness:?}");
         harness.now = 300;
         assert_eq!(harness.next(), list(None, Freshness::Newest));
         assert!(harness.follower.is_usable());
         // Others have told meanwhile.
         harness.follower.skip_to(Revision::new(12));
-        assert!(matches!(harness.next(), Next::Call(Read::Watch { .. })));
+        assert!(matches!(
+            harness.next(),
+            NextAction::Call(Read::Watch { .. })
+        ));
     }
 }
 
 #[test]
 fn a_node_that_needs_word_at_once_does_not_wait_for_a_change() {
     let harness = Harness::watching();
-    let next = harness.follower.next(at(0), WatchPlan::Confirm);
-    let Next::Call(Read::Watch {
+    let next = harness.follower.next_action(at(0), WatchPlan::Confirm);
+    let NextAction::Call(Read::Watch {
         wait, freshness, ..
     }) = next
     else {
@@ -392,13 +398,16 @@
     let mut harness = Harness::watching();
     harness.answer(Answer::Throttled);
     let plan = WatchPlan::Watch(Freshness::Newest);
-    let next = harness.follower.next(at(5_000), plan);
+    let next = harness.follower.next_action(at(5_000), plan);
     assert!(
-        matches!(next, Next::Call(Read::Watch { freshness, .. }) if freshness == Freshness::MayBeStale)
+        matches!(next, NextAction::Call(Read::Watch { freshness, .. }) if freshness == Freshness::MayBeStale)
     );
     harness.answer(Answer::Changes {
         events: Vec::new(),
         at: Revision::new(10),
     });
-    assert_eq!(harness.follower.next(at(5_000), plan), newest_watch(10));
+    assert_eq!(
+        harness.follower.next_action(at(5_000), plan),
+        newest_watch(10)
+    );
 }
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -175,7 +175,7 @@
         record.address = SocketAddrV4::new(Ipv4Addr::new(10, second, third, fourth), 9_000);
         record
     });
-    snapshot.directory = Some(DirectoryPart::Whole(DirectorySnapshot {
+    snapshot.directory = Some(DirectoryPart::Full(DirectorySnapshot {
         as_of: Revision::new(50_000),
         records: records.collect(),
     }));
--- a/crates/bellyoke-core/tests/cookie/publication.rs
+++ b/crates/bellyoke-core/tests/cookie/publication.rs
@@ -17,9 +17,9 @@
     let mut pacer = TablePacer::default();
     let mut built = 0;
     for now in (0..10_000).step_by(20) {
-        pacer.changed(at(now), INSTANCES);
+        pacer.record_change(at(now), INSTANCES);
         if pacer.is_due(at(now)) {
-            pacer.published(at(now), took);
+            pacer.record_publication(at(now), took);
             built += 1;
         }
     }
@@ -46,11 +46,11 @@
 #[test]
 fn what_operators_change_is_published_at_once() {
     let mut pacer = TablePacer::default();
-    pacer.changed(at(0), INSTANCES);
-    pacer.published(at(0), Duration::from_millis(50));
-    assert!(!pacer.is_behind());
-    pacer.changed(at(10), INSTANCES);
-    assert!(pacer.is_behind() && !pacer.is_due(at(10)));
+    pacer.record_change(at(0), INSTANCES);
+    pacer.record_publication(at(0), Duration::from_millis(50));
+    assert!(!pacer.has_unpublished_changes());
+    pacer.record_change(at(10), INSTANCES);
+    assert!(pacer.has_unpublished_changes() && !pacer.is_due(at(10)));
     for change in [(true, false), (false, true)] {
         let mut pacer = pacer;
         let (configuration, zones) = change;
@@ -59,7 +59,7 @@
             directory: false,
             zones,
         };
-        pacer.changed(at(20), change);
+        pacer.record_change(at(20), change);
         assert!(pacer.is_due(at(20)));
     }
 }
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -76,7 +76,7 @@
             ..moved
         }),
     );
-    assert!(directory.find(cookie()).unwrap().gone_at.is_some());
+    assert!(directory.find(cookie()).unwrap().removed_at.is_some());
     assert_eq!(directory.take_restarted(), []);
 }
 
@@ -95,15 +95,21 @@
     };
     directory.apply(at(200), Revision::new(30), put(between));
     directory.apply(at(300), Revision::new(40), put(run(2_000, 40)));
-    assert_eq!(*directory.succeeded(), BTreeSet::from([InstanceId(9)]));
+    assert_eq!(
+        *directory.with_reused_address(),
+        BTreeSet::from([InstanceId(9)])
+    );
     // A peer that remembers the earlier run tells of its creation.
     let tombstone = Tombstone {
         record: run(1_000, 5),
         age_milliseconds: 0,
         revision: Revision::new(20),
     };
-    directory.learn_tombstones(at(400), vec![tombstone]);
-    assert_eq!(*directory.succeeded(), BTreeSet::from([InstanceId(9)]));
+    directory.merge_tombstones(at(400), vec![tombstone]);
+    assert_eq!(
+        *directory.with_reused_address(),
+        BTreeSet::from([InstanceId(9)])
+    );
 }
 
 fn coordinator() -> Coordinator {
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -4,15 +4,15 @@
 use crate::cluster::{Cluster, address, in_five_zones};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, draining, node, record};
 use bellyoke_core::cookie::directory::Directory;
-use bellyoke_core::cookie::era::{EraTracker, Standing};
+use bellyoke_core::cookie::era::{AnswerValidity, EraTracker};
 use bellyoke_core::cookie::exchange::StoreDuty;
 use bellyoke_core::cookie::follower::{
-    Answer, Follower, FollowerSettings, Freshness, Next, Read, Reply, Update, WatchPlan,
+    Answer, Follower, FollowerSettings, Freshness, NextAction, Read, Reply, Update, WatchPlan,
 };
 use bellyoke_core::cookie::instance::{InstanceEvent, InstanceId, InstanceRecord, InstanceState};
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::{Revision, StoreEra};
-use bellyoke_core::cookie::zones::{DrainedZone, REWRITE_TIME, ZoneDrains, ZoneEvent};
+use bellyoke_core::cookie::zones::{DRAIN_REWRITE_GRACE, DrainedZone, ZoneDrains, ZoneEvent};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -36,7 +36,7 @@
 fn state(directory: &Directory, id: u64) -> Option<InstanceState> {
     let mut known = directory.instances();
     let known = known.find(|known| known.record.id == InstanceId(id))?;
-    known.gone_at.is_none().then_some(known.record.state)
+    known.removed_at.is_none().then_some(known.record.state)
 }
 
 /// Instances that take new flows.
@@ -157,7 +157,11 @@
         ..later
     });
     directory.apply(at(1_200), after(6), vec![writes]);
-    let succeeded: Vec<u64> = directory.succeeded().iter().map(|id| id.0).collect();
+    let succeeded: Vec<u64> = directory
+        .with_reused_address()
+        .iter()
+        .map(|id| id.0)
+        .collect();
     assert_eq!(succeeded, [1]);
 }
 
@@ -207,7 +211,7 @@
 fn a_zone_stays_drained_until_its_drain_could_be_written_again() {
     let mut zones = drain_lost();
     assert!(zones.is_drained("cork"));
-    let over = at(10_000).after(REWRITE_TIME);
+    let over = at(10_000).after(DRAIN_REWRITE_GRACE);
     // Another list of the same store changes nothing of that.
     zones.replace(at(11_000), after(8), Vec::new());
     assert!(!zones.expire(at(14_900)));
@@ -231,7 +235,7 @@
     let mut newcomer = ZoneDrains::unknown();
     newcomer.adopt(at(10_100), told);
     assert!(newcomer.is_drained("cork"));
-    assert!(newcomer.expire(at(10_100).after(REWRITE_TIME)));
+    assert!(newcomer.expire(at(10_100).after(DRAIN_REWRITE_GRACE)));
     assert!(!newcomer.is_drained("cork"));
 }
 
@@ -259,8 +263,8 @@
 const WATCHES: WatchPlan = WatchPlan::Watch(Freshness::Newest);
 
 fn lists(follower: &TestFollower) -> bool {
-    let next = follower.next(at(5_000), WATCHES);
-    matches!(next, Next::Call(Read::List { freshness, .. }) if freshness == Freshness::Newest)
+    let next = follower.next_action(at(5_000), WATCHES);
+    matches!(next, NextAction::Call(Read::List { freshness, .. }) if freshness == Freshness::Newest)
 }
 
 #[test]
@@ -271,8 +275,11 @@
     follower.enter_era(StoreEra(1));
     assert!(lists(&follower));
     // One that rests while others tell it enough doesn't.
-    let rests = WatchPlan::RestUntil(at(6_000));
-    assert_eq!(follower.next(at(5_000), rests), Next::WaitUntil(at(6_000)));
+    let rests = WatchPlan::IdleUntil(at(6_000));
+    assert_eq!(
+        follower.next_action(at(5_000), rests),
+        NextAction::WaitUntil(at(6_000))
+    );
     follower.skip_to(after(24));
     assert!(!lists(&follower));
 }
@@ -285,7 +292,7 @@
     assert_eq!(update, None);
     assert!(lists(&follower));
     let update = follower.answer(at(2_000), page(after(28)), &mut random());
-    let whole = Update::Whole {
+    let whole = Update::List {
         at: after(28),
         items: vec![1],
     };
@@ -332,11 +339,15 @@
 fn answers_of_an_earlier_era_do_not_count() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(26));
-    let mut judge = |era| eras.judge(at(0), context, &NEWEST_LIST, &reply(era, 26));
-    assert_eq!(judge(Some(3)), Standing::Current);
-    assert_eq!(judge(Some(4)), Standing::Current);
-    assert_eq!(judge(Some(3)), Standing::Outdated);
-    assert_eq!(judge(None), Standing::Outdated, "the store tells its era");
+    let mut judge = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
+    assert_eq!(judge(Some(3)), AnswerValidity::Current);
+    assert_eq!(judge(Some(4)), AnswerValidity::Current);
+    assert_eq!(judge(Some(3)), AnswerValidity::Outdated);
+    assert_eq!(
+        judge(None),
+        AnswerValidity::Outdated,
+        "the store tells its era"
+    );
     assert_eq!(eras.era(), StoreEra(4));
 }
 
@@ -344,12 +355,12 @@
 fn the_first_era_that_a_node_hears_of_is_no_restoration() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(0));
-    let mut judge = |era| eras.judge(at(0), context, &NEWEST_LIST, &reply(era, 26));
+    let mut judge = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
     judge(Some(7));
-    assert!(!eras.was_restored() && !eras.was_restored_of_late(at(0)));
-    eras.note(at(1_000), StoreEra(8));
-    assert!(eras.was_restored() && eras.was_restored_of_late(at(10_999)));
-    assert!(!eras.was_restored_of_late(at(11_000)));
+    assert!(!eras.was_restored() && !eras.was_recently_restored(at(0)));
+    eras.record_era(at(1_000), StoreEra(8));
+    assert!(eras.was_restored() && eras.was_recently_restored(at(10_999)));
+    assert!(!eras.was_recently_restored(at(11_000)));
 }
 
 /// Two nodes may notice one restoration together, and hear of each other's news before their own answers come.
@@ -357,18 +368,21 @@
 fn one_restoration_is_noticed_once() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(26));
-    eras.note(at(0), StoreEra(1));
+    eras.record_era(at(0), StoreEra(1));
     let late = reply(None, 24);
-    let standing = eras.judge(at(10), context, &NEWEST_LIST, &late);
-    assert_eq!(standing, Standing::Outdated);
+    let standing = eras.classify(at(10), context, &NEWEST_LIST, &late);
+    assert_eq!(standing, AnswerValidity::Outdated);
     assert_eq!(eras.era(), StoreEra(1));
     let context = eras.call_context(after(24));
     let next = reply(None, 24);
-    let standing = eras.judge(at(20), context, &NEWEST_LIST, &next);
-    assert_eq!(standing, Standing::Current);
+    let standing = eras.classify(at(20), context, &NEWEST_LIST, &next);
+    assert_eq!(standing, AnswerValidity::Current);
     let again = reply(None, 23);
-    let standing = eras.judge(at(30), context, &NEWEST_LIST, &again);
-    assert_eq!((standing, eras.era()), (Standing::Restored, StoreEra(2)));
+    let standing = eras.classify(at(30), context, &NEWEST_LIST, &again);
+    assert_eq!(
+        (standing, eras.era()),
+        (AnswerValidity::Restored, StoreEra(2))
+    );
 }
 
 #[test]
@@ -379,15 +393,18 @@
         freshness: Freshness::MayBeStale,
     };
     let context = eras.call_context(before(26));
-    let standing = eras.judge(at(0), context, &stale, &reply(None, 24));
-    assert_eq!((standing, eras.era()), (Standing::Current, StoreEra(0)));
+    let standing = eras.classify(at(0), context, &stale, &reply(None, 24));
+    assert_eq!(
+        (standing, eras.era()),
+        (AnswerValidity::Current, StoreEra(0))
+    );
 }
 
 /// The one node that reads the restored store's list tells all others.
 fn adopted_within(cluster: &mut Cluster, milliseconds: u64, instances: u64) -> (usize, usize) {
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let copy: Vec<InstanceRecord> = (1..instances).map(|id| restored(record(id, id))).collect();
-    let update = Update::Whole {
+    let update = Update::List {
         at: after(instances),
         items: copy,
     };
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -115,7 +115,7 @@
 fn a_restored_zone_is_cold_until_a_newer_record_says_otherwise() {
     let mut replica = node();
     replica.replace_zones(at(5), Revision::new(20), vec![drained("cork", 20)]);
-    let restored = vec![ZoneEvent::Restored("cork".to_owned())];
+    let restored = vec![ZoneEvent::Undrained("cork".to_owned())];
     replica.apply_zones(at(1_000), Revision::new(30), restored);
     let only_full = |replica: &Replica, now| {
         let found = destinations(replica, now);
@@ -143,7 +143,7 @@
         !zones.replace(at(2), Revision::new(19), Vec::new()),
         "older list"
     );
-    let restored = vec![ZoneEvent::Restored("cork".to_owned())];
+    let restored = vec![ZoneEvent::Undrained("cork".to_owned())];
     assert!(
         !zones.apply(at(3), Revision::new(20), restored.clone()),
         "no newer"
@@ -171,7 +171,7 @@
     zones.replace(at(3), Revision::new(30), Vec::new());
     assert!(peer.adopt(at(4), zones.snapshot(at(4)).unwrap()));
     assert!(!peer.is_drained("cork"));
-    assert!(peer.restoration("cork").is_some());
+    assert!(peer.last_undrain("cork").is_some());
 }
 
 #[test]
@@ -181,12 +181,12 @@
     zones.replace(at(5_000), Revision::new(30), Vec::new());
     let mut newborn = ZoneDrains::unknown();
     newborn.adopt(at(9_000), zones.snapshot(at(7_000)).unwrap());
-    let restoration = newborn.restoration("cork").unwrap();
+    let restoration = newborn.last_undrain("cork").unwrap();
     assert_eq!(restoration.at, at(7_000), "two seconds before it was heard");
     newborn.expire(at(60_000));
-    assert!(newborn.restoration("cork").is_some());
+    assert!(newborn.last_undrain("cork").is_some());
     newborn.expire(at(67_000));
-    assert!(newborn.restoration("cork").is_none());
+    assert!(newborn.last_undrain("cork").is_none());
 }
 
 #[test]
@@ -218,7 +218,7 @@
     let mut teller = coordinator(1);
     let mut peer = coordinator(2);
     for node in [&mut teller, &mut peer] {
-        let none = Update::Whole {
+        let none = Update::List {
             at: Revision::new(10),
             items: Vec::new(),
         };
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -10,7 +10,7 @@
     DeltaMessage, Exchange, ExchangeEffect, ExchangeSettings, FetchRequest, PeerDatagram, StoreDuty,
 };
 use bellyoke_core::cookie::follower::{
-    Answer, Follower, FollowerSettings, Freshness, Next, Read, Reply, Update, WatchPlan,
+    Answer, Follower, FollowerSettings, Freshness, NextAction, Read, Reply, Update, WatchPlan,
 };
 use bellyoke_core::cookie::forwarder::{Decision, DropReason, Forwarder};
 use bellyoke_core::cookie::freshness::ObjectKind;
@@ -88,7 +88,7 @@
 }
 
 const fn nothing_drained(at: Revision) -> Update<DrainedZone, ZoneEvent> {
-    Update::Whole {
+    Update::List {
         at,
         items: Vec::new(),
     }
@@ -360,20 +360,20 @@
             ObjectKind::Instances => {
                 self.instances.enter_era(era);
                 self.instances.skip_to(known_up_to);
-                self.instances.next(now, plan)
+                self.instances.next_action(now, plan)
             }
             ObjectKind::Configuration => {
                 self.configurations.enter_era(era);
                 self.configurations.skip_to(known_up_to);
-                self.configurations.next(now, plan)
+                self.configurations.next_action(now, plan)
             }
             ObjectKind::Zones => {
                 self.zones.enter_era(era);
                 self.zones.skip_to(known_up_to);
-                self.zones.next(now, plan)
+                self.zones.next_action(now, plan)
             }
         };
-        let Next::Call(mut read) = next else {
+        let NextAction::Call(mut read) = next else {
             return None;
         };
         if let Read::List { freshness, .. } = &mut read
@@ -383,9 +383,9 @@
         }
         self.coordinator.note_asked(now, kind, read.freshness());
         match kind {
-            ObjectKind::Instances => self.instances.asked(now, &read),
-            ObjectKind::Configuration => self.configurations.asked(now, &read),
-            ObjectKind::Zones => self.zones.asked(now, &read),
+            ObjectKind::Instances => self.instances.start_call(now, &read),
+            ObjectKind::Configuration => self.configurations.start_call(now, &read),
+            ObjectKind::Zones => self.zones.start_call(now, &read),
         }
         self.next_call += 1;
         self.calls[kind as usize] = Some(PendingCall {
@@ -457,7 +457,7 @@
         let standing = self
             .coordinator
             .judge_reply(now, call.context, &call.read, &reply);
-        standing.counting(reply.answer)
+        standing.filter(reply.answer)
     }
 
     fn take_instances(
@@ -473,7 +473,7 @@
             return Outcome::default();
         };
         match &mut update {
-            Update::Whole { items, .. } => items.iter_mut().for_each(|record| self.taint(record)),
+            Update::List { items, .. } => items.iter_mut().for_each(|record| self.taint(record)),
             Update::Changes { events, .. } => {
                 for event in events {
                     if let InstanceEvent::Put(record) = event {
@@ -508,7 +508,7 @@
             Some(update) if !self.lacks(Ablation::IgnoreDrainedZones) => {
                 self.coordinator.zones(now, update)
             }
-            Some(Update::Whole { at, .. }) => self.coordinator.zones(now, nothing_drained(at)),
+            Some(Update::List { at, .. }) => self.coordinator.zones(now, nothing_drained(at)),
             Some(_) | None => Outcome::default(),
         }
     }
@@ -526,7 +526,7 @@
                 WatchPlan::Watch(Freshness::MayBeStale)
             }
             _ if self.lacks(Ablation::RestForever) && self.was_confirmed(now) => {
-                WatchPlan::RestUntil(now.after(FOREVER))
+                WatchPlan::IdleUntil(now.after(FOREVER))
             }
             plan => plan,
         }
--- a/crates/bellyoke-lab/src/cookie/store.rs
+++ b/crates/bellyoke-lab/src/cookie/store.rs
@@ -200,7 +200,7 @@
     pub fn restore_zone(&mut self, now: Timestamp, zone: &str) {
         if self.drained_zones.remove(zone).is_some() {
             let revision = self.advance();
-            let change = Change::Zone(ZoneEvent::Restored(zone.to_owned()));
+            let change = Change::Zone(ZoneEvent::Undrained(zone.to_owned()));
             self.history.push_back((now, revision, change));
         }
     }
--- a/crates/bellyoke-node/src/connection/follow.rs
+++ b/crates/bellyoke-node/src/connection/follow.rs
@@ -6,7 +6,7 @@
 use crate::process::metrics::{ControlMetrics, StoreCallLabels};
 use bellyoke_core::cookie::exchange::ExchangeEffect;
 use bellyoke_core::cookie::follower::{
-    Answer, Follower, FollowerSettings, Freshness, Next, Read, Update,
+    Answer, Follower, FollowerSettings, Freshness, NextAction, Read, Update,
 };
 use bellyoke_core::cookie::freshness::ObjectKind;
 use bellyoke_core::time::Timestamp;
@@ -36,33 +36,33 @@
             let control = link.control.borrow();
             follower.enter_era(control.era());
             follower.skip_to(control.known_up_to(kind));
-            let next = follower.next(clock.now(), control.watch_plan(kind));
+            let next = follower.next_action(clock.now(), control.watch_plan(kind));
             (next, control.may_ask(kind))
         };
         let read = match next {
-            Next::WaitUntil(time) => {
+            NextAction::WaitUntil(time) => {
                 tokio::time::sleep(rest(clock.now(), time)).await;
                 continue;
             }
-            Next::Call(_) if !may_ask => {
+            NextAction::Call(_) if !may_ask => {
                 tokio::time::sleep(LOOK_INTERVAL).await;
                 continue;
             }
-            Next::Call(read) => read,
+            NextAction::Call(read) => read,
         };
         let asked_at = clock.now();
         link.control.borrow_mut().note_asked(kind, read.freshness());
         let context = link.control.borrow().call_context();
-        follower.asked(asked_at, &read);
+        follower.start_call(asked_at, &read);
         let hedge = || link.control.borrow().asks_for_all();
-        let needless = || follower.is_needless(link.control.borrow().known_up_to(kind));
+        let needless = || follower.is_list_redundant(link.control.borrow().known_up_to(kind));
         let Some(reply) = unless(needless, reader.read(&read, context.era, hedge)).await else {
             continue;
         };
         let took = clock.now().since(asked_at);
         let mut control = link.control.borrow_mut();
         let standing = control.judge_reply(kind, context, &read, &reply);
-        let answer = standing.counting(reply.answer);
+        let answer = standing.filter(reply.answer);
         count(control.metrics(), kind, &read, &answer, took);
         let rejected = reader.rejected();
         control
--- a/crates/bellyoke-node/src/process/control/report.rs
+++ b/crates/bellyoke-node/src/process/control/report.rs
@@ -197,7 +197,7 @@
         let known = directory.len();
         let gone = directory
             .instances()
-            .filter(|known| known.gone_at.is_some())
+            .filter(|known| known.removed_at.is_some())
             .count();
         let revision = directory.changed_at();
         self.limiter.log(
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -2,7 +2,7 @@
 
 use super::Control;
 use bellyoke_api::event_code::EventCode;
-use bellyoke_core::cookie::era::{CallContext, Standing};
+use bellyoke_core::cookie::era::{AnswerValidity, CallContext};
 use bellyoke_core::cookie::follower::{Freshness, Read, Reply, WatchPlan};
 use bellyoke_core::cookie::freshness::ObjectKind;
 use bellyoke_core::cookie::replica::Source;
@@ -65,11 +65,11 @@
         context: CallContext,
         read: &Read,
         reply: &Reply<Item, Event>,
-    ) -> Standing {
+    ) -> AnswerValidity {
         let now = self.clock.now();
         let standing = self.coordinator.judge_reply(now, context, read, reply);
         self.note_era(Source::Store);
-        if standing == Standing::Outdated {
+        if standing == AnswerValidity::Outdated {
             self.log_outdated_reply(kind, context, reply.era);
         }
         standing
--- a/crates/bellyoke-node/src/process/run.rs
+++ b/crates/bellyoke-node/src/process/run.rs
@@ -266,8 +266,8 @@
     let follower = FollowerSettings {
         watch_wait: settings.timing.watch_wait(),
         reader_watch_wait: freshness_bound / 2,
-        reader_pause: freshness_bound / 3,
-        list_weight: settings.place().class.relative_weight(),
+        reader_watch_pause: freshness_bound / 3,
+        relative_capacity: settings.place().class.relative_weight(),
         ..FollowerSettings::default()
     };
     spawn_local(follow(
