--- a/crates/bellyoke-core/src/cookie/delta.rs
+++ b/crates/bellyoke-core/src/cookie/delta.rs
@@ -25,7 +25,7 @@
     /// Records that are new or have changed.
     pub records: Vec<InstanceRecord>,
     /// Instances whose records have gone.
-    pub gone: Vec<Tombstone>,
+    pub tombstones: Vec<Tombstone>,
 }
 
 /// A span of revisions of which the store's history is lost: what came and went within it isn't known. Whoever knows all
--- a/crates/bellyoke-core/src/cookie/directory.rs
+++ b/crates/bellyoke-core/src/cookie/directory.rs
@@ -209,7 +209,7 @@
             as_of,
             gaps: self.gaps_since(since),
             records: changed.map(|known| known.record_at(now)).collect(),
-            gone: self.tombstones_since(now, since),
+            tombstones: self.tombstones_since(now, since),
         })
     }
 
@@ -226,11 +226,11 @@
             self.record_gap(*gap);
         }
         let learned = self.merge_creations(delta.records.iter().filter_map(FirstCreation::of));
-        let gone = delta.gone.iter();
+        let gone = delta.tombstones.iter();
         let gone = gone.map(|tombstone| InstanceEvent::Gone(tombstone.record.id));
         let put = delta.records.into_iter().map(InstanceEvent::Put);
         let changed = self.apply(now, delta.as_of, put.chain(gone).collect());
-        self.merge_tombstones(now, delta.gone) || changed || learned
+        self.merge_tombstones(now, delta.tombstones) || changed || learned
     }
 
     /// What came and went within a span isn't known. Of many spans the oldest counts as if all before it were unknown.
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -337,7 +337,7 @@
         as_of: delta.as_of,
         gaps: delta.gaps.clone(),
         records: pack_records(names, &delta.records)?,
-        gone: pack_tombstones(names, &delta.gone)?,
+        gone: pack_tombstones(names, &delta.tombstones)?,
     })
 }
 
@@ -361,7 +361,7 @@
             as_of,
             gaps,
             records: unpack_records(names, records)?,
-            gone: unpack_tombstones(names, gone)?,
+            tombstones: unpack_tombstones(names, gone)?,
         }),
     })
 }
--- a/crates/bellyoke-core/tests/cookie/directory.rs
+++ b/crates/bellyoke-core/tests/cookie/directory.rs
@@ -494,7 +494,7 @@
 #[test]
 fn who_knew_as_much_as_a_lister_is_told_by_a_delta() {
     let delta = relisted().delta_since(at(100), Revision::new(10)).unwrap();
-    assert_eq!((delta.records.len(), delta.gone.len()), (1, 1));
+    assert_eq!((delta.records.len(), delta.tombstones.len()), (1, 1));
     let mut peer = listed();
     assert!(peer.apply_delta(at(110), delta));
     assert_eq!(present(&peer), [1, 3, 4]);
--- a/crates/bellyoke-core/tests/cookie/ended_instances.rs
+++ b/crates/bellyoke-core/tests/cookie/ended_instances.rs
@@ -206,7 +206,7 @@
         as_of: Revision::new(20),
         gaps: Vec::new(),
         records: vec![record(1, 4)],
-        gone: vec![tombstone(record(1, 2), 5, 3)],
+        tombstones: vec![tombstone(record(1, 2), 5, 3)],
     };
     assert!(by_delta.apply_delta(at(10), delta));
     assert_eq!(created(&by_delta), Some(Revision::new(2)));
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -332,7 +332,7 @@
                     to: Revision::new(40_009),
                 }],
                 records: records.collect(),
-                gone: gone.collect(),
+                tombstones: gone.collect(),
             }),
             ..StateDelta::default()
         },
