--- a/crates/bellyoke-core/src/cookie/delta.rs
+++ b/crates/bellyoke-core/src/cookie/delta.rs
@@ -1,8 +1,8 @@
-//! What changed between two revisions: short enough to be pushed to peers by datagram.
+//! Changes between two revisions, small enough to be pushed to peers in a datagram.
 //!
-//! A delta is exact: whoever knows all changes up to its first revision knows all up to its last
-//! once it has applied it. Whoever knows less must leave it alone and fetch a snapshot; whoever
-//! knows a part of it already may apply the rest, since records carry their revisions.
+//! A delta is exact: a node that knows all changes up to its first revision knows all changes up to its last one after
+//! applying it. A node that knows less must ignore the delta and fetch a snapshot. A node that already knows a part of the
+//! changes can still apply it, since each record carries its revision.
 
 use crate::cookie::directory::Tombstone;
 use crate::cookie::instance::InstanceRecord;
@@ -13,34 +13,34 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The changes of the instances after one revision, up to another.
+/// The changes of the instances after one revision, up to and including another.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// The receiver must know all changes up to here.
+    /// The receiver must know all changes up to this revision.
     pub since: Revision,
-    /// Afterwards it knows all up to here.
+    /// The revision up to which the receiver knows all changes after applying the delta.
     pub as_of: Revision,
-    /// Whoever knows a revision within one of these spans can't apply it.
+    /// Revision gaps. A node whose known revision lies within one of them can't apply the delta.
     pub gaps: Vec<RevisionGap>,
-    /// Records that are new or have changed.
+    /// New or changed records.
     pub records: Vec<InstanceRecord>,
-    /// Instances whose records have gone.
+    /// Instances whose records were removed.
     pub tombstones: Vec<Tombstone>,
 }
 
-/// A span of revisions of which the store's history is lost: what came and went within it isn't known. Whoever knows all
-/// up to its beginning knows all at its end by what a list shows there; whoever knows a revision within it may hold an
-/// instance that no list names.
+/// A span of revisions for which the store's history is lost, so instances that were added and removed within it are
+/// unknown. A node that knows everything up to the start of the gap is complete at its end with the list read there. A node
+/// whose known revision lies within the gap may have an instance that is in no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RevisionGap {
-    /// The last revision before it.
+    /// The last revision before the gap.
     pub from: Revision,
-    /// The first revision after it.
+    /// The first revision after the gap.
     pub to: Revision,
 }
 
 impl RevisionGap {
-    /// Whether a revision lies within the span.
+    /// Returns whether a revision lies within the gap, its ends excluded.
     ///
     /// ```
     /// use bellyoke_core::cookie::delta::RevisionGap;
@@ -59,25 +59,25 @@
 /// The changes from one configuration to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// Version of the configuration that it applies to, and to no other.
+    /// Version of the only configuration that the delta applies to.
     pub since: u64,
-    /// Revision of the configuration that results.
+    /// Revision of the resulting configuration.
     pub revision: Revision,
-    /// The operators' number for it.
+    /// Version of the resulting configuration, assigned by the operators.
     pub version: u64,
-    /// How long a flow may rest before it may be forgotten, milliseconds.
+    /// Idle time after which a flow may be dropped, in milliseconds.
     pub idle_timeout_milliseconds: u32,
-    /// Routes that are new or have changed.
+    /// New or changed routes.
     pub put: Vec<Route>,
-    /// Addresses of routes that are no more.
+    /// Addresses of removed routes.
     pub removed: Vec<SocketAddrV4>,
-    /// The limits of all services, if any has changed.
+    /// The limits of all services, if any of them has changed.
     pub limits: Option<Vec<ServiceLimits>>,
 }
 
 impl ConfigurationDelta {
-    /// The delta from `old` to `new`; none if two routes of either share an address, since
-    /// routes are told apart by it.
+    /// Computes the delta from `old` to `new`. Returns `None` if two routes of either configuration share an address, since
+    /// the address identifies a route.
     ///
     /// ```
     /// use bellyoke_core::cookie::delta::ConfigurationDelta;
@@ -116,8 +116,8 @@
         })
     }
 
-    /// The configuration that results from `old`, its routes in the order of their addresses;
-    /// none if the delta is not one of `old`.
+    /// Returns the configuration that results from `old`, with its routes sorted by address. Returns `None` if the delta
+    /// doesn't apply to `old`, or if two of its routes share an address.
     #[must_use]
     pub fn apply(&self, old: &Configuration) -> Option<Configuration> {
         if old.version != self.since {
@@ -140,7 +140,7 @@
     }
 }
 
-/// The routes of a configuration; none if two share an address.
+/// Returns the routes of a configuration by address, or `None` if two of them share an address.
 fn routes_by_address(configuration: &Configuration) -> Option<BTreeMap<SocketAddrV4, &Route>> {
     let routes: BTreeMap<_, _> = configuration
         .routes
@@ -150,19 +150,19 @@
     (routes.len() == configuration.routes.len()).then_some(routes)
 }
 
-/// What a peer that knows a little less needs.
+/// The changes that a slightly outdated peer needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StateDelta {
     /// Changes of the configuration, the oldest first.
     pub configuration: Vec<ConfigurationDelta>,
     /// Changes of the instances.
     pub directory: Option<DirectoryDelta>,
-    /// The drained zones, all of them.
+    /// The full set of drained zones, if it has changed.
     pub zones: Option<ZoneSnapshot>,
 }
 
 impl StateDelta {
-    /// Whether it tells nothing.
+    /// Returns whether the delta contains no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.configuration.is_empty() && self.directory.is_none() && self.zones.is_none()
--- a/crates/bellyoke-core/src/cookie/directory.rs
+++ b/crates/bellyoke-core/src/cookie/directory.rs
@@ -1,8 +1,8 @@
-//! What a node knows of all backend instances, and of those whose records have gone.
+//! Directory of all backend instances, including those whose records were removed.
 //!
-//! A record that went is no proof that its instance has ended: some serve on without a word,
-//! and an outage of the store takes records of healthy instances. So a gone instance stays
-//! known (a tombstone) for as long as a flow of its may live, and its flows go on.
+//! The removal of a record doesn't prove that its instance has ended: some instances keep serving without renewing
+//! their records, and an outage of the store removes records of healthy instances. The directory therefore keeps a
+//! removed instance as a tombstone for the maximum lifetime of a flow, and its existing flows continue.
 
 mod address_reuse;
 mod restoration;
@@ -19,66 +19,67 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most tombstones held; the oldest go first. 64 times the instances of the users' largest
-/// service.
+/// Maximum number of tombstones; the oldest are dropped first. It is 64 times the number of instances of the users'
+/// largest service.
 pub const MAXIMUM_TOMBSTONES: usize = 65_536;
 
-/// Most gaps held; each is 16 bytes in each delta across it. A store that forgets its history does so every few seconds
-/// at the worst, and peers are seconds behind at most.
+/// Maximum number of revision gaps. Each gap adds 16 bytes to every delta that spans it. A store that discards its history
+/// does so every few seconds in the worst case, and peers are at most seconds behind.
 const MAXIMUM_GAPS: usize = 8;
 
-/// An instance, present or gone, and what the node has noted about it.
+/// An instance, present or removed, and the node's own data about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownInstance {
-    /// Its record as last read, but for its creation: the first one ever heard of, also across lapses.
+    /// The record as last read. Its `created` is the earliest known creation, also after the record has expired and was
+    /// created again.
     pub record: InstanceRecord,
-    /// From when on it works at full speed.
+    /// When its slow start (the time in which it is cold) ends.
     pub warm_at: Timestamp,
-    /// When its record went, if it has.
+    /// When its record was removed, if it was.
     pub removed_at: Option<Timestamp>,
-    /// The revision by which its record had gone, if it has; it may have gone a little earlier.
+    /// A revision at which its record was known to be removed; the removal may be slightly earlier. Zero if it is present.
     pub removed_revision: Revision,
     /// Whether this node knew an earlier run of the instance.
     pub restarted: bool,
-    /// Until when it takes no new flows, as it may have ended before the store was restored.
+    /// When its exclusion from new flows ends. It is excluded if it may have ended before the store was restored.
     pub excluded_until: Option<Timestamp>,
 }
 
-/// A gone instance as nodes tell each other of it.
+/// A removed instance in messages between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Tombstone {
-    /// Its record as last read.
+    /// The record as last read.
     pub record: InstanceRecord,
-    /// How long ago its record went, milliseconds.
+    /// Time since its record was removed, in milliseconds.
     pub age_milliseconds: u32,
-    /// The revision by which it had gone.
+    /// A revision at which the record was known to be removed.
     pub revision: Revision,
 }
 
-/// All instances that a node knows.
+/// All instances known to a node.
 #[derive(Debug)]
 pub struct Directory {
     tombstone_lifetime: Duration,
     known: BTreeMap<InstanceId, KnownInstance>,
     as_of: Option<Revision>,
     changed_at: Revision,
-    /// All instances that went after this revision are still known, but for those that came and went in a gap.
+    /// Tombstones are complete after this revision, except for instances that were added and removed within a gap.
     complete_since: Revision,
-    /// The last spans of which only lists at their ends are known, the oldest first.
+    /// The most recent revision gaps, the oldest first.
     gaps: Vec<RevisionGap>,
-    /// No instance went before, of those that are known; none if none has gone.
+    /// Lower bound of the removal times of all tombstones, if there are any.
     oldest_removed_at: Option<Timestamp>,
-    /// What [`Self::with_reused_address`] told, until something changes: asked for again with each table and each doubt, and
-    /// it looks at all instances.
+    /// Cached result of [`Self::with_reused_address`], which scans all instances and is called for each table and each
+    /// suspicion. Cleared by changes.
     with_reused_address: OnceCell<BTreeSet<InstanceId>>,
-    /// Instances that have started again since they were last asked for.
+    /// Instances that have restarted since the last call of [`Self::take_restarted`].
     restarted: Vec<InstanceId>,
-    /// When the first of [`KnownInstance::excluded_until`] is over, if there is one.
+    /// The earliest [`KnownInstance::excluded_until`], if there is any.
     first_exclusion_ends_at: Option<Timestamp>,
 }
 
 impl Directory {
-    /// An empty directory that remembers gone instances for `tombstone_lifetime`.
+    /// Creates an empty directory that keeps tombstones for `tombstone_lifetime`.
     #[must_use]
     pub const fn new(tombstone_lifetime: Duration) -> Self {
         Self {
@@ -95,37 +96,37 @@
         }
     }
 
-    /// The revision up to which all changes are known; none before the first whole list.
+    /// Returns the revision up to which all changes are known, or `None` before the first full list.
     #[must_use]
     pub const fn as_of(&self) -> Option<Revision> {
         self.as_of
     }
 
-    /// The revision of the last change of content.
+    /// Returns the revision of the last change of content.
     #[must_use]
     pub const fn changed_at(&self) -> Revision {
         self.changed_at
     }
 
-    /// All instances, present and gone, by id.
+    /// Iterates over all instances, present and removed, in the order of their ids.
     pub fn instances(&self) -> impl Iterator<Item = &KnownInstance> {
         self.known.values()
     }
 
-    /// How many instances are known, present and gone.
+    /// Returns the number of instances, present and removed.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether no instance is known.
+    /// Returns whether no instance is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// The instance that a cookie names. Of several with one cookie it is one that has an id of no more than
-    /// 32 bits, which is its own cookie, or the first by id.
+    /// Returns the instance that a cookie identifies. If several instances have the same cookie, returns the one whose id
+    /// fits 32 bits and therefore equals the cookie, or else the first by id.
     #[must_use]
     pub fn find(&self, cookie: Cookie) -> Option<&KnownInstance> {
         let own = self.known.get(&InstanceId(u64::from(cookie.bits())));
@@ -137,8 +138,8 @@
         })
     }
 
-    /// Takes over a whole list that was true at revision `at`, from the store or a peer.
-    /// Returns whether anything changed; a list older than what is known changes nothing.
+    /// Replaces the directory with a full list as of revision `at`, from the store or a peer. Returns whether anything
+    /// changed. A list older than the known state updates only creations.
     pub fn replace(&mut self, now: Timestamp, at: Revision, records: Vec<InstanceRecord>) -> bool {
         let learned = self.merge_creations(records.iter().filter_map(FirstCreation::of));
         if self.as_of.is_some_and(|known| at < known) {
@@ -147,7 +148,7 @@
         let mut changed = self.as_of.is_none();
         match self.as_of {
             None => self.complete_since = at,
-            // Peers that know a revision in between can't be told by a delta, nor that nothing has changed.
+            // A peer at a revision in between can be neither updated by a delta nor confirmed as unchanged.
             Some(from) if from < at => self.record_gap(RevisionGap { from, to: at }),
             Some(_) => {}
         }
@@ -171,7 +172,7 @@
         self.advance(at, changed) || learned
     }
 
-    /// Takes over the changes up to revision `at`. Returns whether anything changed.
+    /// Applies the changes up to revision `at`. Returns whether anything changed.
     pub fn apply(&mut self, now: Timestamp, at: Revision, events: Vec<InstanceEvent>) -> bool {
         let Some(as_of) = self.as_of else {
             return false;
@@ -190,8 +191,8 @@
         self.advance(at, changed)
     }
 
-    /// What has changed since a revision, for a peer that knows everything up to it; none if too
-    /// much has been forgotten since then, or if this node knows no more.
+    /// Returns the changes after a revision, for a peer that knows everything up to it. Returns `None` if this node knows
+    /// nothing newer, if required tombstones have expired, or if the revision lies within a gap.
     #[must_use]
     pub fn delta_since(&self, now: Timestamp, since: Revision) -> Option<DirectoryDelta> {
         let as_of = self.as_of?;
@@ -213,8 +214,9 @@
         })
     }
 
-    /// Takes over what a peer knows to have changed. Returns whether anything changed; a delta
-    /// that starts after what is known, or ends before it, changes nothing, nor does one with a gap around what is known.
+    /// Applies a delta from a peer. Returns whether anything changed. A delta that starts after the known revision changes
+    /// nothing, nor does one with a gap around the known revision. One that ends at or before it updates only creations
+    /// and tombstones.
     pub fn apply_delta(&mut self, now: Timestamp, delta: DirectoryDelta) -> bool {
         let Some(as_of) = self.as_of.filter(|as_of| *as_of >= delta.since) else {
             return false;
@@ -226,14 +228,14 @@
             self.record_gap(*gap);
         }
         let learned = self.merge_creations(delta.records.iter().filter_map(FirstCreation::of));
-        let gone = delta.tombstones.iter();
-        let gone = gone.map(|tombstone| InstanceEvent::Gone(tombstone.record.id));
+        let removed = delta.tombstones.iter();
+        let removed = removed.map(|tombstone| InstanceEvent::Gone(tombstone.record.id));
         let put = delta.records.into_iter().map(InstanceEvent::Put);
-        let changed = self.apply(now, delta.as_of, put.chain(gone).collect());
+        let changed = self.apply(now, delta.as_of, put.chain(removed).collect());
         self.merge_tombstones(now, delta.tombstones) || changed || learned
     }
 
-    /// What came and went within a span isn't known. Of many spans the oldest counts as if all before it were unknown.
+    /// Records a revision gap. If there are too many, drops the oldest gap and treats all history before its end as unknown.
     fn record_gap(&mut self, gap: RevisionGap) {
         if self.gaps.contains(&gap) {
             return;
@@ -245,13 +247,14 @@
         }
     }
 
-    /// The spans that end after a revision.
+    /// Returns the gaps that end after a revision.
     fn gaps_since(&self, since: Revision) -> Vec<RevisionGap> {
         let gaps = self.gaps.iter().filter(|gap| gap.to > since);
         gaps.copied().collect()
     }
 
-    /// A peer's word that nothing has changed after `changed_at` up to `as_of`.
+    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It has no effect if this node
+    /// doesn't know everything up to `changed_at`.
     pub fn confirm(&mut self, changed_at: Revision, as_of: Revision) {
         if let Some(known) = &mut self.as_of
             && changed_at <= *known
@@ -260,8 +263,8 @@
         }
     }
 
-    /// Learns of gone instances that this node never saw, so that their flows go on here too, and of
-    /// earlier creations of those that it knows. Returns whether anything was new.
+    /// Adds tombstones of instances unknown to this node, which keeps their flows working here too, and earlier creations
+    /// of known instances. Returns whether anything was new.
     pub fn merge_tombstones(&mut self, now: Timestamp, tombstones: Vec<Tombstone>) -> bool {
         let records = tombstones.iter().map(|tombstone| &tombstone.record);
         let mut changed = self.merge_creations(records.filter_map(FirstCreation::of));
@@ -288,12 +291,13 @@
         changed
     }
 
-    /// Forgets gone instances that can have no flow any more, and ends doubts. Returns whether there was any.
+    /// Drops tombstones that are too old to have flows, and ends exclusions that are over. Returns whether there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let exclusions_ended = self.end_exclusions(now);
         self.expire_tombstones(now) || exclusions_ended
     }
 
+    /// Drops tombstones that are too old or too many. Returns whether there were any.
     fn expire_tombstones(&mut self, now: Timestamp) -> bool {
         let before = self.known.len();
         let lifetime = self.tombstone_lifetime;
@@ -325,7 +329,7 @@
         expired
     }
 
-    /// The records of all present instances, with the time they stay cold from `now` on.
+    /// Returns the records of all present instances, with the remaining time of their slow start.
     #[must_use]
     pub fn records(&self, now: Timestamp) -> Vec<InstanceRecord> {
         let present = self
@@ -335,7 +339,7 @@
         present.map(|known| known.record_at(now)).collect()
     }
 
-    /// The instances that went after a revision, with their age.
+    /// Returns the tombstones of instances removed after a revision.
     #[must_use]
     pub fn tombstones_since(&self, now: Timestamp, since: Revision) -> Vec<Tombstone> {
         self.tombstones_where(now, |known| known.removed_revision > since)
@@ -346,8 +350,8 @@
         now: Timestamp,
         wanted: impl Fn(&KnownInstance) -> bool,
     ) -> Vec<Tombstone> {
-        let gone = self.known.values().filter(|known| wanted(known));
-        let gone = gone.filter_map(|known| {
+        let matching = self.known.values().filter(|known| wanted(known));
+        let tombstones = matching.filter_map(|known| {
             let age = now.since(known.removed_at?);
             Some(Tombstone {
                 record: known.record.clone(),
@@ -355,10 +359,10 @@
                 revision: known.removed_revision,
             })
         });
-        gone.collect()
+        tombstones.collect()
     }
 
-    /// An instance went at a time.
+    /// Updates the oldest removal time and drops cached results after an instance was removed.
     fn record_removal(&mut self, removed_at: Timestamp) {
         let oldest = self
             .oldest_removed_at
@@ -367,6 +371,7 @@
         self.with_reused_address.take();
     }
 
+    /// Sets the known revision. Returns `changed`.
     fn advance(&mut self, at: Revision, changed: bool) -> bool {
         self.as_of = Some(at);
         if changed {
@@ -376,11 +381,12 @@
         changed
     }
 
-    /// Instances that have started again since the last call: what was held of their earlier runs counts no longer.
+    /// Returns the instances that have restarted since the last call. State about their earlier runs no longer applies.
     pub fn take_restarted(&mut self) -> Vec<InstanceId> {
         std::mem::take(&mut self.restarted)
     }
 
+    /// Adds or updates an instance. Returns whether anything changed.
     fn put(&mut self, now: Timestamp, mut record: InstanceRecord) -> bool {
         let cold = Duration::from_millis(u64::from(record.cold_remaining_milliseconds));
         let mut restarted = false;
@@ -412,8 +418,9 @@
         true
     }
 
-    /// An instance is gone. One that came and went within one answer is known by its `record`
-    /// there: a peer that asked in between may know it as present.
+    /// Turns an instance into a tombstone. `record` is its last record within the same answer, if there is one: an
+    /// instance that was added and removed within one answer needs a tombstone too, since a peer that read the store in
+    /// between may know it as present.
     fn remove(
         &mut self,
         now: Timestamp,
@@ -456,18 +463,19 @@
         }
     }
 
+    /// Drops the oldest tombstones beyond [`MAXIMUM_TOMBSTONES`].
     fn drop_excess_tombstones(&mut self) {
         if self.known.len() <= MAXIMUM_TOMBSTONES {
             return;
         }
-        let mut gone: Vec<(Timestamp, InstanceId)> = self
+        let mut tombstones: Vec<(Timestamp, InstanceId)> = self
             .known
             .values()
             .filter_map(|known| Some((known.removed_at?, known.record.id)))
             .collect();
-        let excess = gone.len().saturating_sub(MAXIMUM_TOMBSTONES);
-        gone.sort_unstable();
-        for (_, id) in gone.into_iter().take(excess) {
+        let excess = tombstones.len().saturating_sub(MAXIMUM_TOMBSTONES);
+        tombstones.sort_unstable();
+        for (_, id) in tombstones.into_iter().take(excess) {
             if let Some(known) = self.known.remove(&id) {
                 self.complete_since = known.removed_revision.max(self.complete_since);
             }
@@ -476,6 +484,7 @@
 }
 
 impl KnownInstance {
+    /// Returns the record with the remaining time of the slow start at `now`.
     fn record_at(&self, now: Timestamp) -> InstanceRecord {
         InstanceRecord {
             cold_remaining_milliseconds: saturating_milliseconds(self.warm_at.since(now)),
@@ -484,15 +493,15 @@
     }
 }
 
-/// The last event of an instance among several.
+/// The last event of an instance in a batch.
 struct LastEvent {
     event: InstanceEvent,
-    /// The last record of it among them.
+    /// The last record of the instance in the batch.
     record: Option<InstanceRecord>,
 }
 
-/// The last event of each instance. The earlier ones may be older than what is known: an
-/// instance that went and came back before then must not go again.
+/// Returns the last event of each instance. Earlier ones may be older than the known state: an instance that was removed
+/// and added again before the known revision must not be removed again.
 fn last_events(events: Vec<InstanceEvent>) -> Vec<LastEvent> {
     let mut last: BTreeMap<InstanceId, LastEvent> = BTreeMap::new();
     for event in events {
@@ -506,8 +515,8 @@
     last.into_values().collect()
 }
 
-/// Whether a record is of an earlier run of its instance than another one. A write of an earlier run may reach the
-/// store after those of the later one.
+/// Returns whether a record belongs to an earlier run of its instance than another one. A delayed write of the earlier run
+/// may reach the store after those of the later run.
 fn is_of_earlier_run(record: &InstanceRecord, other: &InstanceRecord) -> bool {
     let runs = record.started.zip(other.started);
     runs.is_some_and(|(started, other_started)| started < other_started)
--- a/crates/bellyoke-core/src/cookie/directory/address_reuse.rs
+++ b/crates/bellyoke-core/src/cookie/directory/address_reuse.rs
@@ -1,7 +1,8 @@
-//! Which of several instances at one address is the later one.
+//! Order of instances that use the same address.
 //!
-//! The store counts creations, and all nodes read the same count. A record that lapses is created again, and a restored store counts
-//! anew, so that the earliest creation known of an instance counts.
+//! The order follows the revisions at which the store created the records, which are the same for all nodes. A record that
+//! expires is created again, and a restored store assigns revisions anew, so the earliest known creation of an instance
+//! determines its position.
 
 use super::Directory;
 use crate::cookie::instance::{InstanceId, InstanceRecord};
@@ -10,27 +11,28 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// When the record of an instance was first created, for peers that may know only a later creation.
+/// First creation of an instance's record, for peers that may know only a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct FirstCreation {
     /// The instance.
     pub id: InstanceId,
-    /// The run of it that the record told of.
+    /// Start of the instance's run, as in the record.
     pub started: Option<u64>,
-    /// The smallest creation known.
+    /// The earliest known creation.
     pub created: Revision,
 }
 
 impl Directory {
-    /// Instances at whose address another one is present that was created later. What answers there is
-    /// the later one, so that they take no new flow. The store counts creations, and all nodes read
-    /// the same count; where one isn't known, nothing is told of either instance.
+    /// Returns the instances whose address a later present instance uses. The later one answers at the address, so the
+    /// earlier ones must get no new flows. The order is that of the creations in the store; instances whose creation is
+    /// unknown are ignored.
     #[must_use]
     pub fn with_reused_address(&self) -> &BTreeSet<InstanceId> {
         self.with_reused_address
             .get_or_init(|| self.find_reused_addresses())
     }
 
+    /// Computes the result of [`Self::with_reused_address`].
     fn find_reused_addresses(&self) -> BTreeSet<InstanceId> {
         let mut latest: HashMap<SocketAddrV4, Revision> = HashMap::with_capacity(self.known.len());
         let present = self
@@ -41,44 +43,45 @@
             let Some(created) = record.created else {
                 continue;
             };
-            let held = latest.entry(record.address).or_insert(created);
-            *held = created.max(*held);
+            let newest = latest.entry(record.address).or_insert(created);
+            *newest = created.max(*newest);
         }
         let records = self.known.values().map(|known| &known.record);
-        let with_reused_address = records.filter(|record| {
+        let reused = records.filter(|record| {
             let later = latest.get(&record.address).zip(record.created);
             later.is_some_and(|(latest, created)| *latest > created)
         });
-        with_reused_address.map(|record| record.id).collect()
+        reused.map(|record| record.id).collect()
     }
 
-    /// Instances that have ended for certain: their records have gone, and another one that was
-    /// created later is present at their address. Two that run never share one.
+    /// Returns the instances that have ended: their records were removed, and a later instance is present at their address.
+    /// Two running instances never share an address.
     #[must_use]
     pub fn superseded(&self) -> BTreeSet<InstanceId> {
         let mut ended = self.with_reused_address().clone();
-        let is_gone = |id: &InstanceId| {
+        let is_removed = |id: &InstanceId| {
             self.known
                 .get(id)
                 .is_some_and(|known| known.removed_at.is_some())
         };
-        ended.retain(is_gone);
+        ended.retain(is_removed);
         ended
     }
 
-    /// The first creations of present instances that share their address with another one: a peer that
-    /// has heard of them only since may take them for the later ones.
+    /// Returns the first creations of present instances that share their address with another one. A peer that learned of
+    /// them only after their records were created again would otherwise order them as the later ones.
     #[must_use]
     pub fn first_creations(&self) -> Vec<FirstCreation> {
-        let mut holders: HashMap<SocketAddrV4, usize> = HashMap::with_capacity(self.known.len());
+        let mut instance_counts: HashMap<SocketAddrV4, usize> =
+            HashMap::with_capacity(self.known.len());
         for known in self.known.values() {
-            *holders.entry(known.record.address).or_default() += 1;
+            *instance_counts.entry(known.record.address).or_default() += 1;
         }
         let present = self
             .known
             .values()
             .filter(|known| known.removed_at.is_none());
-        let shared = present.filter(|known| holders[&known.record.address] > 1);
+        let shared = present.filter(|known| instance_counts[&known.record.address] > 1);
         let creations = shared.filter_map(|known| {
             let created = known.record.created?;
             (created < known.record.revision).then_some(FirstCreation {
@@ -90,7 +93,7 @@
         creations.collect()
     }
 
-    /// Hears of creations, of which the smallest of an instance counts. Returns whether any was new.
+    /// Merges creations and keeps the earliest one of each run of an instance. Returns whether anything changed.
     pub fn merge_creations(&mut self, creations: impl IntoIterator<Item = FirstCreation>) -> bool {
         let mut changed = false;
         for FirstCreation {
@@ -103,9 +106,9 @@
             let Some(known) = known.filter(|known| known.record.started == started) else {
                 continue;
             };
-            let held = &mut known.record.created;
-            if held.is_none_or(|held| created < held) {
-                *held = Some(created);
+            let earliest = &mut known.record.created;
+            if earliest.is_none_or(|earliest| created < earliest) {
+                *earliest = Some(created);
                 changed = true;
             }
         }
@@ -117,6 +120,7 @@
 }
 
 impl FirstCreation {
+    /// Returns the creation in a record, if it has one.
     pub(super) fn of(record: &InstanceRecord) -> Option<Self> {
         let (id, started) = (record.id, record.started);
         record.created.map(|created| Self {
@@ -127,7 +131,7 @@
     }
 }
 
-/// The earlier of two creations, as far as they are known.
+/// Returns the earlier of two creations, or the known one if only one is known.
 pub(super) fn earlier(one: Option<Revision>, other: Option<Revision>) -> Option<Revision> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
--- a/crates/bellyoke-core/src/cookie/directory/restoration.rs
+++ b/crates/bellyoke-core/src/cookie/directory/restoration.rs
@@ -1,7 +1,8 @@
-//! What a directory takes over from a store that was restored from an older copy.
+//! Merging of records from a store that was restored from an older copy.
 //!
-//! The copy may tell of states that instances have left since. Their runs (id and start) tell which: a run that drains or has
-//! gone doesn't take new flows on the word of a copy, nor does it start anew.
+//! The copy may contain states that instances have left since. A run of an instance is identified by its id and start time.
+//! A run that is draining or whose record was removed doesn't get new flows because of a record in the copy, and its slow
+//! start doesn't begin again.
 
 use super::address_reuse::earlier;
 use super::{Directory, KnownInstance};
@@ -10,12 +11,12 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long an instance takes no new flows that was known to have gone, and of which a restored store tells: that may be
-/// older, and then the store drops the record again once the instance has missed some heartbeats.
+/// How long a removed instance gets no new flows after its record reappears in a restored store. The record may be
+/// outdated, in which case the store removes it again after some missed heartbeats.
 const REAPPEARANCE_EXCLUSION: Duration = Duration::from_secs(5);
 
 impl Directory {
-    /// Ends doubts whose time is over. Returns whether there was any.
+    /// Ends the exclusions whose time is over. Returns whether there were any.
     pub(super) fn end_exclusions(&mut self, now: Timestamp) -> bool {
         if self.first_exclusion_ends_at.is_none_or(|ends| now < ends) {
             return false;
@@ -23,19 +24,19 @@
         for known in self.known.values_mut() {
             known.excluded_until = known.excluded_until.filter(|until| now < *until);
         }
-        let doubts = self.known.values().filter_map(|known| known.excluded_until);
-        self.first_exclusion_ends_at = doubts.min();
+        let exclusions = self.known.values().filter_map(|known| known.excluded_until);
+        self.first_exclusion_ends_at = exclusions.min();
         true
     }
 
-    /// Takes over a record of a run that is known from another era of the store. A copy may tell of a state that the instance
-    /// has left since: it doesn't take new flows again, nor does it start anew.
+    /// Merges a record of a run that is known from another era of the store. Returns whether anything changed. The record
+    /// may be outdated: a draining instance stays draining, and the slow start doesn't begin again.
     pub(super) fn put_across_eras(&mut self, now: Timestamp, record: InstanceRecord) -> bool {
         let Some(known) = self.known.get_mut(&record.id) else {
             return false;
         };
-        let drains = [record.state, known.record.state].contains(&InstanceState::Draining);
-        let state = if drains {
+        let is_draining = [record.state, known.record.state].contains(&InstanceState::Draining);
+        let state = if is_draining {
             InstanceState::Draining
         } else {
             InstanceState::Ready
@@ -47,17 +48,17 @@
             known.record.created = created;
             return changed;
         }
-        let told = InstanceRecord {
+        let merged = InstanceRecord {
             state,
             created,
             ..record
         };
-        let returns = known.removed_at.is_some();
-        if !returns && has_same_content(&told, &known.record) {
+        let was_removed = known.removed_at.is_some();
+        if !was_removed && has_same_content(&merged, &known.record) {
             known.record.created = created;
             return false;
         }
-        if returns && known.removed_revision.era() < told.revision.era() {
+        if was_removed && known.removed_revision.era() < merged.revision.era() {
             let until = now.after(REAPPEARANCE_EXCLUSION);
             known.excluded_until = Some(until);
             let first = self
@@ -67,18 +68,18 @@
         }
         known.removed_at = None;
         known.removed_revision = Revision::new(0);
-        known.record = told;
+        known.record = merged;
         true
     }
 }
 
-/// Whether a record is of the run that is known, as told in another era of the store.
+/// Returns whether a record belongs to the known run, but to another era of the store.
 pub(super) fn is_of_another_era(record: &InstanceRecord, known: &KnownInstance) -> bool {
     let same_run = record.started == known.record.started;
     same_run && record.revision.era() != known.record.revision.era()
 }
 
-/// Whether two records of one run tell the same, but for their revisions.
+/// Returns whether two records of one run have the same content apart from their revisions.
 fn has_same_content(one: &InstanceRecord, other: &InstanceRecord) -> bool {
     one.service == other.service
         && one.address == other.address
--- a/crates/bellyoke-core/src/cookie/era.rs
+++ b/crates/bellyoke-core/src/cookie/era.rs
@@ -1,40 +1,39 @@
-//! Which era of the store an answer comes from.
+//! Eras of the store and the validity of its answers.
 //!
-//! A store that comes back from an older copy has lost changes, and gives their revisions out again. Most stores tell
-//! their era with each answer. Where one doesn't, a restoration is inferred: a list that must tell the newest state, and
-//! tells a lower number than was known when it was asked for, comes from a restored store.
+//! A store that was restored from an older copy has lost changes and assigns their revisions again. Most stores report
+//! their era with each answer. For a store that doesn't, the node infers a restoration from a list: if the list must show
+//! the newest state and has a lower revision number than was known when the call was made, the store was restored.
 
 use crate::cookie::follower::{Answer, Freshness, Read, Reply};
 use crate::cookie::revision::{Revision, StoreEra};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long reads that may be stale are not used after a restoration: they may be answered from a state before it, and be
-/// some seconds old.
+/// How long stale reads are avoided after a restoration. They may be seconds old and show the state before it.
 const STALE_READ_EXCLUSION: Duration = Duration::from_secs(10);
 
-/// What a node knew when it made a call.
+/// The state known to a node when it started a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallContext {
     /// The store's era.
     pub era: StoreEra,
-    /// The latest revision that it knew of the store, of any kind of object.
+    /// The latest known revision of the store, across all kinds of objects.
     pub known: Revision,
 }
 
-/// What an answer counts for.
+/// Whether an answer of the store may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerValidity {
-    /// It comes from the store's present era.
+    /// The answer belongs to the current era.
     Current,
-    /// It comes from an earlier era, or may do.
+    /// The answer belongs to an earlier era, or may belong to one.
     Outdated,
-    /// It shows that the store was restored; its revisions are not those of the new era.
+    /// The answer shows that the store was restored. Its revisions don't carry the new era.
     Restored,
 }
 
 impl AnswerValidity {
-    /// The answer as far as it counts: a follower lists anew on word of a restoration.
+    /// Returns the answer if it is valid, and otherwise one that makes the follower retry, or list again after a restoration.
     #[must_use]
     pub fn filter<Item, Event>(self, answer: Answer<Item, Event>) -> Answer<Item, Event> {
         match self {
@@ -45,7 +44,7 @@
     }
 }
 
-/// The store's eras as a node learns of them.
+/// Tracks the eras of the store.
 ///
 /// ```
 /// use bellyoke_core::cookie::era::{EraTracker, AnswerValidity};
@@ -67,22 +66,22 @@
 #[derive(Debug, Default)]
 pub struct EraTracker {
     era: StoreEra,
-    /// Whether any era is known, be it the first.
+    /// Whether any era is known, including the first one.
     is_known: bool,
-    /// Whether the store tells its era.
+    /// Whether the store reports its era.
     reports_era: bool,
-    /// When the node learned of the present era; none if it is the first one that it knows.
+    /// When the node learned of the current era; `None` if that is the first era that it learned of.
     restored_at: Option<Timestamp>,
 }
 
 impl EraTracker {
-    /// The latest era known.
+    /// Returns the latest known era.
     #[must_use]
     pub const fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// What to remember of a call that begins now.
+    /// Returns the context of a call that starts now.
     #[must_use]
     pub const fn call_context(&self, known: Revision) -> CallContext {
         CallContext {
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Hears of an era. The first one that a node hears of is no restoration.
+    /// Records an era. The first era that a node learns of doesn't count as a restoration.
     pub fn record_era(&mut self, now: Timestamp, era: StoreEra) {
         if era > self.era {
             self.era = era;
@@ -100,20 +99,20 @@
         self.is_known = true;
     }
 
-    /// Whether the store was restored since the node learned of it.
+    /// Returns whether the store was restored after the node learned of its first era.
     #[must_use]
     pub const fn was_restored(&self) -> bool {
         self.restored_at.is_some()
     }
 
-    /// Whether the store was restored so lately that only its newest state counts.
+    /// Returns whether the last restoration is so recent that stale reads must be avoided.
     #[must_use]
     pub fn was_recently_restored(&self, now: Timestamp) -> bool {
         self.restored_at
             .is_some_and(|restored_at| now.since(restored_at) < STALE_READ_EXCLUSION)
     }
 
-    /// What a reply counts for, to a call that was made in `context`.
+    /// Determines the validity of the reply to a call made in `context`, and records the era that it shows.
     pub fn classify<Item, Event>(
         &mut self,
         now: Timestamp,
@@ -145,7 +144,7 @@
     }
 }
 
-/// Whether the store has lost what was known when the call was made.
+/// Returns whether the answer shows that the store has lost changes that were known when the call was made.
 fn reveals_restoration<Item, Event>(
     context: CallContext,
     read: &Read,
--- a/crates/bellyoke-core/src/cookie/freshness.rs
+++ b/crates/bellyoke-core/src/cookie/freshness.rs
@@ -1,8 +1,7 @@
-//! How long ago the state that a node holds was known to be the newest.
+//! Age of the last confirmation that a node's state is up to date.
 //!
-//! A node that rests, because others read the store for it, must notice when they no longer do:
-//! every confirmation that it hears of carries its age, and one that is too old sends the node to
-//! the store itself.
+//! A node that is idle, because others read the store, must detect that they have stopped doing so. Every confirmation
+//! therefore carries its age, and the node reads the store itself once the confirmation is too old.
 
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -10,11 +9,11 @@
 /// A kind of object in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
-    /// The instances.
+    /// Backend instances.
     Instances,
     /// The configuration.
     Configuration,
-    /// The zones that operators have drained.
+    /// Zones drained by operators.
     Zones,
 }
 
@@ -22,10 +21,10 @@
     /// All kinds.
     pub const ALL: [Self; Self::COUNT] = [Self::Instances, Self::Configuration, Self::Zones];
 
-    /// How many there are.
+    /// Number of kinds.
     pub const COUNT: usize = 3;
 
-    /// The kinds that a node reads: drained zones only where operators drain any.
+    /// Returns the kinds that a node reads. Drained zones are read only in clusters whose operators may drain zones.
     #[must_use]
     pub const fn read(reads_zones: bool) -> &'static [Self] {
         const WITHOUT_ZONES: [ObjectKind; 2] = [ObjectKind::Instances, ObjectKind::Configuration];
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -47,7 +46,7 @@
     }
 }
 
-/// When each kind was last confirmed by the store, directly or through peers.
+/// Records when each kind of object was last confirmed by the store, directly or through peers.
 ///
 /// ```
 /// use bellyoke_core::cookie::freshness::{FreshnessClock, ObjectKind};
@@ -63,14 +62,14 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessClock {
-    /// The kinds that count.
+    /// The kinds that must be confirmed.
     kinds: &'static [ObjectKind],
-    /// By [`ObjectKind`].
+    /// Confirmation times, indexed by [`ObjectKind`].
     confirmed_at: [Option<Timestamp>; ObjectKind::COUNT],
 }
 
 impl FreshnessClock {
-    /// Nothing was confirmed yet.
+    /// Creates a clock without confirmations.
     #[must_use]
     pub const fn new(reads_zones: bool) -> Self {
         Self {
@@ -79,27 +78,26 @@
         }
     }
 
-    /// The state of a kind was the newest at a time. An earlier time than is known changes
-    /// nothing.
+    /// Records that the state of a kind was up to date at a time. A time before the known one has no effect.
     pub fn confirm(&mut self, kind: ObjectKind, at: Timestamp) {
-        let held = &mut self.confirmed_at[kind as usize];
-        *held = Some(held.map_or(at, |held| held.max(at)));
+        let latest = &mut self.confirmed_at[kind as usize];
+        *latest = Some(latest.map_or(at, |latest| latest.max(at)));
     }
 
-    /// All kinds were the newest at a time.
+    /// Records that all kinds were up to date at a time.
     pub fn confirm_all(&mut self, at: Timestamp) {
         for kind in self.kinds {
             self.confirm(*kind, at);
         }
     }
 
-    /// When a kind was last confirmed.
+    /// Returns when a kind was last confirmed.
     #[must_use]
     pub const fn confirmed_at(&self, kind: ObjectKind) -> Option<Timestamp> {
         self.confirmed_at[kind as usize]
     }
 
-    /// How long ago the kind that was confirmed first was confirmed; none if one never was.
+    /// Returns the age of the oldest confirmation among all kinds, or `None` if a kind was never confirmed.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let mut oldest = now;
@@ -109,7 +107,7 @@
         Some(now.since(oldest))
     }
 
-    /// Forgets all confirmations, as after a stall: what peers said meanwhile is old.
+    /// Drops all confirmations, as after a stall, when messages of peers received meanwhile are outdated.
     pub const fn clear(&mut self) {
         self.confirmed_at = [None; ObjectKind::COUNT];
     }
--- a/crates/bellyoke-core/src/cookie/publication.rs
+++ b/crates/bellyoke-core/src/cookie/publication.rs
@@ -1,26 +1,25 @@
-//! When a node builds its next forwarding table.
+//! Pacing of forwarding table builds.
 //!
-//! A table is built from all instances, so that its cost grows with them, and while a service is replaced changes come
-//! twenty times a second. So tables wait for each other, the longer the dearer they are; what changes meanwhile is in
-//! the next one. A node of few instances builds one in less than a tenth of a millisecond, and publishes each change at
-//! once.
+//! A table is built from all instances, so its cost grows with their number, and a rolling replacement of a service causes
+//! about 20 changes per second. Builds are therefore spaced in proportion to their cost, and changes in between are
+//! included in the next table. With few instances a build takes less than 0.1 ms, and each change is published at once.
 
 use crate::cookie::replica::StateChange;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Least time between two tables.
+/// Minimum interval between two tables.
 const MINIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Most time between two tables: a fifteenth of the shortest time within which a change of instances must be in force.
+/// Maximum interval between two tables. It is 1/15 of the shortest time within which a change of instances must take
+/// effect.
 const MAXIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// So much longer than the building of a table took, by the clock, another one has to wait: building them takes a
-/// twentieth of what the thread gets of its processor, and a tenth where one takes 20 ms (10,000 instances on an eighth of
-/// a core).
+/// Interval between two tables as a multiple of the wall-clock time of the last build. It limits builds to 1/20 of the
+/// thread's share of its processor, and to 1/10 if a build takes 20 ms (10,000 instances on 1/8 of a core).
 const BUILD_TIME_MULTIPLE: u32 = 20;
 
-/// Paces the tables of one node.
+/// Decides when a node builds its next forwarding table.
 ///
 /// ```
 /// use bellyoke_core::cookie::publication::TablePacer;
@@ -42,11 +41,12 @@
 pub struct TablePacer {
     /// Whether the state has changed since the last table.
     has_unpublished_changes: bool,
+    /// Earliest time of the next table.
     next_at: Timestamp,
 }
 
 impl TablePacer {
-    /// The state has changed. What operators have changed doesn't wait: that is rare.
+    /// Records a change of state. Changes by operators are rare and are published without delay.
     pub fn record_change(&mut self, now: Timestamp, change: StateChange) {
         self.has_unpublished_changes |= change.any();
         if change.configuration || change.zones {
@@ -54,19 +54,19 @@
         }
     }
 
-    /// Whether a table is to be built now.
+    /// Returns whether a table must be built now.
     #[must_use]
     pub fn is_due(&self, now: Timestamp) -> bool {
         self.has_unpublished_changes && now >= self.next_at
     }
 
-    /// Whether the last table lacks something.
+    /// Returns whether the last table lacks a change.
     #[must_use]
     pub const fn has_unpublished_changes(&self) -> bool {
         self.has_unpublished_changes
     }
 
-    /// A table was published whose building began at `now` and took so long.
+    /// Records the publication of a table whose build started at `now` and took `took`.
     pub fn record_publication(&mut self, now: Timestamp, took: Duration) {
         self.has_unpublished_changes = false;
         let interval = took.saturating_mul(BUILD_TIME_MULTIPLE);
--- a/crates/bellyoke-core/src/cookie/revision.rs
+++ b/crates/bellyoke-core/src/cookie/revision.rs
@@ -1,14 +1,14 @@
-//! Positions in the store's history.
+//! Revisions of the store.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use std::fmt;
 
-/// How often the store has been restored from an older copy of itself. Zero for one that never was.
+/// Number of times that the store was restored from an older copy of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(pub u16);
 
 impl StoreEra {
-    /// The era that a restoration of the store begins.
+    /// Returns the era after the next restoration of the store.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -21,14 +21,15 @@
     }
 }
 
-/// Bits of a revision that hold its number.
+/// Number of bits of a revision that contain its number; the higher bits contain the era.
 const NUMBER_BITS: u32 = 48;
 
-/// Position in the store's history: the era, and the store's count of changes. It orders everything that nodes which
-/// forward by cookie know: the larger is the newer, whoever told it.
+/// A position in the store's history: the era and the store's change number. Revisions order all state of nodes that forward
+/// by cookie: the larger revision is the newer one, whether it comes from the store or a peer.
 ///
-/// A restored store counts on from its copy and gives numbers out again, so that a number alone doesn't tell which of two
-/// states is the newer. Both are held in one word, since each instance and each heartbeat carry several.
+/// A restored store continues from the number of its copy and assigns numbers again, so the number alone doesn't show which
+/// of two states is newer. Era and number are packed into one word because each instance and each heartbeat carries several
+/// revisions.
 ///
 /// ```
 /// use bellyoke_core::cookie::revision::{Revision, StoreEra};
@@ -46,10 +47,10 @@
 pub struct Revision(u64);
 
 impl Revision {
-    /// The largest number that the store may count to.
+    /// The largest supported change number.
     pub const MAXIMUM_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 
-    /// A revision of a store that was never restored. A larger number than [`Self::MAXIMUM_NUMBER`] counts as that.
+    /// Creates a revision of a store that was never restored. Numbers above [`Self::MAXIMUM_NUMBER`] saturate.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         if number > Self::MAXIMUM_NUMBER {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A revision of an era; none if its number is larger than [`Self::MAXIMUM_NUMBER`].
+    /// Creates a revision of an era. Returns `None` if the number is larger than [`Self::MAXIMUM_NUMBER`].
     #[must_use]
     pub const fn in_era(era: StoreEra, number: u64) -> Option<Self> {
         if number > Self::MAXIMUM_NUMBER {
@@ -68,13 +69,13 @@
         Some(Self((era.0 as u64) << NUMBER_BITS | number))
     }
 
-    /// The era of the store that gave it.
+    /// Returns the era in which the store assigned the revision.
     #[must_use]
     pub const fn era(self) -> StoreEra {
         StoreEra((self.0 >> NUMBER_BITS) as u16)
     }
 
-    /// The store's number for it, which may stand for another state in another era.
+    /// Returns the change number. The same number may identify a different state in another era.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0 & Self::MAXIMUM_NUMBER
--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -1,8 +1,8 @@
-//! Zones that operators have drained, so that their instances take no new flows.
+//! Zones drained by operators. Their instances get no new flows.
 //!
-//! There are few zones, so nodes hold the whole set at one revision and tell each other the whole
-//! set: the newer one wins. A zone that has been restored stays noted for a while, since its
-//! instances may have grown cold meanwhile and their records may not tell that yet.
+//! There are few zones, so nodes store the full set as of one revision and exchange the full set; the newer one wins. An
+//! undrained zone is recorded for a while, since its instances may have become cold meanwhile and their records may not
+//! show that yet.
 
 use crate::cookie::revision::Revision;
 use crate::time::Timestamp;
@@ -10,69 +10,69 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a restored zone stays noted: many times the seconds that an instance stays cold and
-/// that its next heartbeat takes.
+/// How long an undrained zone stays recorded. It is many times the slow start of an instance and the interval of its
+/// heartbeats, both of which take seconds.
 pub const UNDRAIN_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a zone stays drained after a restoration of the store that has lost the drain: time for the operators to write
-/// it again.
+/// How long a zone stays drained after a restoration of the store that lost its drain. It gives operators time to write the
+/// drain again.
 pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
-/// Most zones that are told to a peer; a set fits one datagram with room to spare.
+/// Maximum number of undrained zones in a snapshot, which keeps a snapshot well below the size of one datagram.
 pub const MAXIMUM_ZONES: usize = 32;
 
-/// A zone whose instances take no new flows.
+/// A zone whose instances get no new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DrainedZone {
     /// Name of the zone.
     pub zone: String,
-    /// When it was drained.
+    /// Revision at which it was drained.
     pub revision: Revision,
 }
 
-/// A zone that takes new flows again.
+/// A zone that gets new flows again.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct UndrainedZone {
     /// Name of the zone.
     pub zone: String,
-    /// The revision by which it had been restored.
+    /// Revision at which the zone was known to be undrained.
     pub revision: Revision,
-    /// How long ago that was heard, milliseconds.
+    /// Time since a node learned of it, in milliseconds.
     pub age_milliseconds: u32,
 }
 
 /// One change of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneEvent {
-    /// It is drained.
+    /// The zone is drained.
     Drained(DrainedZone),
-    /// The zone of this name takes new flows again.
+    /// The zone of this name gets new flows again.
     Undrained(String),
 }
 
-/// All drained zones as a peer tells them.
+/// The full set of drained zones in messages between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ZoneSnapshot {
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub changed_at: Revision,
-    /// The revision up to which the set is true.
+    /// Revision up to which the set is up to date.
     pub as_of: Revision,
     /// The drained zones.
     pub drained: Vec<DrainedZone>,
-    /// Zones that were restored of late.
+    /// Recently undrained zones.
     pub undrained: Vec<UndrainedZone>,
 }
 
-/// When a zone was restored.
+/// When a zone was undrained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Undrain {
-    /// The revision by which it had been.
+    /// Revision at which the zone was known to be undrained.
     pub revision: Revision,
-    /// When this node, or the peer that told it, heard of that.
+    /// When this node, or the peer that it learned this from, learned of the change.
     pub at: Timestamp,
 }
 
-/// The drained zones that a node knows.
+/// The drained zones known to a node.
 ///
 /// ```
 /// use bellyoke_core::cookie::revision::Revision;
@@ -94,12 +94,12 @@
     changed_at: Revision,
     drained: BTreeMap<String, Revision>,
     undrained: BTreeMap<String, Undrain>,
-    /// Until when zones stay drained whose drain is known from before a restoration of the store.
+    /// When drains from before a restoration of the store end unless they are written again.
     retained_until: BTreeMap<String, Timestamp>,
 }
 
 impl ZoneDrains {
-    /// Nothing is known yet.
+    /// Creates a set that doesn't know yet which zones are drained.
     #[must_use]
     pub const fn unknown() -> Self {
         Self {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// None is drained, as in a cluster whose operators never drain a zone. A peer that knows
-    /// better is still believed.
+    /// Creates a set without drained zones, as in a cluster whose operators never drain a zone. Newer sets of peers are still
+    /// accepted.
     #[must_use]
     pub const fn none() -> Self {
         Self {
@@ -124,38 +124,38 @@
         }
     }
 
-    /// The revision up to which all changes are known; none before the first whole list.
+    /// Returns the revision up to which all changes are known, or `None` before the first full list.
     #[must_use]
     pub const fn as_of(&self) -> Option<Revision> {
         self.as_of
     }
 
-    /// The revision of the last change; zero if nothing is known.
+    /// Returns the revision of the last change, or zero if nothing is known.
     #[must_use]
     pub const fn changed_at(&self) -> Revision {
         self.changed_at
     }
 
-    /// The drained zones and when they were drained, by name.
+    /// Iterates over the drained zones and the revisions at which they were drained, by name.
     pub fn drained(&self) -> impl Iterator<Item = (&str, Revision)> {
         let drained = self.drained.iter();
         drained.map(|(zone, revision)| (&zone[..], *revision))
     }
 
-    /// Whether the instances of a zone take no new flows.
+    /// Returns whether a zone is drained.
     #[must_use]
     pub fn is_drained(&self, zone: &str) -> bool {
         self.drained.contains_key(zone)
     }
 
-    /// When a zone was restored, if that was of late.
+    /// Returns when a zone was undrained, if that was recently.
     #[must_use]
     pub fn last_undrain(&self, zone: &str) -> Option<Undrain> {
         self.undrained.get(zone).copied()
     }
 
-    /// Takes over a whole list that was true at revision `at`. Returns whether it tells anything
-    /// new; an older list than what is known changes nothing.
+    /// Replaces the set with a full list as of revision `at`. Returns whether the list is newer than the known state; an
+    /// older one changes nothing.
     pub fn replace(&mut self, now: Timestamp, at: Revision, listed: Vec<DrainedZone>) -> bool {
         if self.as_of.is_some_and(|known| at <= known) {
             return false;
@@ -175,13 +175,13 @@
         }
         self.drained = listed;
         self.retain_earlier_drains(now, at);
-        // What came and went before is in no list, so that a peer that knows a revision in
-        // between may hold another set.
+        // Zones that were drained and undrained between two lists are in neither, so a peer at a revision in between may
+        // have another set.
         self.advance(at, true);
         true
     }
 
-    /// Takes over the changes up to revision `at`. Returns whether there were any.
+    /// Applies the changes up to revision `at`. Returns whether there were any.
     pub fn apply(&mut self, now: Timestamp, at: Revision, events: Vec<ZoneEvent>) -> bool {
         if self.as_of.is_none_or(|known| at <= known) {
             return false;
@@ -203,7 +203,7 @@
         changed
     }
 
-    /// Takes over a peer's set if it is newer. Returns whether it was.
+    /// Adopts a peer's set if it is newer, and merges its undrained zones. Returns whether the set was newer.
     pub fn adopt(&mut self, now: Timestamp, snapshot: ZoneSnapshot) -> bool {
         for undrained in snapshot.undrained {
             self.merge_undrain(now, undrained);
@@ -218,7 +218,8 @@
         is_newer
     }
 
-    /// A peer's word that nothing has changed after `changed_at` up to `as_of`.
+    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It has no effect if this node
+    /// doesn't know everything up to `changed_at`.
     pub fn confirm(&mut self, changed_at: Revision, as_of: Revision) {
         if let Some(known) = &mut self.as_of
             && changed_at <= *known
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Forgets zones that were restored long ago, and takes zones for restored whose drains a restored store has lost and
-    /// nobody has written again. Returns whether there was such a zone.
+    /// Drops records of zones that were undrained long ago. Undrains zones whose drains were lost in a restoration of the
+    /// store and not written again in time, and returns whether there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let recent = |undrain: &Undrain| now.since(undrain.at) < UNDRAIN_RETENTION;
         self.undrained.retain(|_, undrain| recent(undrain));
@@ -249,7 +250,7 @@
         changed
     }
 
-    /// The set for a peer; none if nothing is known.
+    /// Returns the set for a peer, or `None` if nothing is known.
     #[must_use]
     pub fn snapshot(&self, now: Timestamp) -> Option<ZoneSnapshot> {
         let drained = self.drained.iter();
@@ -271,14 +272,14 @@
         })
     }
 
-    /// Whether a zone that a restored store tells nothing of still counts as drained.
+    /// Returns whether a drain that is missing in a restored store still applies.
     fn is_retained(&self, now: Timestamp, zone: &str) -> bool {
         self.retained_until
             .get(zone)
             .is_none_or(|until| now < *until)
     }
 
-    /// Notes until when drains from before the era of a revision count.
+    /// Records when drains from an era before that of `at` end.
     fn retain_earlier_drains(&mut self, now: Timestamp, at: Revision) {
         let earlier = self.drained.iter();
         let earlier = earlier.filter(|(_, drained_at)| drained_at.era() < at.era());
@@ -288,11 +289,13 @@
         }
     }
 
+    /// Returns whether a zone was undrained after the given drain.
     fn was_undrained_after(&self, zone: &str, drained_at: Revision) -> bool {
         let undrain = self.undrained.get(zone);
         undrain.is_some_and(|undrain| undrain.revision > drained_at)
     }
 
+    /// Records that a zone was undrained.
     fn undrain(&mut self, now: Timestamp, at: Revision, zone: String) {
         let undrain = Undrain {
             revision: at,
@@ -301,19 +304,21 @@
         self.undrained.insert(zone, undrain);
     }
 
-    fn merge_undrain(&mut self, now: Timestamp, told: UndrainedZone) {
-        let age = Duration::from_millis(u64::from(told.age_milliseconds));
-        let known = self.undrained.get(&told.zone);
-        let is_newer = known.is_none_or(|known| known.revision < told.revision);
+    /// Merges an undrained zone of a peer.
+    fn merge_undrain(&mut self, now: Timestamp, zone: UndrainedZone) {
+        let age = Duration::from_millis(u64::from(zone.age_milliseconds));
+        let known = self.undrained.get(&zone.zone);
+        let is_newer = known.is_none_or(|known| known.revision < zone.revision);
         if is_newer && age < UNDRAIN_RETENTION {
             let undrain = Undrain {
-                revision: told.revision,
+                revision: zone.revision,
                 at: now.before(age),
             };
-            self.undrained.insert(told.zone, undrain);
+            self.undrained.insert(zone.zone, undrain);
         }
     }
 
+    /// Sets the known revision.
     fn advance(&mut self, at: Revision, changed: bool) {
         self.as_of = Some(at);
         if changed {
