--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -1,10 +1,10 @@
-//! Reading one kind of object from the store: list, then watch from the list's revision.
+//! Reads one kind of object from the store: a list, then watches from the revision of the list.
 //!
-//! The follower says what to ask and takes the answers; the host speaks the store's protocol.
-//! Reads that may be answered from an older state (*stale*) are cheap and don't count towards
-//! the store's rate: lists are read so, and watches of all nodes but one. Order is kept by
-//! revisions, so an old answer never undoes a newer one. Few nodes watch all the time
-//! ([`crate::cookie::exchange::StoreDuty`]); the others rest while these tell them enough.
+//! The follower decides which call to make and processes the answers; the host implements the store's protocol. Reads that
+//! may return an older state (*stale reads*) are cheap and don't count towards the store's rate limit. Lists are stale
+//! reads, and so are the watches of all nodes but one. Answers are ordered by revision, so an old answer never overrides a
+//! newer one. Only a few nodes watch all the time ([`crate::cookie::exchange::StoreDuty`]); the others are idle while they
+//! get sufficient updates from these nodes.
 
 mod call;
 
@@ -15,41 +15,44 @@
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// How a follower paces itself.
+/// Timing of a follower's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowerSettings {
-    /// How long the store may hold a watch open that may be stale. A connection that says
-    /// nothing for longer is dead, so this bounds how long a cut goes unnoticed.
+    /// Maximum time that the store keeps a stale watch open. A connection without an answer for longer is considered dead,
+    /// so this bounds the time to detect a broken connection.
     pub watch_wait: Duration,
-    /// The same for a watch of the newest state, which is dearer. With [`Self::reader_watch_pause`] it must be shorter than the
-    /// time for which others rest after a confirmation: the answer is their next one.
+    /// The same for a watch of the newest state, which is more expensive. Its answer is the next confirmation for idle
+    /// nodes, so the sum with [`Self::reader_watch_pause`] must be shorter than the time that they stay idle after one.
     pub reader_watch_wait: Duration,
-    /// Pause of a stale watch after changes, so that those that come together cost one call.
+    /// Pause of a stale watch after changes. It batches changes in quick succession into one call.
     pub watch_pause: Duration,
     /// The same for a watch of the newest state.
     pub reader_watch_pause: Duration,
-    /// Pause after the first failure; doubles with each further one.
+    /// Pause after the first failure. It doubles with each further failure.
     pub initial_backoff: Duration,
-    /// Longest pause.
+    /// Maximum pause after failures.
     pub maximum_backoff: Duration,
-    /// How much more than the least of machines this one bears: so much sooner it goes on with a long list.
+    /// Capacity of this machine relative to the smallest machine class. It divides the delay before the second page of a
+    /// long list.
     pub relative_capacity: f64,
 }
 
-/// A first list that has more pages goes on after a random part of so many times as long as the first page took. That
-/// is long where many nodes list at once: a few then read the whole list, and the others learn it from them. 986 nodes
-/// that all read 10,000 records of 250 bytes take a store with 1,000 Mbit/s for 20 s (worked out); one page each takes 1 s.
+/// Maximum delay before the second page of the first list, as a multiple of the time that the first page took; the actual
+/// delay is a random part of it. The delay is long when many nodes list at once: a few of them then read the full list and
+/// the others get it from these. 986 nodes that all read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for
+/// 20 s (calculated); one page for each node takes 1 s.
 const LIST_SPREAD_FACTOR: f64 = 10.0;
 
-/// Pause after a read that may be stale has told that history is gone, before the list is read: word of one who reads the
-/// newest state comes within some tens of milliseconds. Short beside the time within which a change must be in force.
+/// Maximum delay before a new list after a stale read has found that the store's history is gone. The update of a node that
+/// reads the newest state arrives within tens of milliseconds and makes the list redundant. The delay is short compared to
+/// the time within which a change must take effect.
 const RELIST_DELAY_AFTER_STALE_READ: Duration = Duration::from_millis(300);
 
-/// Longest wait for the second page. A node that is alone with a slow store goes on after it; with 1,000 nodes that have
-/// waited 1 s for the first page a dozen go on in each tenth of a second.
+/// Upper bound of the delay before the second page. It lets a single node with a slow store continue. If 1,000 nodes have
+/// waited 1 s for the first page, about 12 of them continue per 100 ms.
 const MAXIMUM_LIST_DELAY: Duration = Duration::from_secs(8);
 
-/// How long a watch may wait whose answer is wanted at once.
+/// Maximum time that the store keeps a watch open that only confirms the known state.
 const CONFIRM_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 impl Default for FollowerSettings {
@@ -66,6 +69,7 @@
     }
 }
 
+/// What the follower is reading.
 #[derive(Debug)]
 enum Phase<Item> {
     Listing {
@@ -73,7 +77,7 @@
         items: Vec<Item>,
         after: Option<String>,
         freshness: Freshness,
-        /// The store has forgotten what came after this revision.
+        /// The revision known before the list. The store has discarded its history after it.
         forgotten: Revision,
     },
     Watching {
@@ -82,6 +86,7 @@
 }
 
 impl<Item> Phase<Item> {
+    /// Returns the phase at the start of a list.
     const fn list(freshness: Freshness, forgotten: Revision) -> Self {
         Self::Listing {
             oldest_at: None,
@@ -102,19 +107,19 @@
     not_before: Timestamp,
     /// When a watch last brought changes.
     changed_at: Option<Timestamp>,
-    /// When the last call began.
+    /// When the last call started.
     call_started_at: Option<Timestamp>,
-    /// Whether it may be answered from an older state. One whose history is gone may be that of a store that lags: others
-    /// are told what is new, and a list each time costs the store 2.5 MB at 10,000 instances.
+    /// Whether the last call was a stale watch. If its history is gone, the answer may come from a lagging replica of the
+    /// store, and a list each time would cost the store 2.5 MB with 10,000 instances although peers send the changes.
     last_call_may_be_stale: bool,
-    /// Whether the last call was refused as one too many. The store may still answer cheaper reads, which may be stale.
+    /// Whether the store throttled the last call. It may still answer stale reads, which are cheaper.
     throttled: bool,
-    /// The store's era. What was read in an earlier one is no place to go on from.
+    /// The store's era. Revisions of an earlier era are not valid starting points.
     era: StoreEra,
 }
 
 impl<Item> Follower<Item> {
-    /// A follower that knows nothing.
+    /// Creates a follower that has read nothing.
     #[must_use]
     pub const fn new(settings: FollowerSettings) -> Self {
         Self {
@@ -130,7 +135,7 @@
         }
     }
 
-    /// The store is in this era, if no later one is known.
+    /// Records the store's era if it is newer than the known one, and restarts a list that began in an earlier era.
     pub fn enter_era(&mut self, era: StoreEra) {
         self.era = era.max(self.era);
         if let Phase::Listing {
@@ -144,7 +149,7 @@
         }
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn start_call(&mut self, now: Timestamp, read: &Read) {
         if let (Read::List { freshness, .. }, Phase::Watching { from }) = (read, &self.phase) {
             self.phase = Phase::list(*freshness, *from);
@@ -159,7 +164,7 @@
         );
     }
 
-    /// What to do now. `plan` is how it goes on once it has a list.
+    /// Returns what to do now. `plan` applies after the first list.
     #[must_use]
     pub fn next_action(&self, now: Timestamp, plan: WatchPlan) -> NextAction {
         if now < self.not_before {
@@ -176,8 +181,8 @@
         }
     }
 
-    /// What the node has heard from elsewhere reaches up to here: the next watch goes on from
-    /// there. A list that has not ended by then is not needed any more.
+    /// Records that the node has learned the state up to a revision from elsewhere. The next watch starts there, and an
+    /// unfinished list that is redundant is abandoned.
     pub fn skip_to(&mut self, at: Revision) {
         match &mut self.phase {
             Phase::Watching { from } => *from = at.max(*from),
@@ -188,20 +193,20 @@
         }
     }
 
-    /// Whether it is reading a list that what the node has heard from elsewhere, up to here, makes
-    /// needless.
+    /// Returns whether the follower is reading a list that is redundant because the node has learned the state up to `at`
+    /// from elsewhere.
     #[must_use]
     pub fn is_list_redundant(&self, at: Revision) -> bool {
         matches!(&self.phase, Phase::Listing { forgotten, .. } if at > *forgotten)
     }
 
-    /// Whether the last call was answered, or none was made yet.
+    /// Returns whether the last call was answered, or none was made yet.
     #[must_use]
     pub const fn is_usable(&self) -> bool {
         self.failures == 0
     }
 
-    /// Takes the answer to the last call. Returns news, if it is any.
+    /// Processes the answer to the last call. Returns an update if the answer contains one.
     pub fn answer<Event>(
         &mut self,
         now: Timestamp,
@@ -260,12 +265,12 @@
         }
     }
 
-    /// Whether the list that it reads began in another era.
+    /// Returns whether the current list has pages of another era.
     fn has_pages_of_another_era(&self, era: StoreEra) -> bool {
         matches!(&self.phase, Phase::Listing { oldest_at: Some(at), .. } if at.era() != era)
     }
 
-    /// The watch can't go on from where it is.
+    /// Starts a new list because the watch can't continue from its revision.
     fn restart_list(&mut self, now: Timestamp, random: &mut impl Rng) {
         let forgotten = self.watched_from();
         self.phase = Phase::list(Freshness::Newest, forgotten);
@@ -275,7 +280,7 @@
         }
     }
 
-    /// The revision up to which the follower has read.
+    /// Returns the revision up to which the follower has read.
     const fn watched_from(&self) -> Revision {
         match &self.phase {
             Phase::Watching { from } => *from,
@@ -283,6 +288,7 @@
         }
     }
 
+    /// Returns the next action while watching.
     fn watch(&self, now: Timestamp, from: Revision, plan: WatchPlan) -> NextAction {
         let freshness = match plan {
             WatchPlan::Watch(_) | WatchPlan::Confirm if self.throttled => Freshness::MayBeStale,
@@ -319,7 +325,7 @@
         })
     }
 
-    /// Whether no page of the first list has come yet.
+    /// Returns whether the first page of the first list has not arrived yet.
     fn is_first_page(&self) -> bool {
         matches!(
             &self.phase,
@@ -327,7 +333,7 @@
         )
     }
 
-    /// How long others have to read the list, after its first page.
+    /// Returns the delay before the second page, in which other nodes may read the list.
     fn list_delay(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
         let took = self
             .call_started_at
@@ -337,6 +343,7 @@
         longest.mul_f64(random.random_range(0.0..1.0))
     }
 
+    /// Adds a page to the list. Returns the list once it is complete.
     fn page<Event>(
         &mut self,
         page: Vec<Item>,
@@ -352,8 +359,8 @@
         else {
             return None;
         };
-        // The list is true at the revision of its oldest page, mostly the first: the watch from
-        // there tells what changed until the other pages were read.
+        // The list counts as of the revision of its oldest page, usually the first one. The watch from there returns the
+        // changes made until the other pages were read.
         let list_at = oldest_at.map_or(at, |oldest| oldest.min(at));
         *oldest_at = Some(list_at);
         items.extend(page);
@@ -366,6 +373,7 @@
         Some(Update::List { at: list_at, items })
     }
 
+    /// Advances the watch and returns its changes.
     fn changes<Event>(&mut self, events: Vec<Event>, at: Revision) -> Option<Update<Item, Event>> {
         let Phase::Watching { from } = &mut self.phase else {
             return None;
@@ -374,8 +382,7 @@
         Some(Update::Changes { at, events })
     }
 
-    /// Waits for a random part of a time that doubles with each failure, so that nodes that
-    /// failed together don't come back together.
+    /// Waits with exponential backoff. A random factor avoids retries at the same time by nodes that failed together.
     fn back_off(&mut self, now: Timestamp, random: &mut impl Rng) {
         let doublings = self.failures.min(16);
         let doubled = self.settings.initial_backoff.saturating_mul(1 << doublings);
--- a/crates/bellyoke-core/src/cookie/follower/call.rs
+++ b/crates/bellyoke-core/src/cookie/follower/call.rs
@@ -1,4 +1,4 @@
-//! What a follower asks of the store, and what it is answered.
+//! Calls of a follower to the store and their answers.
 
 use crate::cookie::revision::{Revision, StoreEra};
 use crate::time::Timestamp;
@@ -7,20 +7,20 @@
 /// Whether a read may be answered from an older state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It must tell the newest state.
+    /// The answer must show the newest state.
     Newest,
-    /// It may be seconds old.
+    /// The answer may be seconds old.
     MayBeStale,
 }
 
-/// How a follower that has a list goes on.
+/// How a follower continues after its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchPlan {
-    /// It watches.
+    /// Watches.
     Watch(Freshness),
-    /// It asks whether anything is newer, and doesn't wait for a change: others may rest as soon as it knows.
+    /// Checks whether there is anything newer, without waiting for a change. Other nodes can become idle after the answer.
     Confirm,
-    /// It asks nothing until then.
+    /// Makes no calls until then.
     IdleUntil(Timestamp),
 }
 
@@ -29,16 +29,16 @@
 pub enum Read {
     /// A page of the list.
     List {
-        /// Name of the last object of the page before.
+        /// Name of the last object of the previous page.
         after: Option<String>,
         /// How new the answer must be.
         freshness: Freshness,
     },
-    /// The changes since a revision.
+    /// The changes after a revision.
     Watch {
         /// The revision.
         from: Revision,
-        /// How long the store may wait for a change.
+        /// Maximum time that the store waits for a change.
         wait: Duration,
         /// How new the answer must be.
         freshness: Freshness,
@@ -46,7 +46,7 @@
 }
 
 impl Read {
-    /// How new the answer must be.
+    /// Returns how new the answer must be.
     #[must_use]
     pub const fn freshness(&self) -> Freshness {
         match self {
@@ -55,54 +55,53 @@
     }
 }
 
-/// What a follower wants next.
+/// What a follower does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Make this call and hand in its answer.
+    /// Make this call and pass on its answer.
     Call(Read),
-    /// Ask again then.
+    /// Do nothing until then.
     WaitUntil(Timestamp),
 }
 
-/// What came of a call. `Item` is an object of a list, `Event` a change of one.
+/// The outcome of a call. `Item` is an object in a list, `Event` a change of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<Item, Event> {
     /// A page of the list.
     Page {
         /// The objects.
         items: Vec<Item>,
-        /// Name of the last, if more pages follow.
+        /// Name of the last object, if more pages follow.
         next_after: Option<String>,
         /// The store's revision.
         at: Revision,
     },
-    /// The changes since the watch's revision.
+    /// The changes after the watch's revision.
     Changes {
-        /// In their order.
+        /// The changes, in order.
         events: Vec<Event>,
-        /// The revision to go on from.
+        /// The revision to continue from.
         at: Revision,
     },
-    /// The store has forgotten the watch's revision.
+    /// The store has discarded its history after the watch's revision.
     HistoryGone,
-    /// Too many calls.
+    /// The store rejected the call because of its rate limit.
     Throttled,
-    /// No answer, or one of no use. A call without an answer may be repeated: reads change
-    /// nothing.
+    /// There is no usable answer. The call may be repeated, since reads have no side effects.
     Failed,
 }
 
-/// An answer, and what it tells of the store itself.
+/// An answer and the era of the store that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<Item, Event> {
-    /// The store's era, also of an answer that is of no use otherwise; none if nothing was answered.
+    /// The store's era, also if the answer is unusable otherwise; `None` if the store didn't report it or didn't answer.
     pub era: Option<StoreEra>,
     /// What came of the call.
     pub answer: Answer<Item, Event>,
 }
 
 impl<Item, Event> Reply<Item, Event> {
-    /// The reply of a call that nothing was answered to.
+    /// Returns the reply for a call without an answer.
     #[must_use]
     pub const fn none() -> Self {
         Self {
@@ -112,27 +111,27 @@
     }
 }
 
-/// News for the node's state.
+/// An update for the node's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update<Item, Event> {
-    /// A whole list, true at a revision.
+    /// A full list as of a revision.
     List {
         /// The revision.
         at: Revision,
         /// All objects.
         items: Vec<Item>,
     },
-    /// Changes up to a revision; none at all says that nothing has changed until then.
+    /// Changes up to a revision. An empty list means that nothing has changed.
     Changes {
         /// The revision.
         at: Revision,
-        /// In their order.
+        /// The changes, in order.
         events: Vec<Event>,
     },
 }
 
 impl<Item, Event> Update<Item, Event> {
-    /// The revision that it is true at.
+    /// Returns the revision up to which the update is complete.
     #[must_use]
     pub const fn at(&self) -> Revision {
         match self {
@@ -142,7 +141,7 @@
 }
 
 impl<Object> Update<Object, Object> {
-    /// The last object that it tells of, where changes bring objects whole.
+    /// Returns the last object of the update, for kinds whose changes contain full objects.
     #[must_use]
     pub fn last(&self) -> Option<&Object> {
         match self {
--- a/crates/bellyoke-core/src/cookie/replica.rs
+++ b/crates/bellyoke-core/src/cookie/replica.rs
@@ -1,8 +1,7 @@
-//! What one node knows: the configuration, the instances and the drained zones, each at a revision
-//! of the store.
+//! The state of one node: the configuration, the instances and the drained zones, each as of a revision of the store.
 //!
-//! News come from the store and from peers. The newer revision wins, whoever brings it; within
-//! the life of a process nothing ever goes back.
+//! Updates come from the store and from peers. The newer revision wins regardless of its source, and the state never goes
+//! back to an older one within the lifetime of a process.
 
 use crate::cookie::delta::{ConfigurationDelta, DirectoryDelta, StateDelta};
 use crate::cookie::directory::{Directory, FirstCreation, Tombstone};
@@ -16,13 +15,13 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Changes of the configuration that are kept for peers that missed one.
+/// Maximum number of configuration deltas kept for peers that have missed some.
 const MAXIMUM_RECENT_DELTAS: usize = 8;
 
-/// Most routes of a change that is kept; larger ones don't fit a datagram anyway.
+/// Maximum number of new or changed routes in a configuration delta that is kept. Larger deltas don't fit a datagram.
 const MAXIMUM_DELTA_ROUTES: usize = 16;
 
-/// Who brought a piece of news.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store.
@@ -32,7 +31,7 @@
 }
 
 impl Source {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -42,46 +41,46 @@
     }
 }
 
-/// The instances as a peer tells them.
+/// All instances, as sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DirectorySnapshot {
-    /// The revision up to which all changes are in it.
+    /// Revision up to which all changes are included.
     pub as_of: Revision,
     /// All present instances.
     pub records: Vec<InstanceRecord>,
 }
 
-/// The instances for a peer that knows less.
+/// The instances for an outdated peer.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DirectoryPart {
     /// All of them.
     Full(DirectorySnapshot),
-    /// What has changed since the revision that the peer named.
+    /// Changes after the revision that the peer requested.
     Changes(DirectoryDelta),
 }
 
-/// Everything that a node knows and a peer doesn't.
+/// All state that a node has and a peer lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The sender's versions.
     pub versions: Versions,
     /// The configuration, if the peer's is older.
     pub configuration: Option<Configuration>,
-    /// The present instances, if the peer's knowledge of them is older.
+    /// The present instances, if the peer's directory is older.
     pub directory: Option<DirectoryPart>,
-    /// The gone instances.
+    /// The removed instances.
     pub tombstones: Vec<Tombstone>,
     /// First creations of present instances that share an address with another one.
     pub creations: Vec<FirstCreation>,
-    /// The drained zones.
+    /// The drained zones, if the peer's set is older.
     pub zones: Option<ZoneSnapshot>,
 }
 
-/// What nodes tell each other of their knowledge, to find out who knows more.
+/// Versions of a node's state. Nodes exchange them to find out which one is outdated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Versions {
-    /// The operators' number for the configuration; zero if there is none. It rises with each configuration, also across
-    /// restorations of the store.
+    /// Version of the configuration, assigned by the operators; zero if there is none. It increases with each configuration,
+    /// also across restorations of the store.
     pub configuration: u64,
     /// Revision up to which there is no newer configuration.
     pub configuration_as_of: Revision,
@@ -96,7 +95,7 @@
 }
 
 impl Versions {
-    /// Whether the configuration, the instances or the drained zones are not known at all.
+    /// Returns whether the configuration, the instances or the drained zones are unknown.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.configuration == 0
@@ -104,7 +103,7 @@
             || self.zones_changed_at == Revision::default()
     }
 
-    /// The latest revision of the store that they tell of.
+    /// Returns the latest revision of the store in these versions.
     #[must_use]
     pub fn latest(self) -> Revision {
         let instances = self.directory_as_of.max(self.directory_changed_at);
@@ -112,7 +111,7 @@
         self.configuration_as_of.max(instances).max(zones)
     }
 
-    /// Whether whoever has told these versions lacks something that another one with `others` knows.
+    /// Returns whether a node with these versions lacks something that a node with `others` has.
     #[must_use]
     pub fn lacks(self, others: Self) -> bool {
         self.configuration < others.configuration
@@ -124,16 +123,16 @@
 /// What changed in a node's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateChange {
-    /// Another configuration is in force.
+    /// The configuration was replaced.
     pub configuration: bool,
-    /// Instances came, went or changed.
+    /// Instances were added, removed or changed.
     pub directory: bool,
-    /// Zones were drained or restored.
+    /// Zones were drained or undrained.
     pub zones: bool,
 }
 
 impl StateChange {
-    /// Whether anything changed.
+    /// Returns whether anything changed.
     #[must_use]
     pub const fn any(self) -> bool {
         self.configuration || self.directory || self.zones
@@ -145,16 +144,14 @@
 pub struct Replica {
     configuration: Option<Configuration>,
     configuration_as_of: Revision,
-    /// The last changes of the configuration, each of which applies to the result of the one
-    /// before.
+    /// The most recent configuration deltas. Each applies to the result of the previous one.
     recent_configurations: VecDeque<ConfigurationDelta>,
     directory: Directory,
     zones: ZoneDrains,
 }
 
 impl Replica {
-    /// A node that knows nothing and remembers gone instances for `tombstone_lifetime`, of a cluster
-    /// whose operators drain no zones.
+    /// Creates an empty state that keeps tombstones for `tombstone_lifetime`, for a cluster whose operators drain no zones.
     #[must_use]
     pub const fn new(tombstone_lifetime: Duration) -> Self {
         Self {
@@ -166,7 +163,8 @@
         }
     }
 
-    /// The same of a cluster whose operators may drain zones, so that it has to learn which.
+    /// Creates an empty state for a cluster whose operators may drain zones. The node has to learn first which zones are
+    /// drained.
     #[must_use]
     pub fn reading_zones(tombstone_lifetime: Duration) -> Self {
         Self {
@@ -175,25 +173,25 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     #[must_use]
     pub const fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// The instances.
+    /// Returns the directory of instances.
     #[must_use]
     pub const fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// The drained zones.
+    /// Returns the drained zones.
     #[must_use]
     pub const fn zones(&self) -> &ZoneDrains {
         &self.zones
     }
 
-    /// How much this node knows.
+    /// Returns the versions of this node's state.
     #[must_use]
     pub fn versions(&self) -> Versions {
         Versions {
@@ -206,19 +204,19 @@
         }
     }
 
-    /// Whether a peer with `versions` knows something that this node doesn't. Directory and zones are
-    /// compared with the revision up to which this node has heard, so that a peer that counted
-    /// a change otherwise is not taken for newer.
+    /// Returns whether a peer with `versions` has something that this node lacks. The peer's changes of directory and zones
+    /// are compared with the revisions up to which this node knows all changes, because peers may have recorded the same
+    /// change at different revisions.
     #[must_use]
     pub fn is_behind(&self, versions: Versions) -> bool {
-        let heard = self.directory.as_of().unwrap_or_default();
+        let directory_as_of = self.directory.as_of().unwrap_or_default();
         versions.configuration > self.configuration_version()
-            || versions.directory_changed_at > heard
+            || versions.directory_changed_at > directory_as_of
             || versions.zones_changed_at > self.zones.as_of().unwrap_or_default()
     }
 
-    /// Takes over a configuration if it is newer. Returns whether it was. The operators' number tells, since a restored store
-    /// may give a later revision to an earlier configuration.
+    /// Adopts a configuration if it is newer. Returns whether it was. The operators' version decides, since a restored store
+    /// may assign a later revision to an earlier configuration.
     pub fn adopt_configuration(&mut self, configuration: Configuration) -> bool {
         let current = self.configuration.as_ref();
         if current.is_some_and(|current| configuration.version <= current.version) {
@@ -232,12 +230,12 @@
         true
     }
 
-    /// The store's word that there is no newer configuration up to a revision.
+    /// Records that there is no newer configuration up to a revision.
     pub fn confirm_configuration(&mut self, as_of: Revision) {
         self.configuration_as_of = as_of.max(self.configuration_as_of);
     }
 
-    /// A peer's word on how new its state is. A node that isn't behind it knows as much.
+    /// Records a peer's confirmation of its versions. It applies to the parts in which this node isn't behind the peer.
     pub fn confirm(&mut self, versions: Versions) {
         if versions.configuration <= self.configuration_version() {
             self.confirm_configuration(versions.configuration_as_of);
@@ -248,7 +246,7 @@
             .confirm(versions.zones_changed_at, versions.zones_as_of);
     }
 
-    /// What a peer with `versions` lacks; none if it lacks nothing, or more than a delta tells.
+    /// Returns the delta for a peer with `versions`, or `None` if the peer lacks nothing or needs a snapshot.
     #[must_use]
     pub fn delta_for(&self, now: Timestamp, versions: Versions) -> Option<StateDelta> {
         let delta = StateDelta {
@@ -261,7 +259,7 @@
         (!delta.is_empty()).then_some(delta)
     }
 
-    /// Takes over what of a peer's delta applies to this node's state.
+    /// Applies those parts of a peer's delta that are applicable.
     pub fn merge_delta(&mut self, now: Timestamp, delta: StateDelta) -> StateChange {
         let mut change = StateChange::default();
         for step in &delta.configuration {
@@ -280,17 +278,17 @@
         change
     }
 
-    /// Takes over a whole list of drained zones. Returns whether it tells anything new.
+    /// Replaces the drained zones with a full list. Returns whether the list is newer than the known state.
     pub fn replace_zones(&mut self, now: Timestamp, at: Revision, zones: Vec<DrainedZone>) -> bool {
         self.zones.replace(now, at, zones)
     }
 
-    /// Takes over changes of drained zones. Returns whether there were any.
+    /// Applies changes of drained zones. Returns whether there were any.
     pub fn apply_zones(&mut self, now: Timestamp, at: Revision, events: Vec<ZoneEvent>) -> bool {
         self.zones.apply(now, at, events)
     }
 
-    /// Takes over a whole list of instances. Returns whether anything changed.
+    /// Replaces the instances with a full list. Returns whether anything changed.
     pub fn replace_instances(
         &mut self,
         now: Timestamp,
@@ -300,7 +298,7 @@
         self.directory.replace(now, at, records)
     }
 
-    /// Takes over changes of instances. Returns whether anything changed.
+    /// Applies changes of instances. Returns whether anything changed.
     pub fn apply_instances(
         &mut self,
         now: Timestamp,
@@ -310,7 +308,7 @@
         self.directory.apply(now, at, events)
     }
 
-    /// Takes over what is newer in a peer's snapshot.
+    /// Merges the newer parts of a peer's snapshot.
     pub fn merge(&mut self, now: Timestamp, snapshot: Snapshot) -> StateChange {
         let mut change = StateChange::default();
         if let Some(configuration) = snapshot.configuration {
@@ -321,10 +319,10 @@
             Some(DirectoryPart::Changes(delta)) => {
                 change.directory = self.directory.apply_delta(now, delta);
             }
-            Some(DirectoryPart::Full(whole)) => {
+            Some(DirectoryPart::Full(full)) => {
                 let known = self.directory.as_of();
-                if known.is_none_or(|known| whole.as_of > known) {
-                    change.directory = self.directory.replace(now, whole.as_of, whole.records);
+                if known.is_none_or(|known| full.as_of > known) {
+                    change.directory = self.directory.replace(now, full.as_of, full.records);
                 }
             }
         }
@@ -337,12 +335,12 @@
         change
     }
 
-    /// Instances that have started again since the last call.
+    /// Returns the instances that have restarted since the last call.
     pub fn take_restarted(&mut self) -> Vec<InstanceId> {
         self.directory.take_restarted()
     }
 
-    /// Forgets what is too old to matter, and ends what was held only for a while.
+    /// Drops outdated records and ends temporary states whose time is over. Returns what changed.
     pub fn expire(&mut self, now: Timestamp) -> StateChange {
         StateChange {
             directory: self.directory.expire(now),
@@ -351,13 +349,13 @@
         }
     }
 
-    /// All that this node knows.
+    /// Returns the full state of this node.
     #[must_use]
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
         self.snapshot_for(now, Versions::default(), Revision::default())
     }
 
-    /// All that this node knows and a peer with `versions` doesn't, and the instances that went after a revision.
+    /// Returns all state that a peer with `versions` lacks, and the tombstones of instances removed after a revision.
     #[must_use]
     pub fn snapshot_for(
         &self,
@@ -378,18 +376,20 @@
         }
     }
 
-    /// The table for traffic threads.
+    /// Builds the forwarding table for traffic threads.
     #[must_use]
     pub fn table(&self) -> ForwardingTable {
         ForwardingTable::new(self.configuration(), &self.directory, &self.zones)
     }
 
+    /// Returns the version of the configuration, or zero if there is none.
     fn configuration_version(&self) -> u64 {
         self.configuration
             .as_ref()
             .map_or(0, |current| current.version)
     }
 
+    /// Returns the instances for a peer that knows all changes up to `since`, or `None` if it lacks nothing.
     fn directory_part(&self, now: Timestamp, since: Revision) -> Option<DirectoryPart> {
         let as_of = self.directory.as_of()?;
         if since >= as_of {
@@ -404,20 +404,21 @@
         }))
     }
 
-    /// The drained zones for a peer with `versions`; none if it knows them.
+    /// Returns the drained zones for a peer with `versions`, or `None` if it has them.
     fn zones_for(&self, now: Timestamp, versions: Versions) -> Option<ZoneSnapshot> {
         let lacks = self.zones.changed_at() > versions.zones_as_of;
         lacks.then(|| self.zones.snapshot(now)).flatten()
     }
 
-    /// The changes that lead from the configuration of a version to the one in force; none if
-    /// one of them is not known any more.
+    /// Returns the deltas from the configuration of a version to the current one, or an empty list if one of them is no
+    /// longer kept.
     fn configuration_deltas_since(&self, since: u64) -> Vec<ConfigurationDelta> {
         let recent = self.recent_configurations.iter();
         let steps = recent.skip_while(|delta| delta.since != since);
         steps.cloned().collect()
     }
 
+    /// Keeps a configuration delta for peers. A delta that is missing or too large discards all earlier ones.
     fn remember_configuration_delta(&mut self, delta: Option<ConfigurationDelta>) {
         let Some(delta) = delta.filter(|delta| delta.put.len() <= MAXIMUM_DELTA_ROUTES) else {
             self.recent_configurations.clear();
--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -19,7 +19,7 @@
 pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
 /// Maximum number of undrained zones in a snapshot, which keeps a snapshot well below the size of one datagram.
-pub const MAXIMUM_ZONES: usize = 32;
+pub const MAXIMUM_UNDRAINED_ZONES: usize = 32;
 
 /// A zone whose instances get no new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -268,7 +268,7 @@
             as_of: self.as_of?,
             changed_at: self.changed_at,
             drained: drained.collect(),
-            undrained: undrained.take(MAXIMUM_ZONES).collect(),
+            undrained: undrained.take(MAXIMUM_UNDRAINED_ZONES).collect(),
         })
     }
 
