--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -78,7 +78,7 @@
         after: Option<String>,
         freshness: Freshness,
         /// The revision known before the list. The store has discarded its history after it.
-        forgotten: Revision,
+        known_up_to: Revision,
     },
     Watching {
         from: Revision,
@@ -87,13 +87,13 @@
 
 impl<Item> Phase<Item> {
     /// Returns the phase at the start of a list.
-    const fn list(freshness: Freshness, forgotten: Revision) -> Self {
+    const fn list(freshness: Freshness, known_up_to: Revision) -> Self {
         Self::Listing {
             oldest_at: None,
             items: Vec::new(),
             after: None,
             freshness,
-            forgotten,
+            known_up_to,
         }
     }
 }
@@ -140,12 +140,12 @@
         self.era = era.max(self.era);
         if let Phase::Listing {
             oldest_at: Some(at),
-            forgotten,
+            known_up_to,
             ..
         } = self.phase
             && at.era() < self.era
         {
-            self.phase = Phase::list(Freshness::Newest, forgotten);
+            self.phase = Phase::list(Freshness::Newest, known_up_to);
         }
     }
 
@@ -186,7 +186,7 @@
     pub fn skip_to(&mut self, at: Revision) {
         match &mut self.phase {
             Phase::Watching { from } => *from = at.max(*from),
-            Phase::Listing { forgotten, .. } if at > *forgotten => {
+            Phase::Listing { known_up_to, .. } if at > *known_up_to => {
                 self.phase = Phase::Watching { from: at };
             }
             Phase::Listing { .. } => {}
@@ -197,7 +197,7 @@
     /// from elsewhere.
     #[must_use]
     pub fn is_list_redundant(&self, at: Revision) -> bool {
-        matches!(&self.phase, Phase::Listing { forgotten, .. } if at > *forgotten)
+        matches!(&self.phase, Phase::Listing { known_up_to, .. } if at > *known_up_to)
     }
 
     /// Returns whether the last call was answered, or none was made yet.
@@ -252,8 +252,8 @@
                 None
             }
             Answer::Throttled => {
-                if let Phase::Listing { forgotten, .. } = self.phase {
-                    self.phase = Phase::list(Freshness::MayBeStale, forgotten);
+                if let Phase::Listing { known_up_to, .. } = self.phase {
+                    self.phase = Phase::list(Freshness::MayBeStale, known_up_to);
                 }
                 self.back_off(now, random);
                 None
@@ -272,8 +272,8 @@
 
     /// Starts a new list because the watch can't continue from its revision.
     fn restart_list(&mut self, now: Timestamp, random: &mut impl Rng) {
-        let forgotten = self.watched_from();
-        self.phase = Phase::list(Freshness::Newest, forgotten);
+        let known_up_to = self.watched_from();
+        self.phase = Phase::list(Freshness::Newest, known_up_to);
         if self.last_call_may_be_stale {
             self.not_before =
                 now.after(RELIST_DELAY_AFTER_STALE_READ.mul_f64(random.random_range(0.5..=1.0)));
@@ -284,7 +284,7 @@
     const fn watched_from(&self) -> Revision {
         match &self.phase {
             Phase::Watching { from } => *from,
-            Phase::Listing { forgotten, .. } => *forgotten,
+            Phase::Listing { known_up_to, .. } => *known_up_to,
         }
     }
 
@@ -329,17 +329,17 @@
     fn is_first_page(&self) -> bool {
         matches!(
             &self.phase,
-            Phase::Listing { after: None, forgotten, .. } if *forgotten == Revision::default()
+            Phase::Listing { after: None, known_up_to, .. } if *known_up_to == Revision::default()
         )
     }
 
     /// Returns the delay before the second page, in which other nodes may read the list.
     fn list_delay(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
-        let took = self
+        let page_time = self
             .call_started_at
             .map_or(Duration::ZERO, |call_started_at| now.since(call_started_at));
         let spread = LIST_SPREAD_FACTOR / self.settings.relative_capacity;
-        let longest = took.mul_f64(spread).min(MAXIMUM_LIST_DELAY);
+        let longest = page_time.mul_f64(spread).min(MAXIMUM_LIST_DELAY);
         longest.mul_f64(random.random_range(0.0..1.0))
     }
 
--- a/crates/bellyoke-core/src/cookie/publication.rs
+++ b/crates/bellyoke-core/src/cookie/publication.rs
@@ -66,10 +66,10 @@
         self.has_unpublished_changes
     }
 
-    /// Records the publication of a table whose build started at `now` and took `took`.
-    pub fn record_publication(&mut self, now: Timestamp, took: Duration) {
+    /// Records the publication of a table whose build started at `now` and took `build_time`.
+    pub fn record_publication(&mut self, now: Timestamp, build_time: Duration) {
         self.has_unpublished_changes = false;
-        let interval = took.saturating_mul(BUILD_TIME_MULTIPLE);
+        let interval = build_time.saturating_mul(BUILD_TIME_MULTIPLE);
         self.next_at = now.after(interval.clamp(MINIMUM_TABLE_INTERVAL, MAXIMUM_TABLE_INTERVAL));
     }
 }
--- a/crates/bellyoke-core/tests/cookie/directory.rs
+++ b/crates/bellyoke-core/tests/cookie/directory.rs
@@ -1,4 +1,4 @@
-//! The directory orders what it hears by revision and remembers what went.
+//! The directory orders updates by revision and keeps tombstones of removed instances.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, draining, record};
 use bellyoke_core::cookie::directory::{Directory, Tombstone};
@@ -17,15 +17,15 @@
     present.map(|known| known.record.id.0).collect()
 }
 
-fn gone(directory: &Directory) -> Vec<u64> {
-    let gone = directory
+fn removed(directory: &Directory) -> Vec<u64> {
+    let removed = directory
         .instances()
         .filter(|known| known.removed_at.is_some());
-    gone.map(|known| known.record.id.0).collect()
+    removed.map(|known| known.record.id.0).collect()
 }
 
 #[test]
-fn an_instance_that_went_stays_known_for_the_life_of_its_flows() {
+fn a_removed_instance_is_kept_for_the_tombstone_lifetime() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(5), vec![record(1, 4), record(2, 5)]);
     directory.apply(
@@ -34,22 +34,22 @@
         vec![InstanceEvent::Gone(InstanceId(1))],
     );
     assert_eq!(present(&directory), [2]);
-    assert_eq!(gone(&directory), [1]);
+    assert_eq!(removed(&directory), [1]);
     assert!(!directory.expire(at(70_999)));
     assert!(directory.expire(at(71_000)));
-    assert_eq!(gone(&directory), [] as [u64; 0]);
+    assert_eq!(removed(&directory), [] as [u64; 0]);
 }
 
 #[test]
-fn a_list_without_an_instance_makes_it_a_tombstone() {
+fn an_instance_missing_in_a_list_becomes_a_tombstone() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(5), vec![record(1, 4), record(2, 5)]);
     assert!(directory.replace(at(10), Revision::new(9), vec![record(2, 5)]));
-    assert_eq!(gone(&directory), [1]);
+    assert_eq!(removed(&directory), [1]);
 }
 
 #[test]
-fn an_instance_whose_record_comes_back_is_present_again() {
+fn an_instance_whose_record_reappears_is_present_again() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(5), vec![record(1, 4)]);
     directory.apply(
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn changes_that_a_newer_list_already_held_are_left_out() {
+fn changes_that_a_newer_list_includes_are_ignored() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(9), vec![record(2, 5)]);
-    // The watch goes on from an older revision: instance 1 came at 6 and went at 8.
+    // The watch starts at an older revision: instance 1 was added at 6 and removed at 8.
     let events = vec![
         InstanceEvent::Put(record(1, 6)),
         InstanceEvent::Put(record(3, 10)),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn changes_before_the_first_list_are_left_out() {
+fn changes_before_the_first_list_are_ignored() {
     let mut directory = directory();
     assert!(!directory.apply(
         at(0),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_tombstone_of_a_peer_never_hides_a_present_instance() {
+fn a_tombstone_of_a_peer_does_not_remove_a_present_instance() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(9), vec![record(1, 8)]);
     let tombstones = vec![
@@ -127,11 +127,15 @@
     ];
     assert!(directory.merge_tombstones(at(100_000), tombstones));
     assert_eq!(present(&directory), [1]);
-    assert_eq!(gone(&directory), [2], "3 is too old to have a flow");
+    assert_eq!(
+        removed(&directory),
+        [2],
+        "instance 3 was removed too long ago to have flows"
+    );
 }
 
 #[test]
-fn a_tombstone_keeps_its_age_from_node_to_node() {
+fn a_tombstone_from_a_peer_expires_by_its_original_age() {
     let mut directory = directory();
     let tombstone = Tombstone {
         record: record(2, 4),
@@ -144,14 +148,14 @@
 }
 
 #[test]
-fn cold_time_is_told_from_now_on() {
+fn records_contain_the_remaining_cold_time() {
     let mut directory = directory();
     let mut cold = record(1, 4);
     cold.cold_remaining_milliseconds = 2_000;
     directory.replace(at(0), Revision::new(5), vec![cold]);
-    let told = |now| directory.records(at(now))[0].cold_remaining_milliseconds;
-    assert_eq!(told(500), 1_500);
-    assert_eq!(told(5_000), 0);
+    let remaining = |now| directory.records(at(now))[0].cold_remaining_milliseconds;
+    assert_eq!(remaining(500), 1_500);
+    assert_eq!(remaining(5_000), 0);
 }
 
 /// One step in the history of a store.
@@ -170,8 +174,8 @@
     ]
 }
 
-/// Records without their creations: a node keeps the first that it ever heard of, so that these depend on
-/// what it has heard.
+/// Returns records without their creations. A node keeps the earliest creation that it has learned of, so creations depend
+/// on the updates that it received.
 fn without_creations(records: &[InstanceRecord]) -> Vec<InstanceRecord> {
     let records = records.iter().cloned();
     let records = records.map(|record| InstanceRecord {
@@ -181,20 +185,26 @@
     records.collect()
 }
 
-/// Whether all creations are some that the store has told, and at most as late as those of its records.
-fn creations_are_sound(told: &[InstanceRecord], held: &[InstanceRecord], steps: &[Step]) -> bool {
-    let is_sound = |told: &InstanceRecord, held: &InstanceRecord| {
-        let created = told.created.unwrap();
+/// Returns whether all creations are revisions at which the store wrote that instance, and not later than those of the
+/// store's records.
+fn creations_are_valid(
+    records: &[InstanceRecord],
+    stored: &[InstanceRecord],
+    steps: &[Step],
+) -> bool {
+    let is_valid = |record: &InstanceRecord, stored: &InstanceRecord| {
+        let created = record.created.unwrap();
         let step = &steps[usize::try_from(created.number()).unwrap() - 1];
-        let is_put = matches!(step, Step::Put(id) | Step::Drain(id) if *id == told.id.0);
-        is_put && Some(created) <= held.created
+        let is_put = matches!(step, Step::Put(id) | Step::Drain(id) if *id == record.id.0);
+        is_put && Some(created) <= stored.created
     };
-    told.iter()
-        .zip(held)
-        .all(|(told, held)| is_sound(told, held))
+    records
+        .iter()
+        .zip(stored)
+        .all(|(record, stored)| is_valid(record, stored))
 }
 
-/// The state of a store after each of its revisions, and the event that led there.
+/// Returns each revision of a store with its event and the resulting state.
 fn history(steps: &[Step]) -> Vec<(Revision, InstanceEvent, Vec<InstanceRecord>)> {
     let mut state = std::collections::BTreeMap::new();
     let mut history = Vec::new();
@@ -222,7 +232,7 @@
     history
 }
 
-/// A directory that followed the history by watches that ended at these steps.
+/// Returns a directory that applied the history in watches that ended at these steps.
 fn follower(
     history: &[(Revision, InstanceEvent, Vec<InstanceRecord>)],
     ends: &[usize],
@@ -244,7 +254,7 @@
 }
 
 #[test]
-fn a_delta_tells_what_came_changed_and_went() {
+fn a_delta_contains_added_changed_and_removed_instances() {
     let mut ahead = directory();
     ahead.replace(at(0), Revision::new(5), vec![record(1, 4), record(2, 5)]);
     let mut behind = directory();
@@ -258,16 +268,16 @@
     let delta = ahead.delta_since(at(10), Revision::new(5)).unwrap();
     assert!(behind.apply_delta(at(20), delta.clone()));
     assert_eq!(behind.records(at(20)), ahead.records(at(20)));
-    assert_eq!(gone(&behind), [1]);
+    assert_eq!(removed(&behind), [1]);
     assert_eq!(behind.as_of(), Some(Revision::new(8)));
     assert!(
         !behind.apply_delta(at(30), delta),
-        "a second time it changes nothing"
+        "the same delta has no effect the second time"
     );
 }
 
 #[test]
-fn a_delta_that_starts_after_what_is_known_changes_nothing() {
+fn a_delta_that_starts_after_the_known_revision_changes_nothing() {
     let mut ahead = directory();
     ahead.replace(at(0), Revision::new(5), vec![record(1, 4)]);
     ahead.apply(
@@ -289,7 +299,7 @@
 }
 
 #[test]
-fn a_delta_brings_tombstones_of_instances_that_were_never_seen() {
+fn a_delta_contains_tombstones_of_instances_unknown_to_the_receiver() {
     let mut ahead = directory();
     ahead.replace(at(0), Revision::new(5), Vec::new());
     ahead.apply(
@@ -305,11 +315,11 @@
     let mut behind = directory();
     behind.replace(at(0), Revision::new(5), Vec::new());
     behind.apply_delta(at(30), ahead.delta_since(at(30), Revision::new(5)).unwrap());
-    assert_eq!(gone(&behind), [1]);
+    assert_eq!(removed(&behind), [1]);
 }
 
 #[test]
-fn no_delta_reaches_back_beyond_what_was_forgotten() {
+fn no_delta_starts_before_an_expired_tombstone() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(5), vec![record(1, 4), record(2, 4)]);
     directory.apply(
@@ -332,7 +342,7 @@
         directory
             .delta_since(at(80_000), Revision::new(7))
             .is_none(),
-        "the removal at 8 is forgotten"
+        "the tombstone of revision 8 has expired"
     );
     assert!(
         directory
@@ -348,7 +358,7 @@
 }
 
 #[test]
-fn a_peer_confirms_only_those_who_know_its_last_change() {
+fn a_confirmation_applies_only_to_nodes_that_know_the_last_change() {
     let mut directory = directory();
     directory.replace(at(0), Revision::new(5), vec![record(1, 4)]);
     directory.confirm(Revision::new(6), Revision::new(9));
@@ -360,7 +370,7 @@
 }
 
 proptest! {
-    /// Whoever applies a delta that starts within what it knows holds what its sender holds.
+    /// After applying a delta that starts at or before its revision, the receiver has the same state as the sender.
     #[test]
     fn a_delta_is_exact(
         steps in prop::collection::vec(step(), 1..24),
@@ -384,27 +394,27 @@
         } else {
             &follower(&history, &receiver_ends)
         };
-        let (told, held) = (receiver.records(at(0)), expected.records(at(0)));
-        prop_assert_eq!(without_creations(&told), without_creations(&held));
+        let (actual, wanted) = (receiver.records(at(0)), expected.records(at(0)));
+        prop_assert_eq!(without_creations(&actual), without_creations(&wanted));
         let state = &history[usize::try_from(receiver.as_of().unwrap().number()).unwrap().max(1) - 1].2;
-        prop_assert!(told.is_empty() || creations_are_sound(&told, state, &steps));
+        prop_assert!(actual.is_empty() || creations_are_valid(&actual, state, &steps));
         prop_assert_eq!(receiver.as_of(), expected.as_of());
     }
 
-    /// Whatever two nodes hear from the store and from each other, each holds what the store held
-    /// at the revision up to which it claims to know everything.
+    /// After any sequence of updates from the store and from each other, each of two nodes has the state of the store at the
+    /// revision up to which it reports to know all changes.
     #[test]
     fn a_directory_is_exact_at_its_revision(
         steps in prop::collection::vec(step(), 1..24),
-        deeds in prop::collection::vec((0..5_u8, 0..2_usize, 0..24_usize), 1..24),
+        actions in prop::collection::vec((0..5_u8, 0..2_usize, 0..24_usize), 1..24),
     ) {
         let history = history(&steps);
         let mut nodes = [directory(), directory()];
-        for (deed, index, number) in deeds {
+        for (action, index, number) in actions {
             let end = number.min(history.len() - 1);
             let [one, other] = &mut nodes;
             let (node, peer) = if index == 0 { (one, other) } else { (other, one) };
-            match deed {
+            match action {
                 0 => {
                     node.replace(at(0), history[end].0, history[end].2.clone());
                 }
@@ -429,19 +439,19 @@
             }
             for node in &nodes {
                 if let Some(as_of) = node.as_of() {
-                    let held = &history[usize::try_from(as_of.number()).unwrap() - 1].2;
-                    let told = node.records(at(0));
-                    prop_assert_eq!(without_creations(&told), without_creations(held));
-                    prop_assert!(creations_are_sound(&told, held, &steps));
+                    let stored = &history[usize::try_from(as_of.number()).unwrap() - 1].2;
+                    let records = node.records(at(0));
+                    prop_assert_eq!(without_creations(&records), without_creations(stored));
+                    prop_assert!(creations_are_valid(&records, stored, &steps));
                 }
             }
         }
     }
 
-    /// Whole lists and changes, however old and in whatever order, never take a node back, and
-    /// the newest list always wins.
+    /// Full lists and changes of any age and in any order never take a node back to an older state, and the newest one
+    /// always wins.
     #[test]
-    fn no_order_of_news_goes_back(
+    fn updates_in_any_order_never_go_back(
         steps in prop::collection::vec(step(), 1..24),
         order in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<bool>()), 1..24),
     ) {
@@ -456,7 +466,7 @@
                 directory.replace(at(0), *at_revision, state.clone());
                 newest = newest.max(*at_revision);
             } else if directory.as_of().is_some_and(|as_of| as_of >= Revision::new(from as u64)) {
-                // A watch from `from` has events only for what came after.
+                // A watch from `from` returns only later events.
                 let events = history[from..=to].iter().map(|(_, event, _)| event.clone());
                 directory.apply(at(0), *at_revision, events.collect());
                 newest = newest.max(*at_revision);
@@ -471,7 +481,7 @@
     }
 }
 
-/// A directory that knows instances 1 to 3 up to revision 10.
+/// Returns a directory with instances 1 to 3 as of revision 10.
 fn listed() -> Directory {
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(
@@ -482,7 +492,7 @@
     directory
 }
 
-/// The same after the store has forgotten its history: instance 2 is gone from its list, 4 is new.
+/// Returns the same directory after the store has discarded its history: its new list lacks instance 2 and has 4.
 fn relisted() -> Directory {
     let mut directory = listed();
     let records = vec![record(1, 1), record(3, 3), record(4, 18)];
@@ -490,39 +500,40 @@
     directory
 }
 
-/// A list of thousands would else go to each node whenever the store forgets its history.
+/// Guards against sending a list of thousands of instances to each node whenever the store discards its history.
 #[test]
-fn who_knew_as_much_as_a_lister_is_told_by_a_delta() {
+fn a_peer_at_the_start_of_a_gap_gets_a_delta() {
     let delta = relisted().delta_since(at(100), Revision::new(10)).unwrap();
     assert_eq!((delta.records.len(), delta.tombstones.len()), (1, 1));
     let mut peer = listed();
     assert!(peer.apply_delta(at(110), delta));
     assert_eq!(present(&peer), [1, 3, 4]);
     assert_eq!(peer.as_of(), Some(Revision::new(20)));
-    // It knows no more of the span than the lister.
+    // The peer now has the same gap.
     assert_eq!(peer.delta_since(at(120), Revision::new(15)), None);
     assert!(peer.delta_since(at(120), Revision::new(10)).is_some());
 }
 
-/// Instance 9 came after the lister's last revision and went before its list: nobody could tell that it has gone.
+/// Instance 9 was added and removed within the gap, so no delta across it contains the removal. A peer at a revision within
+/// the gap that applied one would keep the instance.
 #[test]
-fn who_knows_a_revision_within_a_gap_applies_no_delta_across_it() {
+fn a_peer_within_a_gap_applies_no_delta_across_it() {
     let mut peer = listed();
     peer.apply(
         at(50),
         Revision::new(15),
         vec![InstanceEvent::Put(record(9, 15))],
     );
-    let lister = relisted();
-    assert_eq!(lister.delta_since(at(100), Revision::new(15)), None);
-    let delta = lister.delta_since(at(100), Revision::new(10)).unwrap();
+    let relisted = relisted();
+    assert_eq!(relisted.delta_since(at(100), Revision::new(15)), None);
+    let delta = relisted.delta_since(at(100), Revision::new(10)).unwrap();
     assert!(!peer.apply_delta(at(110), delta));
     assert_eq!(peer.as_of(), Some(Revision::new(15)));
     assert_eq!(present(&peer), [1, 2, 3, 9]);
 }
 
 #[test]
-fn many_gaps_are_held_as_if_nothing_before_them_were_known() {
+fn history_before_the_oldest_dropped_gap_counts_as_unknown() {
     let mut directory = listed();
     for list in 2..20 {
         let records = (1..=3).map(|id| record(id, id)).collect();
--- a/crates/bellyoke-core/tests/cookie/publication.rs
+++ b/crates/bellyoke-core/tests/cookie/publication.rs
@@ -1,4 +1,4 @@
-//! When forwarding tables are built.
+//! Pacing of forwarding table builds.
 
 use crate::support::at;
 use bellyoke_core::cookie::publication::TablePacer;
@@ -11,40 +11,40 @@
     zones: false,
 };
 
-/// Tables built in ten seconds in which instances change every 20 ms and the control thread looks each 20 ms, if one
-/// takes so long.
-fn built(took: Duration) -> u32 {
+/// Returns the number of tables built in 10 s if a build takes `build_time`, instances change every 20 ms and the control
+/// thread checks for changes every 20 ms.
+fn tables_built(build_time: Duration) -> u32 {
     let mut pacer = TablePacer::default();
     let mut built = 0;
     for now in (0..10_000).step_by(20) {
         pacer.record_change(at(now), INSTANCES);
         if pacer.is_due(at(now)) {
-            pacer.record_publication(at(now), took);
+            pacer.record_publication(at(now), build_time);
             built += 1;
         }
     }
     built
 }
 
-/// A tenth of the thread's time at most, where a table takes as long as one of 10,000 instances on an eighth of a core.
+/// Builds must take at most 1/10 of the thread's time, also if one takes as long as with 10,000 instances on 1/8 of a core.
 #[test]
-fn tables_take_a_bounded_part_of_the_thread() {
+fn builds_take_a_bounded_share_of_the_thread() {
     let quick = Duration::from_micros(100);
-    assert_eq!(built(quick), 500, "each change");
+    assert_eq!(tables_built(quick), 500, "one table for each change");
     for milliseconds in [1, 5, 16, 20] {
-        let took = Duration::from_millis(milliseconds);
-        let share = took.as_secs_f64() * f64::from(built(took)) / 10.0;
-        assert!(share <= 0.1, "{milliseconds} ms a table: {share}");
+        let build_time = Duration::from_millis(milliseconds);
+        let share = build_time.as_secs_f64() * f64::from(tables_built(build_time)) / 10.0;
+        assert!(share <= 0.1, "{milliseconds} ms per table: {share}");
     }
     assert_eq!(
-        built(Duration::from_secs(1)),
+        tables_built(Duration::from_secs(1)),
         50,
-        "none waits longer than 200 ms"
+        "the interval is at most 200 ms"
     );
 }
 
 #[test]
-fn what_operators_change_is_published_at_once() {
+fn changes_by_operators_are_published_at_once() {
     let mut pacer = TablePacer::default();
     pacer.record_change(at(0), INSTANCES);
     pacer.record_publication(at(0), Duration::from_millis(50));
--- a/crates/bellyoke-core/tests/cookie/replica.rs
+++ b/crates/bellyoke-core/tests/cookie/replica.rs
@@ -1,4 +1,4 @@
-//! Store and peers may tell in any order.
+//! Updates from the store and from peers are merged in any order.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, draining, node, record};
 use bellyoke_core::cookie::instance::{InstanceEvent, InstanceId};
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn a_node_that_starts_without_the_store_learns_all_from_a_peer() {
+fn a_node_that_starts_without_the_store_gets_all_state_from_a_peer() {
     let mut peer = node(vec![record(1, 1), record(2, 2)]);
     peer.replace_instances(at(5), Revision::new(20), vec![record(2, 2)]);
-    let mut newborn = empty();
-    let change = newborn.merge(at(900_000), peer.snapshot(at(1_000)));
+    let mut starting = empty();
+    let change = starting.merge(at(900_000), peer.snapshot(at(1_000)));
     assert!(change.configuration && change.directory);
-    assert_eq!(newborn.versions(), peer.versions());
-    assert_eq!(newborn.snapshot(at(900_000)).tombstones.len(), 1);
+    assert_eq!(starting.versions(), peer.versions());
+    assert_eq!(starting.snapshot(at(900_000)).tombstones.len(), 1);
 }
 
 #[test]
@@ -36,33 +36,34 @@
         panic!("{:?}", snapshot.directory);
     };
     assert_eq!(delta.records, [record(3, 20)]);
-    let nothing = ahead.snapshot_for(at(5), ahead.versions(), Revision::new(0));
-    assert_eq!((nothing.configuration, nothing.directory), (None, None));
+    let unchanged = ahead.snapshot_for(at(5), ahead.versions(), Revision::new(0));
+    assert_eq!((unchanged.configuration, unchanged.directory), (None, None));
 }
 
-/// While a service is replaced thousands have gone of late, and each node fetches again and again.
+/// During a rolling replacement of a service there are thousands of tombstones and each node fetches repeatedly. Snapshots
+/// would be too large if each contained all tombstones.
 #[test]
-fn a_peer_that_is_a_little_behind_is_not_told_of_all_that_have_gone() {
+fn a_slightly_outdated_peer_gets_only_new_tombstones() {
     let mut ahead = node((1..=100).map(|id| record(id, 1)).collect());
     for id in 1..=99 {
-        let gone = vec![InstanceEvent::Gone(InstanceId(id))];
-        ahead.apply_instances(at(id), Revision::new(10 + id), gone);
+        let removal = vec![InstanceEvent::Gone(InstanceId(id))];
+        ahead.apply_instances(at(id), Revision::new(10 + id), removal);
     }
     let mut known = ahead.versions();
     known.directory_as_of = Revision::new(108);
     known.directory_changed_at = Revision::new(108);
     let snapshot = ahead.snapshot_for(at(200), known, known.directory_as_of);
-    let gone: Vec<u64> = snapshot
+    let removed: Vec<u64> = snapshot
         .tombstones
         .iter()
-        .map(|gone| gone.record.id.0)
+        .map(|tombstone| tombstone.record.id.0)
         .collect();
-    assert_eq!(gone, [99]);
+    assert_eq!(removed, [99]);
     assert_eq!(ahead.snapshot(at(200)).tombstones.len(), 99);
 }
 
 #[test]
-fn configurations_reach_a_peer_step_by_step() {
+fn configuration_deltas_bring_a_peer_up_to_date() {
     let mut ahead = node(Vec::new());
     let mut behind = node(Vec::new());
     for revision in 2..6 {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_change_of_another_configuration_is_left_alone() {
+fn a_delta_of_another_configuration_is_ignored() {
     let mut ahead = node(Vec::new());
     ahead.adopt_configuration(configuration(3, &[("till", 1)]));
     let before = ahead.versions();
@@ -97,12 +98,12 @@
     );
     assert!(
         ahead.delta_for(at(0), behind.versions()).is_some(),
-        "two steps lead there"
+        "two consecutive deltas lead there"
     );
 }
 
 #[test]
-fn who_is_not_behind_a_peer_knows_as_far_as_it_does() {
+fn a_node_that_is_not_behind_adopts_the_revisions_of_a_peer() {
     let mut replica = node(vec![record(1, 1)]);
     let mut peer = node(vec![record(1, 1)]);
     peer.apply_instances(at(0), Revision::new(15), Vec::new());
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_peer_that_knows_less_takes_nothing_back() {
+fn a_snapshot_of_an_outdated_peer_changes_nothing() {
     let mut replica = node(vec![draining(1, 9)]);
     replica.adopt_configuration(configuration(9, &[("listings", 1)]));
     let mut older = empty();
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_node_knows_whether_it_is_behind() {
+fn a_node_is_behind_only_peers_with_newer_changes() {
     let replica = node(vec![record(1, 1)]);
     let mut peer = node(vec![record(1, 1)]);
     assert!(!replica.is_behind(peer.versions()));
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_revision_without_changes_puts_nobody_behind() {
+fn a_revision_without_changes_does_not_make_a_node_outdated() {
     let replica = node(vec![record(1, 1)]);
     let mut peer = node(vec![record(1, 1)]);
     peer.apply_instances(at(0), Revision::new(15), Vec::new());
@@ -150,13 +151,13 @@
 }
 
 fn snapshots() -> impl Strategy<Value = Vec<Snapshot>> {
-    // Snapshots of one store's history: instance `n` comes at revision `n`, and goes at `n + 3`.
+    // Snapshots of one store's history: instance `n` is added at revision `n` and removed at `n + 3`.
     prop::collection::vec((1..20_u64, 1..20_u64), 1..6).prop_map(|revisions| {
         let snapshot = |(configuration_at, directory_at): (u64, u64)| {
             let mut replica = empty();
             replica.adopt_configuration(configuration(configuration_at, &[("till", 1)]));
-            let live = directory_at.saturating_sub(2).max(1)..=directory_at;
-            let records = live.map(|id| record(id, id)).collect();
+            let present = directory_at.saturating_sub(2).max(1)..=directory_at;
+            let records = present.map(|id| record(id, id)).collect();
             replica.replace_instances(at(0), Revision::new(directory_at), records);
             replica.snapshot(at(0))
         };
@@ -165,9 +166,9 @@
 }
 
 proptest! {
-    /// Nodes that have heard the same hold the same, in whatever order they heard it.
+    /// Nodes that merged the same snapshots have the same state, in whatever order they merged them.
     #[test]
-    fn the_order_of_merging_does_not_matter(snapshots in snapshots()) {
+    fn the_result_of_merging_does_not_depend_on_the_order(snapshots in snapshots()) {
         let mut forward = empty();
         let mut backward = empty();
         for snapshot in &snapshots {
