--- a/crates/bellyoke-core/tests/cookie/follower.rs
+++ b/crates/bellyoke-core/tests/cookie/follower.rs
@@ -1,4 +1,4 @@
-//! List, watch, and what may go wrong.
+//! Lists, watches and their failures.
 
 use crate::support::at;
 use bellyoke_core::cookie::follower::{
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn it_lists_then_watches_from_the_list() {
+fn a_watch_starts_at_the_revision_of_the_list() {
     let mut harness = Harness::new();
     assert_eq!(harness.next(), list(None, Freshness::MayBeStale));
     let update = harness.answer(page(&[1, 2], None, 10));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_list_of_many_pages_is_true_at_its_first() {
+fn a_list_of_several_pages_has_the_revision_of_its_first_page() {
     let mut harness = Harness::new();
     assert_eq!(harness.answer(page(&[1], Some("a"), 10)), None);
     assert_eq!(harness.next(), list(Some("a"), Freshness::MayBeStale));
@@ -100,12 +100,12 @@
     assert_eq!(
         harness.next(),
         watch(10),
-        "what changed between the pages is told again"
+        "the watch returns the changes made between the pages"
     );
 }
 
 #[test]
-fn a_page_that_is_older_than_the_first_makes_the_list_as_old() {
+fn a_list_has_the_revision_of_its_oldest_page() {
     let mut harness = Harness::new();
     harness.answer(page(&[1], Some("a"), 10));
     let update = harness.answer(page(&[2], None, 7));
@@ -118,26 +118,30 @@
 }
 
 #[test]
-fn it_lists_again_at_once_when_history_is_gone() {
+fn a_follower_lists_again_when_history_is_gone() {
     let mut harness = Harness::watching();
     harness.answer(Answer::HistoryGone);
     assert_eq!(harness.next(), list(None, Freshness::Newest));
 }
 
 #[test]
-fn what_peers_told_makes_a_list_needless() {
+fn updates_from_peers_make_a_list_redundant() {
     let mut harness = Harness::new();
     harness.answer(page(&[1], Some("one"), 10));
     assert!(!harness.follower.is_list_redundant(Revision::new(0)));
     assert!(harness.follower.is_list_redundant(Revision::new(12)));
     harness.follower.skip_to(Revision::new(12));
     assert_eq!(harness.next(), watch(12));
-    assert_eq!(harness.answer(page(&[2], None, 11)), None, "it comes late");
+    assert_eq!(
+        harness.answer(page(&[2], None, 11)),
+        None,
+        "the list was abandoned"
+    );
 }
 
-/// The node knows what it has watched so far: only what is newer spares it the list.
+/// A list after lost history becomes redundant only by updates that are newer than the last watch.
 #[test]
-fn a_list_after_forgotten_history_is_needed_until_peers_tell_more() {
+fn a_list_after_lost_history_is_needed_until_peers_send_newer_updates() {
     let mut harness = Harness::watching();
     harness.answer(Answer::HistoryGone);
     harness.follower.skip_to(Revision::new(10));
@@ -159,14 +163,14 @@
 }
 
 #[test]
-fn a_reader_watches_for_the_newest_state() {
+fn a_reader_watches_the_newest_state() {
     let harness = Harness::watching();
     let plan = WatchPlan::Watch(Freshness::Newest);
     assert_eq!(harness.follower.next_action(at(0), plan), newest_watch(10));
 }
 
 #[test]
-fn changes_that_come_together_cost_one_call() {
+fn changes_in_quick_succession_are_read_in_one_call() {
     let mut harness = Harness::watching();
     harness.now = 5_000;
     harness.answer(Answer::Changes {
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_watch_without_changes_goes_on_at_once() {
+fn a_watch_without_changes_continues_at_once() {
     let mut harness = Harness::watching();
     harness.now = 5_000;
     harness.answer(Answer::Changes {
@@ -196,28 +200,28 @@
 }
 
 #[test]
-fn a_node_that_rests_asks_nothing_and_goes_on_from_what_it_heard_meanwhile() {
+fn an_idle_node_makes_no_calls_and_continues_from_the_updates_of_peers() {
     let mut harness = Harness::watching();
-    let rest = WatchPlan::IdleUntil(at(4_000));
+    let idle = WatchPlan::IdleUntil(at(4_000));
     assert_eq!(
-        harness.follower.next_action(at(0), rest),
+        harness.follower.next_action(at(0), idle),
         NextAction::WaitUntil(at(4_000))
     );
     harness.follower.skip_to(Revision::new(30));
     harness.follower.skip_to(Revision::new(20));
-    assert_eq!(harness.follower.next_action(at(4_000), rest), watch(30));
+    assert_eq!(harness.follower.next_action(at(4_000), idle), watch(30));
 }
 
 #[test]
-fn a_node_without_a_list_does_not_rest() {
+fn a_node_without_a_list_is_not_idle() {
     let harness = Harness::new();
-    let rest = WatchPlan::IdleUntil(at(4_000));
-    let next = harness.follower.next_action(at(0), rest);
+    let idle = WatchPlan::IdleUntil(at(4_000));
+    let next = harness.follower.next_action(at(0), idle);
     assert_eq!(next, list(None, Freshness::MayBeStale));
 }
 
 #[test]
-fn the_store_is_usable_until_a_call_fails() {
+fn a_follower_is_usable_until_a_call_fails() {
     let mut harness = Harness::new();
     assert!(harness.follower.is_usable());
     harness.answer(page(&[1], None, 10));
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn a_refused_list_is_repeated_as_a_cheap_one() {
+fn a_throttled_list_is_repeated_as_a_stale_read() {
     let mut harness = Harness::new();
     harness.answer(Answer::Throttled);
     harness.now += 200;
@@ -243,7 +247,7 @@
 }
 
 #[test]
-fn a_failed_watch_goes_on_where_it_was() {
+fn a_failed_watch_continues_from_the_same_revision() {
     let mut harness = Harness::watching();
     harness.answer(Answer::Failed);
     assert!(matches!(harness.next(), NextAction::WaitUntil(_)));
@@ -262,7 +266,7 @@
 }
 
 #[test]
-fn an_answer_of_the_wrong_kind_is_no_news() {
+fn an_answer_of_the_wrong_kind_is_ignored() {
     let mut harness = Harness::new();
     assert_eq!(
         harness.answer(Answer::Changes {
@@ -279,7 +283,7 @@
 }
 
 proptest! {
-    /// Pauses grow to their longest and no further, and differ from node to node.
+    /// Pauses after failures stay within their limits for any seed and number of failures.
     #[test]
     fn pauses_are_bounded(seed in any::<u64>(), failures in 1..100_usize) {
         let mut harness = Harness::new();
@@ -302,9 +306,10 @@
     freshness: Freshness::MayBeStale,
 };
 
-/// How long a node waits before the second page, once its first page took so long; over many seeds.
-fn list_waits(took: u64, relative_capacity: f64) -> Vec<u64> {
-    let waits = (0..200).map(|seed| {
+/// Returns the delays in milliseconds before the second page over many seeds, if the first page took `page_time`
+/// milliseconds.
+fn list_delays(page_time: u64, relative_capacity: f64) -> Vec<u64> {
+    let delays = (0..200).map(|seed| {
         let settings = FollowerSettings {
             relative_capacity,
             ..FollowerSettings::default()
@@ -312,34 +317,35 @@
         let mut follower = Follower::new(settings);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         follower.start_call(at(1_000), &LIST);
-        let now = 1_000 + took;
-        let none: Option<Update<u32, u32>> =
+        let now = 1_000 + page_time;
+        let update: Option<Update<u32, u32>> =
             follower.answer(at(now), page(&[1], Some("a"), 10), &mut random);
-        assert_eq!(none, None);
+        assert_eq!(update, None);
         let plan = WatchPlan::Watch(Freshness::MayBeStale);
         match follower.next_action(at(now), plan) {
             NextAction::WaitUntil(until) => until.since(at(now)).as_millis() as u64,
             NextAction::Call(_) => 0,
         }
     });
-    waits.collect()
+    delays.collect()
 }
 
-/// Where many list at once a page takes long: a few go on at once, and the others learn from them.
+/// Guards against overload of the store when many nodes list at once and a page takes long. Only a few of them must
+/// continue at once; the others get the state from these.
 #[test]
-fn few_go_on_with_a_long_list_at_once() {
-    let waits = list_waits(300, 1.0);
-    let soon = waits.iter().filter(|wait| **wait < 60).count();
-    assert!((1..=10).contains(&soon), "{soon} of 200");
-    assert!(waits.iter().all(|wait| *wait < 3_000));
-    let large = list_waits(300, 8.0);
-    assert!(large.iter().all(|wait| *wait < 375));
-    assert!(list_waits(10, 1.0).iter().all(|wait| *wait < 100));
-    assert!(list_waits(60_000, 1.0).iter().all(|wait| *wait < 8_000));
+fn only_a_few_nodes_continue_a_slow_list_at_once() {
+    let delays = list_delays(300, 1.0);
+    let early = delays.iter().filter(|delay| **delay < 60).count();
+    assert!((1..=10).contains(&early), "{early} of 200");
+    assert!(delays.iter().all(|delay| *delay < 3_000));
+    let large = list_delays(300, 8.0);
+    assert!(large.iter().all(|delay| *delay < 375));
+    assert!(list_delays(10, 1.0).iter().all(|delay| *delay < 100));
+    assert!(list_delays(60_000, 1.0).iter().all(|delay| *delay < 8_000));
 }
 
 #[test]
-fn a_list_goes_on_without_a_wait_after_its_second_page() {
+fn a_list_continues_without_delay_after_its_second_page() {
     let mut harness = Harness::new();
     harness.follower.start_call(at(0), &LIST);
     harness.now = 100;
@@ -352,9 +358,10 @@
     assert_eq!(harness.next(), list(Some("b"), Freshness::MayBeStale));
 }
 
-/// A store that lags has forgotten what a node was told by others: a list each time would cost it megabytes.
+/// A lagging replica of the store doesn't have revisions that a node already got from peers, and answers that its history
+/// is gone. A list each time would cost the store megabytes.
 #[test]
-fn a_read_that_may_be_stale_gives_others_time_to_tell_before_it_lists() {
+fn a_stale_read_waits_for_peers_before_it_lists_again() {
     for (freshness, waits) in [(Freshness::MayBeStale, true), (Freshness::Newest, false)] {
         let mut harness = Harness::watching();
         let watch = Read::Watch {
@@ -369,7 +376,7 @@
         harness.now = 300;
         assert_eq!(harness.next(), list(None, Freshness::Newest));
         assert!(harness.follower.is_usable());
-        // Others have told meanwhile.
+        // Peers have sent an update meanwhile.
         harness.follower.skip_to(Revision::new(12));
         assert!(matches!(
             harness.next(),
@@ -379,7 +386,7 @@
 }
 
 #[test]
-fn a_node_that_needs_word_at_once_does_not_wait_for_a_change() {
+fn a_confirming_watch_does_not_wait_for_a_change() {
     let harness = Harness::watching();
     let next = harness.follower.next_action(at(0), WatchPlan::Confirm);
     let NextAction::Call(Read::Watch {
@@ -392,9 +399,9 @@
     assert!(wait < FollowerSettings::default().watch_wait / 10);
 }
 
-/// A store that refuses reads of the newest state for being too many still answers cheaper ones.
+/// A store that throttles reads of the newest state still answers stale reads, which are cheaper.
 #[test]
-fn a_watch_that_was_refused_is_made_again_by_a_stale_read() {
+fn a_throttled_watch_is_repeated_as_a_stale_read() {
     let mut harness = Harness::watching();
     harness.answer(Answer::Throttled);
     let plan = WatchPlan::Watch(Freshness::Newest);
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -1,4 +1,4 @@
-//! Instances that start again under the id that they had: nothing of an earlier run counts for a later one.
+//! Instances that restart with the same id. State of an earlier run must not affect a later one.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, node, opening, record};
 use bellyoke_core::cookie::coordinator::Coordinator;
@@ -22,7 +22,7 @@
     Cookie::of(INSTANCE)
 }
 
-/// The record of a run of instance 1, as of a revision.
+/// Returns the record of a run of instance 1 at a revision.
 fn run(started: u64, revision: u64) -> InstanceRecord {
     InstanceRecord {
         started: Some(started),
@@ -44,9 +44,10 @@
     directory.find(cookie()).unwrap().record.started
 }
 
-/// A call that was under way when its caller crashed may be done after those of the next run.
+/// A write that was in flight when an instance crashed may reach the store after the writes of the next run. It must not
+/// replace the record of that run.
 #[test]
-fn a_late_write_of_an_earlier_run_changes_nothing() {
+fn a_late_write_of_an_earlier_run_is_ignored() {
     let mut directory = directory();
     directory.apply(at(100), Revision::new(20), put(run(2_000, 20)));
     assert_eq!(directory.take_restarted(), [INSTANCE]);
@@ -56,7 +57,7 @@
     };
     assert!(!directory.apply(at(200), Revision::new(30), put(moved.clone())));
     assert_eq!(started(&directory), Some(2_000));
-    // Nor does a list that holds it, or one after its record went.
+    // The same applies to a list that contains the write, and to the write after the record was removed.
     directory.replace(
         at(300),
         Revision::new(40),
@@ -80,9 +81,10 @@
     assert_eq!(directory.take_restarted(), []);
 }
 
-/// Its earlier creation would make it the earlier one of two at its address, whose later one has ended.
+/// Instance 9 used the address between two runs of instance 1. If the later run inherited the creation of the earlier one,
+/// it would get no new flows because of instance 9, which has ended.
 #[test]
-fn a_later_run_counts_from_its_own_creation() {
+fn a_later_run_is_ordered_by_its_own_creation() {
     let mut directory = directory();
     directory.apply(
         at(100),
@@ -99,7 +101,7 @@
         *directory.with_reused_address(),
         BTreeSet::from([InstanceId(9)])
     );
-    // A peer that remembers the earlier run tells of its creation.
+    // A peer that still has the earlier run sends its creation.
     let tombstone = Tombstone {
         record: run(1_000, 5),
         age_milliseconds: 0,
@@ -122,7 +124,7 @@
     Coordinator::new(replica, exchange)
 }
 
-fn start_again(node: &mut Coordinator, now: u64) {
+fn restart(node: &mut Coordinator, now: u64) {
     let update = Update::Changes {
         at: Revision::new(20),
         events: put(run(2_000, 20)),
@@ -131,29 +133,29 @@
 }
 
 #[test]
-fn a_verdict_on_an_earlier_run_is_dropped() {
+fn a_probe_result_of_an_earlier_run_is_dropped() {
     let mut node = coordinator();
     node.doubt(at(100), &[cookie()]);
     assert!(node.next_probe(at(100), &[]).is_some());
     node.probed(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
     assert!(node.unreachable(at(500)).contains(&cookie()));
-    start_again(&mut node, 600);
+    restart(&mut node, 600);
     assert!(node.unreachable(at(600)).is_empty());
     assert!(node.avoided(at(600)).is_empty());
 }
 
 #[test]
-fn a_probe_that_began_before_the_restart_tells_nothing() {
+fn a_probe_started_before_the_restart_is_ignored() {
     let mut node = coordinator();
     node.doubt(at(100), &[cookie()]);
     assert!(node.next_probe(at(100), &[]).is_some());
-    start_again(&mut node, 200);
+    restart(&mut node, 200);
     node.probed(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
     assert!(node.unreachable(at(400)).is_empty());
 }
 
 #[test]
-fn openings_that_failed_at_an_earlier_run_count_no_longer() {
+fn failed_openings_of_an_earlier_run_are_ignored() {
     let mut replica = node(vec![run(1_000, 5)]);
     let mut forwarder = Forwarder::new(HealthSettings::default());
     let mut suitability = |now: u64, replica: &Replica, number: u32| {
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn snapshots_tell_which_run_an_instance_is_in() {
+fn snapshots_contain_the_start_time_of_instances() {
     let replica = node(vec![run(1_796_000_000_123, 5), record(2, 6)]);
     let key = PeerKey::default();
     let bytes = encode_snapshot(&replica.snapshot(at(100)), &key).unwrap();
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -1,5 +1,4 @@
-//! What a node believes after the store has come back from an older copy, which its operators and instances then write
-//! up to date.
+//! State of a node after the store was restored from an older copy, which operators and instances then bring up to date.
 
 use crate::cluster::{Cluster, address, in_five_zones};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, draining, node, record};
@@ -16,15 +15,17 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+/// Returns a revision before the restoration.
 const fn before(number: u64) -> Revision {
     Revision::new(number)
 }
 
+/// Returns a revision after the restoration.
 fn after(number: u64) -> Revision {
     Revision::in_era(StoreEra(1), number).unwrap()
 }
 
-/// A record as the restored store tells it.
+/// Returns a record as the restored store returns it.
 fn restored(record: InstanceRecord) -> InstanceRecord {
     InstanceRecord {
         revision: after(record.revision.number()),
@@ -33,13 +34,14 @@
     }
 }
 
+/// Returns the state of an instance if it is present.
 fn state(directory: &Directory, id: u64) -> Option<InstanceState> {
     let mut known = directory.instances();
     let known = known.find(|known| known.record.id == InstanceId(id))?;
     known.removed_at.is_none().then_some(known.record.state)
 }
 
-/// Instances that take new flows.
+/// Returns the instances that get new flows.
 fn candidates(replica: &Replica) -> Vec<u64> {
     let table = replica.table();
     let candidates = table.candidates_by_service().flatten();
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn a_configuration_does_not_come_back_older() {
+fn an_older_configuration_is_not_adopted_after_a_restoration() {
     let mut replica = Replica::new(TOMBSTONE_LIFETIME);
     let written = |version, revision| {
         let mut configuration = configuration(version, &[("till", 1)]);
@@ -61,33 +63,33 @@
 }
 
 #[test]
-fn news_with_a_number_that_was_given_out_before_counts() {
+fn an_update_with_a_reassigned_number_is_applied() {
     let mut replica = node(vec![record(1, 4), record(2, 5)]);
     let copy = vec![restored(record(1, 4)), restored(record(2, 5))];
     replica.replace_instances(at(1_000), after(7), copy);
-    let drains = vec![InstanceEvent::Put(restored(draining(1, 8)))];
-    replica.apply_instances(at(2_000), after(8), drains);
+    let drain = vec![InstanceEvent::Put(restored(draining(1, 8)))];
+    replica.apply_instances(at(2_000), after(8), drain);
     assert_eq!(candidates(&replica), [2]);
 }
 
 #[test]
-fn a_copy_does_not_take_back_that_an_instance_leaves() {
+fn a_draining_instance_stays_draining_after_a_restoration() {
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(at(0), before(5), vec![record(1, 4), record(2, 5)]);
-    let drains = vec![InstanceEvent::Put(draining(1, 6))];
-    directory.apply(at(100), before(6), drains);
+    let drain = vec![InstanceEvent::Put(draining(1, 6))];
+    directory.apply(at(100), before(6), drain);
     let copy = vec![restored(record(1, 4)), restored(record(2, 5))];
     directory.replace(at(1_000), after(5), copy);
     assert_eq!(state(&directory, 1), Some(InstanceState::Draining));
     assert_eq!(state(&directory, 2), Some(InstanceState::Ready));
-    // Nor does what it writes before it has heard of the loss.
+    // The same applies to a record that it writes before it has learned of the restoration.
     let writes = vec![InstanceEvent::Put(restored(record(1, 6)))];
     directory.apply(at(1_100), after(6), writes);
     assert_eq!(state(&directory, 1), Some(InstanceState::Draining));
 }
 
 #[test]
-fn an_instance_that_left_is_known_to_leave_also_where_the_copy_was_read_first() {
+fn a_node_that_read_the_copy_first_learns_from_a_peer_that_an_instance_drains() {
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(at(0), after(5), vec![restored(record(1, 4))]);
     let mut peer = Directory::new(TOMBSTONE_LIFETIME);
@@ -99,21 +101,21 @@
 }
 
 #[test]
-fn an_instance_that_went_takes_no_new_flow_on_the_word_of_a_copy() {
+fn a_removed_instance_that_reappears_in_a_copy_gets_no_new_flows_at_first() {
     let mut replica = node(vec![record(1, 4), record(2, 5)]);
-    let gone = vec![InstanceEvent::Gone(InstanceId(1))];
-    replica.apply_instances(at(1_000), before(11), gone);
+    let removal = vec![InstanceEvent::Gone(InstanceId(1))];
+    replica.apply_instances(at(1_000), before(11), removal);
     let copy = vec![restored(record(1, 4)), restored(record(2, 5))];
     replica.replace_instances(at(10_000), after(10), copy);
     assert_eq!(candidates(&replica), [2]);
-    // A record that the store still has after some missed heartbeats is that of an instance that lives.
+    // If the store still has the record after some missed heartbeats, the instance is alive.
     assert!(!replica.expire(at(14_900)).directory);
     assert!(replica.expire(at(15_000)).directory);
     assert_eq!(candidates(&replica), [1, 2]);
 }
 
 #[test]
-fn an_instance_that_a_copy_lacks_is_back_once_it_writes_again() {
+fn an_instance_missing_in_a_copy_is_present_again_after_its_next_write() {
     let mut replica = node(vec![record(1, 4), record(2, 9)]);
     replica.replace_instances(at(1_000), after(8), vec![restored(record(1, 4))]);
     assert_eq!(state(replica.directory(), 2), None);
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn an_instance_does_not_become_cold_again_by_a_copy() {
+fn a_copy_does_not_make_an_instance_cold_again() {
     let cold = |revision| InstanceRecord {
         cold_remaining_milliseconds: 3_000,
         ..record(1, revision)
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn the_later_instance_at_an_address_stays_the_later_one() {
+fn the_order_of_instances_at_an_address_survives_a_restoration() {
     let earlier = record(1, 4);
     let later = InstanceRecord {
         address: earlier.address,
@@ -149,7 +151,7 @@
         InstanceEvent::Put(later.clone()),
     ];
     directory.apply(at(100), before(9), reused);
-    // The copy has the former holder of the address alone, whose place the other one takes again.
+    // The copy has only the earlier instance at the address. The later one then writes its record again.
     directory.replace(at(1_000), after(5), vec![restored(earlier)]);
     let writes = InstanceEvent::Put(InstanceRecord {
         revision: after(6),
@@ -157,39 +159,43 @@
         ..later
     });
     directory.apply(at(1_200), after(6), vec![writes]);
-    let succeeded: Vec<u64> = directory
+    let reused: Vec<u64> = directory
         .with_reused_address()
         .iter()
         .map(|id| id.0)
         .collect();
-    assert_eq!(succeeded, [1]);
+    assert_eq!(reused, [1]);
 }
 
 #[test]
-fn no_delta_joins_two_eras() {
-    let mut teller = Directory::new(TOMBSTONE_LIFETIME);
-    teller.replace(at(0), before(5), vec![record(1, 4)]);
+fn a_delta_across_a_restoration_applies_only_without_lost_changes() {
+    let mut sender = Directory::new(TOMBSTONE_LIFETIME);
+    sender.replace(at(0), before(5), vec![record(1, 4)]);
     let copy = vec![restored(record(1, 4)), restored(record(2, 5))];
-    teller.replace(at(1_000), after(5), copy);
-    let delta = teller.delta_since(at(1_000), before(5)).unwrap();
-    let told: Vec<u64> = delta.records.iter().map(|record| record.id.0).collect();
-    assert_eq!(told, [2], "what tells the same is not told again");
+    sender.replace(at(1_000), after(5), copy);
+    let delta = sender.delta_since(at(1_000), before(5)).unwrap();
+    let sent: Vec<u64> = delta.records.iter().map(|record| record.id.0).collect();
+    assert_eq!(
+        sent,
+        [2],
+        "records with the same content are not sent again"
+    );
     let receiver = |known| {
         let mut receiver = Directory::new(TOMBSTONE_LIFETIME);
         receiver.replace(at(0), before(5), vec![record(1, 4)]);
         if known > 5 {
-            let news = vec![InstanceEvent::Put(record(3, known))];
-            receiver.apply(at(0), before(known), news);
+            let update = vec![InstanceEvent::Put(record(3, known))];
+            receiver.apply(at(0), before(known), update);
         }
         receiver
     };
-    let mut as_new = receiver(5);
-    assert!(as_new.apply_delta(at(1_000), delta.clone()));
-    assert_eq!(as_new.as_of(), Some(after(5)));
-    // What it knows beyond the teller's last number may be lost, which only a list tells.
+    let mut same_revision = receiver(5);
+    assert!(same_revision.apply_delta(at(1_000), delta.clone()));
+    assert_eq!(same_revision.as_of(), Some(after(5)));
+    // Its changes after the sender's last revision before the restoration may be lost, which only a list shows.
     let mut newer = receiver(6);
     assert!(!newer.apply_delta(at(1_000), delta));
-    assert_eq!(teller.delta_since(at(1_000), before(6)), None);
+    assert_eq!(sender.delta_since(at(1_000), before(6)), None);
 }
 
 fn drained_zone(zone: &str, revision: Revision) -> DrainedZone {
@@ -199,7 +205,7 @@
     }
 }
 
-/// Zones of which Cork was drained, as known when the store was restored from a copy that lacks it.
+/// Returns zones after the store was restored from a copy that lacks the drain of Cork.
 fn drain_lost() -> ZoneDrains {
     let mut zones = ZoneDrains::unknown();
     zones.replace(at(0), before(7), vec![drained_zone("cork", before(7))]);
@@ -208,20 +214,20 @@
 }
 
 #[test]
-fn a_zone_stays_drained_until_its_drain_could_be_written_again() {
+fn a_zone_with_a_lost_drain_stays_drained_for_the_grace_period() {
     let mut zones = drain_lost();
     assert!(zones.is_drained("cork"));
-    let over = at(10_000).after(DRAIN_REWRITE_GRACE);
-    // Another list of the same store changes nothing of that.
+    let grace_ends = at(10_000).after(DRAIN_REWRITE_GRACE);
+    // Another list of the same era doesn't change that.
     zones.replace(at(11_000), after(8), Vec::new());
     assert!(!zones.expire(at(14_900)));
     assert!(zones.is_drained("cork"));
-    assert!(zones.expire(over));
+    assert!(zones.expire(grace_ends));
     assert!(!zones.is_drained("cork"));
 }
 
 #[test]
-fn a_drain_that_is_written_again_holds() {
+fn a_drain_that_is_written_again_stays() {
     let mut zones = drain_lost();
     let again = ZoneEvent::Drained(drained_zone("cork", after(9)));
     zones.apply(at(12_000), after(9), vec![again]);
@@ -230,13 +236,13 @@
 }
 
 #[test]
-fn a_newcomer_that_hears_of_a_lost_drain_drops_it_like_others() {
-    let told = drain_lost().snapshot(at(10_100)).unwrap();
-    let mut newcomer = ZoneDrains::unknown();
-    newcomer.adopt(at(10_100), told);
-    assert!(newcomer.is_drained("cork"));
-    assert!(newcomer.expire(at(10_100).after(DRAIN_REWRITE_GRACE)));
-    assert!(!newcomer.is_drained("cork"));
+fn a_starting_node_drops_a_lost_drain_after_the_grace_period() {
+    let snapshot = drain_lost().snapshot(at(10_100)).unwrap();
+    let mut starting = ZoneDrains::unknown();
+    starting.adopt(at(10_100), snapshot);
+    assert!(starting.is_drained("cork"));
+    assert!(starting.expire(at(10_100).after(DRAIN_REWRITE_GRACE)));
+    assert!(!starting.is_drained("cork"));
 }
 
 type TestFollower = Follower<u32>;
@@ -260,24 +266,25 @@
     }
 }
 
-const WATCHES: WatchPlan = WatchPlan::Watch(Freshness::Newest);
+const WATCH_NEWEST: WatchPlan = WatchPlan::Watch(Freshness::Newest);
 
+/// Returns whether the next call is a list of the newest state.
 fn lists(follower: &TestFollower) -> bool {
-    let next = follower.next_action(at(5_000), WATCHES);
+    let next = follower.next_action(at(5_000), WATCH_NEWEST);
     matches!(next, NextAction::Call(Read::List { freshness, .. }) if freshness == Freshness::Newest)
 }
 
 #[test]
-fn a_follower_lists_anew_in_a_new_era() {
+fn a_follower_lists_again_in_a_new_era() {
     let mut follower = TestFollower::new(FollowerSettings::default());
     follower.answer(at(0), page(before(26)), &mut random());
     assert!(!lists(&follower));
     follower.enter_era(StoreEra(1));
     assert!(lists(&follower));
-    // One that rests while others tell it enough doesn't.
-    let rests = WatchPlan::IdleUntil(at(6_000));
+    // It makes no call while it is idle.
+    let idle = WatchPlan::IdleUntil(at(6_000));
     assert_eq!(
-        follower.next_action(at(5_000), rests),
+        follower.next_action(at(5_000), idle),
         NextAction::WaitUntil(at(6_000))
     );
     follower.skip_to(after(24));
@@ -285,7 +292,7 @@
 }
 
 #[test]
-fn changes_of_another_era_are_no_answer_to_a_watch() {
+fn changes_of_another_era_are_not_accepted_by_a_watch() {
     let mut follower = TestFollower::new(FollowerSettings::default());
     follower.answer(at(0), page(before(26)), &mut random());
     let update = follower.answer(at(1_000), changes(after(28)), &mut random());
@@ -299,11 +306,14 @@
     assert_eq!(update, Some(whole));
     let late = follower.answer(at(3_000), changes(before(27)), &mut random());
     assert_eq!(late, None);
-    assert!(!follower.is_usable(), "it confirms nothing");
+    assert!(
+        !follower.is_usable(),
+        "an outdated answer counts as a failure"
+    );
 }
 
 #[test]
-fn a_list_does_not_join_pages_of_two_eras() {
+fn a_list_does_not_combine_pages_of_two_eras() {
     let mut follower = TestFollower::new(FollowerSettings::default());
     let first = Answer::Page {
         items: vec![1, 2],
@@ -336,71 +346,73 @@
 }
 
 #[test]
-fn answers_of_an_earlier_era_do_not_count() {
+fn answers_of_an_earlier_era_are_outdated() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(26));
-    let mut judge = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
-    assert_eq!(judge(Some(3)), AnswerValidity::Current);
-    assert_eq!(judge(Some(4)), AnswerValidity::Current);
-    assert_eq!(judge(Some(3)), AnswerValidity::Outdated);
+    let mut classify = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
+    assert_eq!(classify(Some(3)), AnswerValidity::Current);
+    assert_eq!(classify(Some(4)), AnswerValidity::Current);
+    assert_eq!(classify(Some(3)), AnswerValidity::Outdated);
     assert_eq!(
-        judge(None),
+        classify(None),
         AnswerValidity::Outdated,
-        "the store tells its era"
+        "the store reports its era"
     );
     assert_eq!(eras.era(), StoreEra(4));
 }
 
 #[test]
-fn the_first_era_that_a_node_hears_of_is_no_restoration() {
+fn the_first_known_era_is_not_a_restoration() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(0));
-    let mut judge = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
-    judge(Some(7));
+    let mut classify = |era| eras.classify(at(0), context, &NEWEST_LIST, &reply(era, 26));
+    classify(Some(7));
     assert!(!eras.was_restored() && !eras.was_recently_restored(at(0)));
     eras.record_era(at(1_000), StoreEra(8));
     assert!(eras.was_restored() && eras.was_recently_restored(at(10_999)));
     assert!(!eras.was_recently_restored(at(11_000)));
 }
 
-/// Two nodes may notice one restoration together, and hear of each other's news before their own answers come.
+/// Two nodes may detect one restoration at the same time and learn of it from each other before their own answers arrive.
+/// Counting it twice would start another era.
 #[test]
-fn one_restoration_is_noticed_once() {
+fn one_restoration_is_counted_once() {
     let mut eras = EraTracker::default();
     let context = eras.call_context(before(26));
     eras.record_era(at(0), StoreEra(1));
     let late = reply(None, 24);
-    let standing = eras.classify(at(10), context, &NEWEST_LIST, &late);
-    assert_eq!(standing, AnswerValidity::Outdated);
+    let validity = eras.classify(at(10), context, &NEWEST_LIST, &late);
+    assert_eq!(validity, AnswerValidity::Outdated);
     assert_eq!(eras.era(), StoreEra(1));
     let context = eras.call_context(after(24));
     let next = reply(None, 24);
-    let standing = eras.classify(at(20), context, &NEWEST_LIST, &next);
-    assert_eq!(standing, AnswerValidity::Current);
+    let validity = eras.classify(at(20), context, &NEWEST_LIST, &next);
+    assert_eq!(validity, AnswerValidity::Current);
     let again = reply(None, 23);
-    let standing = eras.classify(at(30), context, &NEWEST_LIST, &again);
+    let validity = eras.classify(at(30), context, &NEWEST_LIST, &again);
     assert_eq!(
-        (standing, eras.era()),
+        (validity, eras.era()),
         (AnswerValidity::Restored, StoreEra(2))
     );
 }
 
 #[test]
-fn a_read_that_may_be_stale_tells_nothing_of_a_restoration() {
+fn a_stale_read_does_not_show_a_restoration() {
     let mut eras = EraTracker::default();
     let stale = Read::List {
         after: None,
         freshness: Freshness::MayBeStale,
     };
     let context = eras.call_context(before(26));
-    let standing = eras.classify(at(0), context, &stale, &reply(None, 24));
+    let validity = eras.classify(at(0), context, &stale, &reply(None, 24));
     assert_eq!(
-        (standing, eras.era()),
+        (validity, eras.era()),
         (AnswerValidity::Current, StoreEra(0))
     );
 }
 
-/// The one node that reads the restored store's list tells all others.
+/// Lets one node read the restored store's list and returns how many nodes have adopted it after a time, and the bytes
+/// sent per node.
 fn adopted_within(cluster: &mut Cluster, milliseconds: u64, instances: u64) -> (usize, usize) {
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let copy: Vec<InstanceRecord> = (1..instances).map(|id| restored(record(id, id))).collect();
@@ -415,19 +427,19 @@
     cluster.perform(reader, outcome);
     cluster.run(milliseconds);
     let nodes = cluster.nodes.len();
-    let knows = |number: &usize| {
+    let has_adopted = |number: &usize| {
         let replica = cluster.nodes[&address(*number)].coordinator.replica();
         replica.directory().as_of() >= Some(after(instances))
     };
-    let adopted = (0..nodes).filter(knows).count();
-    let told = ["delta", "snapshot"].into_iter();
-    let told = told.filter_map(|kind| cluster.traffic.get(kind));
-    let bytes: usize = told.flatten().sum();
+    let adopted = (0..nodes).filter(has_adopted).count();
+    let sent = ["delta", "snapshot"].into_iter();
+    let sent = sent.filter_map(|kind| cluster.traffic.get(kind));
+    let bytes: usize = sent.flatten().sum();
     (adopted, bytes / nodes)
 }
 
 #[test]
-fn all_nodes_learn_of_a_restoration_within_a_second_whatever_their_number() {
+fn all_nodes_adopt_a_restored_state_within_a_second_at_any_cluster_size() {
     let costs = [10, 100, 1_000].map(|nodes| {
         let mut cluster = in_five_zones(nodes, 400);
         let (adopted, bytes) = adopted_within(&mut cluster, 1_000, 400);
@@ -437,11 +449,11 @@
         bytes
     });
     let [small, _, large] = costs;
-    assert!(large * 2 <= small * 3, "bytes a node: {costs:?}");
+    assert!(large * 2 <= small * 3, "bytes per node: {costs:?}");
 }
 
 #[test]
-fn a_node_that_learned_of_a_restoration_reads_the_newest_state_for_a_while() {
+fn stale_reads_are_avoided_for_a_while_after_a_restoration() {
     let mut cluster = in_five_zones(10, 40);
     adopted_within(&mut cluster, 1_000, 40);
     let backup = cluster.with_duty(StoreDuty::Backup)[0];
@@ -450,7 +462,7 @@
         let kind = bellyoke_core::cookie::freshness::ObjectKind::Instances;
         node.coordinator.watch_plan(at(now), kind)
     };
-    assert_eq!(plan(&cluster, cluster.now), WATCHES);
+    assert_eq!(plan(&cluster, cluster.now), WATCH_NEWEST);
     cluster.run(10_000);
     assert_eq!(
         plan(&cluster, cluster.now),
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that operators drain: which are drained, who hears it, and what becomes of their instances.
+//! Zones drained by operators: their state, its exchange between nodes, and its effect on instances.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, later, opening, record};
 use bellyoke_core::cookie::coordinator::Coordinator;
@@ -30,8 +30,7 @@
     }
 }
 
-/// A node that knows the service `till` with one instance in Cork and one in Kerry, and that no
-/// zone is drained.
+/// Returns a node with the service `till`, one instance in Cork, one in Kerry and no drained zones.
 fn node() -> Replica {
     let mut replica = Replica::reading_zones(TOMBSTONE_LIFETIME);
     let mut configuration = configuration(1, &[("till", 1)]);
@@ -50,7 +49,7 @@
     replica
 }
 
-/// Where openings go, whichever flow and whichever copy they are of.
+/// Returns the destinations of the openings and their repetitions for many flows.
 fn destinations(replica: &Replica, now: u64) -> Vec<Option<(InstanceId, Suitability)>> {
     let table = replica.table();
     let mut found = Vec::new();
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn no_opening_nor_copy_goes_to_a_drained_zone() {
+fn openings_and_their_repetitions_avoid_drained_zones() {
     let mut replica = node();
     replica.apply_zones(
         at(5),
@@ -97,12 +96,12 @@
 }
 
 #[test]
-fn a_flow_with_no_place_but_drained_zones_is_refused_at_once() {
+fn a_new_flow_is_refused_at_once_if_all_zones_are_drained() {
     let mut replica = node();
     let zones = vec![drained("cork", 20), drained("kerry", 21)];
     replica.replace_zones(at(5), Revision::new(21), zones);
     assert!(destinations(&replica, 10).iter().all(Option::is_none));
-    // Not even an instance whose record has just gone is taken instead.
+    // An instance whose record was just removed isn't used instead either.
     replica.apply_instances(
         at(6),
         Revision::new(22),
@@ -112,12 +111,12 @@
 }
 
 #[test]
-fn a_restored_zone_is_cold_until_a_newer_record_says_otherwise() {
+fn an_undrained_zone_is_cold_until_a_newer_record_shows_otherwise() {
     let mut replica = node();
     replica.replace_zones(at(5), Revision::new(20), vec![drained("cork", 20)]);
-    let restored = vec![ZoneEvent::Undrained("cork".to_owned())];
-    replica.apply_zones(at(1_000), Revision::new(30), restored);
-    let only_full = |replica: &Replica, now| {
+    let undrained = vec![ZoneEvent::Undrained("cork".to_owned())];
+    replica.apply_zones(at(1_000), Revision::new(30), undrained);
+    let is_cold = |replica: &Replica, now| {
         let found = destinations(replica, now);
         found.iter().all(|found| {
             found.is_none_or(|(id, suitability)| {
@@ -125,43 +124,43 @@
             })
         })
     };
-    assert!(only_full(&replica, 1_100), "cold right after");
-    assert!(!only_full(&replica, 3_100), "warm after two seconds");
+    assert!(is_cold(&replica, 1_100), "cold right after the undrain");
+    assert!(!is_cold(&replica, 3_100), "warm after two seconds");
     let newer = vec![InstanceEvent::Put(in_zone("cork", record(1, 31)))];
     replica.apply_instances(at(1_200), Revision::new(31), newer);
     assert!(
-        !only_full(&replica, 1_300),
-        "its record says that it is warm"
+        !is_cold(&replica, 1_300),
+        "a newer record shows that it is warm"
     );
 }
 
 #[test]
-fn what_a_node_knows_of_zones_never_goes_back() {
+fn older_updates_of_zones_are_ignored() {
     let mut zones = ZoneDrains::unknown();
     assert!(zones.replace(at(1), Revision::new(20), vec![drained("cork", 15)]));
     assert!(
         !zones.replace(at(2), Revision::new(19), Vec::new()),
         "older list"
     );
-    let restored = vec![ZoneEvent::Undrained("cork".to_owned())];
+    let undrained = vec![ZoneEvent::Undrained("cork".to_owned())];
     assert!(
-        !zones.apply(at(3), Revision::new(20), restored.clone()),
-        "no newer"
+        !zones.apply(at(3), Revision::new(20), undrained.clone()),
+        "changes that end at the known revision"
     );
     assert!(zones.is_drained("cork"));
     let mut peer = ZoneDrains::unknown();
     peer.replace(at(1), Revision::new(10), Vec::new());
     let old = peer.snapshot(at(1)).unwrap();
-    assert!(!zones.adopt(at(4), old), "a peer that knows less");
+    assert!(!zones.adopt(at(4), old), "a set of an outdated peer");
     assert!(zones.is_drained("cork"));
-    assert!(zones.apply(at(5), Revision::new(25), restored));
+    assert!(zones.apply(at(5), Revision::new(25), undrained));
     assert!(!zones.is_drained("cork"));
 }
 
-/// A node whose history was forgotten lists anew; a peer that knows a revision in between may hold
-/// another set, and must hear this one.
+/// A node lists again after the store has discarded its history. A peer at a revision in between may have another set and
+/// must adopt the new one.
 #[test]
-fn a_whole_list_is_news_for_who_knows_less() {
+fn a_full_list_replaces_the_set_of_an_outdated_peer() {
     let mut zones = ZoneDrains::unknown();
     zones.replace(at(1), Revision::new(20), Vec::new());
     let mut peer = ZoneDrains::unknown();
@@ -175,22 +174,22 @@
 }
 
 #[test]
-fn restorations_are_told_with_their_age_and_forgotten() {
+fn undrained_zones_are_sent_with_their_age_and_expire() {
     let mut zones = ZoneDrains::unknown();
     zones.replace(at(1_000), Revision::new(20), vec![drained("cork", 15)]);
     zones.replace(at(5_000), Revision::new(30), Vec::new());
-    let mut newborn = ZoneDrains::unknown();
-    newborn.adopt(at(9_000), zones.snapshot(at(7_000)).unwrap());
-    let restoration = newborn.last_undrain("cork").unwrap();
-    assert_eq!(restoration.at, at(7_000), "two seconds before it was heard");
-    newborn.expire(at(60_000));
-    assert!(newborn.last_undrain("cork").is_some());
-    newborn.expire(at(67_000));
-    assert!(newborn.last_undrain("cork").is_none());
+    let mut starting = ZoneDrains::unknown();
+    starting.adopt(at(9_000), zones.snapshot(at(7_000)).unwrap());
+    let undrain = starting.last_undrain("cork").unwrap();
+    assert_eq!(undrain.at, at(7_000), "2 s before the snapshot was adopted");
+    starting.expire(at(60_000));
+    assert!(starting.last_undrain("cork").is_some());
+    starting.expire(at(67_000));
+    assert!(starting.last_undrain("cork").is_none());
 }
 
 #[test]
-fn a_node_takes_no_flows_before_it_knows_the_drained_zones() {
+fn a_node_is_not_ready_before_it_knows_the_drained_zones() {
     let mut replica = Replica::reading_zones(TOMBSTONE_LIFETIME);
     replica.adopt_configuration(configuration(1, &[("till", 1)]));
     replica.replace_instances(at(0), Revision::new(10), vec![record(1, 1)]);
@@ -213,11 +212,11 @@
 }
 
 #[test]
-fn zones_reach_a_peer_by_delta_and_a_newborn_by_snapshot() {
+fn drained_zones_reach_a_peer_by_delta_and_a_starting_node_by_snapshot() {
     let address = SocketAddrV4::new([10, 1, 0, 1].into(), 7_000);
-    let mut teller = coordinator(1);
+    let mut sender = coordinator(1);
     let mut peer = coordinator(2);
-    for node in [&mut teller, &mut peer] {
+    for node in [&mut sender, &mut peer] {
         let none = Update::List {
             at: Revision::new(10),
             items: Vec::new(),
@@ -229,14 +228,19 @@
         at: Revision::new(20),
         events: vec![ZoneEvent::Drained(drained("cork", 20))],
     };
-    assert!(teller.zones(at(90_001), drain).change.zones);
-    let message = teller.delta_for(at(90_002), known).unwrap();
+    assert!(sender.zones(at(90_001), drain).change.zones);
+    let message = sender.delta_for(at(90_002), known).unwrap();
     let datagram = bellyoke_core::cookie::exchange::PeerDatagram::Delta(message);
     assert!(peer.datagram(at(90_003), address, datagram).change.zones);
     assert!(peer.replica().zones().is_drained("cork"));
 
-    let mut newborn = coordinator(3);
-    let snapshot = peer.snapshot_for(at(90_004), newborn.fetch_request());
-    assert!(newborn.snapshot(at(90_005), address, snapshot).change.zones);
-    assert!(newborn.replica().zones().is_drained("cork"));
+    let mut starting = coordinator(3);
+    let snapshot = peer.snapshot_for(at(90_004), starting.fetch_request());
+    assert!(
+        starting
+            .snapshot(at(90_005), address, snapshot)
+            .change
+            .zones
+    );
+    assert!(starting.replica().zones().is_drained("cork"));
 }
