--- a/crates/bellyoke-core/src/cookie/era.rs
+++ b/crates/bellyoke-core/src/cookie/era.rs
@@ -47,7 +47,7 @@
 /// Tracks the eras of the store.
 ///
 /// ```
-/// use bellyoke_core::cookie::era::{EraTracker, AnswerValidity};
+/// use bellyoke_core::cookie::era::{AnswerValidity, EraTracker};
 /// use bellyoke_core::cookie::follower::{Answer, Freshness, Read, Reply};
 /// use bellyoke_core::cookie::revision::{Revision, StoreEra};
 /// use bellyoke_core::time::Timestamp;
--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -52,7 +52,7 @@
 /// waited 1 s for the first page, about 12 of them continue per 100 ms.
 const MAXIMUM_LIST_DELAY: Duration = Duration::from_secs(8);
 
-/// Maximum time that the store keeps a watch open that only confirms the known state.
+/// Maximum time that the store keeps a confirming watch open. It is short because the answer is needed at once.
 const CONFIRM_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 impl Default for FollowerSettings {
@@ -77,7 +77,7 @@
         items: Vec<Item>,
         after: Option<String>,
         freshness: Freshness,
-        /// The revision known before the list. The store has discarded its history after it.
+        /// The revision up to which the state was known before the list, or zero. A watch can't continue from it.
         known_up_to: Revision,
     },
     Watching {
