--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -18,7 +18,7 @@
 /// drain again.
 pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
-/// Maximum number of undrained zones in a snapshot, which keeps a snapshot well below the size of one datagram.
+/// Maximum number of undrained zones in a snapshot. It leaves ample space in the one datagram that a snapshot must fit.
 pub const MAXIMUM_UNDRAINED_ZONES: usize = 32;
 
 /// A zone whose instances get no new flows.
