--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -7,7 +7,7 @@
 mod probing;
 
 use crate::cookie::capacity::BusyDetector;
-use crate::cookie::era::{CallContext, EraTracker, Standing};
+use crate::cookie::era::{AnswerValidity, CallContext, EraTracker};
 use crate::cookie::exchange::{
     DeltaMessage, Exchange, ExchangeEffect, FetchRequest, Heartbeat, PeerDatagram, StoreDuty,
 };
@@ -131,10 +131,10 @@
     pub fn watch_plan(&self, now: Timestamp, kind: ObjectKind) -> WatchPlan {
         let versions = self.replica.versions();
         match self.exchange.watch_plan(now, kind, versions) {
-            plan if !self.eras.was_restored_of_late(now) => plan,
-            plan @ WatchPlan::RestUntil(time) if now < time => plan,
+            plan if !self.eras.was_recently_restored(now) => plan,
+            plan @ WatchPlan::IdleUntil(time) if now < time => plan,
             WatchPlan::Watch(_) => WatchPlan::Watch(Freshness::Newest),
-            WatchPlan::Confirm | WatchPlan::RestUntil(_) => WatchPlan::Confirm,
+            WatchPlan::Confirm | WatchPlan::IdleUntil(_) => WatchPlan::Confirm,
         }
     }
 
@@ -164,8 +164,8 @@
         context: CallContext,
         read: &Read,
         reply: &Reply<Item, Event>,
-    ) -> Standing {
-        self.eras.judge(now, context, read, reply)
+    ) -> AnswerValidity {
+        self.eras.classify(now, context, read, reply)
     }
 
     /// Returns the revision up to which all objects of a kind are known, from any source.
@@ -208,7 +208,7 @@
     ) -> Outcome {
         let before = self.replica.versions();
         let directory = match update {
-            Update::Whole { at, items } => self.replica.replace_instances(now, at, items),
+            Update::List { at, items } => self.replica.replace_instances(now, at, items),
             Update::Changes { at, events } => self.replica.apply_instances(now, at, events),
         };
         let change = StateChange {
@@ -225,7 +225,7 @@
         update: Update<Configuration, Configuration>,
     ) -> Outcome {
         let before = self.replica.versions();
-        let (Update::Whole {
+        let (Update::List {
             at,
             items: configurations,
         }
@@ -249,7 +249,7 @@
     ) -> Outcome {
         let before = self.replica.versions();
         let zones = match update {
-            Update::Whole { at, items } => self.replica.replace_zones(now, at, items),
+            Update::List { at, items } => self.replica.replace_zones(now, at, items),
             Update::Changes { at, events } => self.replica.apply_zones(now, at, events),
         };
         let change = StateChange {
@@ -442,7 +442,7 @@
     /// Records the versions that a peer reported, which include the era of the store that it knows.
     fn record_versions(&mut self, now: Timestamp, versions: Versions) {
         if !versions.is_empty() {
-            self.eras.note(now, versions.latest().era());
+            self.eras.record_era(now, versions.latest().era());
         }
     }
 
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -323,7 +323,7 @@
     directory: &DirectoryPart,
 ) -> Result<PackedDirectory, EncodeError> {
     Ok(match directory {
-        DirectoryPart::Whole(whole) => PackedDirectory::Whole {
+        DirectoryPart::Full(whole) => PackedDirectory::Whole {
             as_of: whole.as_of,
             records: pack_records(names, &whole.records)?,
         },
@@ -340,7 +340,7 @@
         as_of: delta.as_of,
         gaps: delta.gaps.clone(),
         records: pack_records(names, &delta.records)?,
-        gone: pack_tombstones(names, &delta.gone)?,
+        gone: pack_tombstones(names, &delta.tombstones)?,
     })
 }
 
@@ -349,7 +349,7 @@
     packed: PackedDirectory,
 ) -> Result<DirectoryPart, DecodeError> {
     Ok(match packed {
-        PackedDirectory::Whole { as_of, records } => DirectoryPart::Whole(DirectorySnapshot {
+        PackedDirectory::Whole { as_of, records } => DirectoryPart::Full(DirectorySnapshot {
             as_of,
             records: unpack_records(names, records)?,
         }),
@@ -364,7 +364,7 @@
             as_of,
             gaps,
             records: unpack_records(names, records)?,
-            gone: unpack_tombstones(names, gone)?,
+            tombstones: unpack_tombstones(names, gone)?,
         }),
     })
 }
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watching.rs
@@ -83,7 +83,7 @@
             (StoreDuty::Reader, _) => WatchPlan::Watch(Freshness::Newest),
             _ if !is_fresh && self.newest_was_read => WatchPlan::Confirm,
             (StoreDuty::Listener, Some(stale_at)) if !own.is_empty() => {
-                WatchPlan::RestUntil(stale_at)
+                WatchPlan::IdleUntil(stale_at)
             }
             (StoreDuty::Backup | StoreDuty::Listener, _) => WatchPlan::Watch(Freshness::MayBeStale),
         }
--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -1,71 +1,75 @@
-//! Reading one kind of object from the store: list, then watch from the list's revision.
+//! Reads one kind of object from the store: a list, then watches from the revision of the list.
 //!
-//! The follower says what to ask and takes the answers; the host speaks the store's protocol.
-//! Reads that may be answered from an older state (*stale*) are cheap and don't count towards
-//! the store's rate: lists are read so, and watches of all nodes but one. Order is kept by
-//! revisions, so an old answer never undoes a newer one. Few nodes watch all the time
-//! ([`crate::cookie::exchange::StoreDuty`]); the others rest while these tell them enough.
+//! The follower decides which call to make and processes the answers; the host implements the store's protocol. Reads that
+//! may return an older state (*stale reads*) are cheap and don't count towards the store's rate limit. Lists are stale
+//! reads, and so are the watches of all nodes but one. Answers are ordered by revision, so an old answer never overrides a
+//! newer one. Only a few nodes watch all the time ([`crate::cookie::exchange::StoreDuty`]); the others are idle while they
+//! get sufficient updates from these nodes.
 
 mod call;
 
-pub use call::{Answer, Freshness, Next, Read, Reply, Update, WatchPlan};
+pub use call::{Answer, Freshness, NextAction, Read, Reply, Update, WatchPlan};
 
 use crate::cookie::revision::{Revision, StoreEra};
 use crate::time::Timestamp;
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// How a follower paces itself.
+/// Timing of a follower's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowerSettings {
-    /// How long the store may hold a watch open that may be stale. A connection that says
-    /// nothing for longer is dead, so this bounds how long a cut goes unnoticed.
+    /// Maximum time that the store keeps a stale watch open. A connection without an answer for longer is considered dead,
+    /// so this bounds the time to detect a broken connection.
     pub watch_wait: Duration,
-    /// The same for a watch of the newest state, which is dearer. With [`Self::reader_pause`] it must be shorter than the
-    /// time for which others rest after a confirmation: the answer is their next one.
+    /// The same for a watch of the newest state, which is more expensive. Its answer is the next confirmation for idle
+    /// nodes, so the sum with [`Self::reader_watch_pause`] must be shorter than the time that they stay idle after one.
     pub reader_watch_wait: Duration,
-    /// Pause of a stale watch after changes, so that those that come together cost one call.
-    pub pause: Duration,
+    /// Pause of a stale watch after changes. It batches changes in quick succession into one call.
+    pub watch_pause: Duration,
     /// The same for a watch of the newest state.
-    pub reader_pause: Duration,
-    /// Pause after the first failure; doubles with each further one.
-    pub backoff_first: Duration,
-    /// Longest pause.
-    pub backoff_longest: Duration,
-    /// How much more than the least of machines this one bears: so much sooner it goes on with a long list.
-    pub list_weight: f64,
+    pub reader_watch_pause: Duration,
+    /// Pause after the first failure. It doubles with each further failure.
+    pub initial_backoff: Duration,
+    /// Maximum pause after failures.
+    pub maximum_backoff: Duration,
+    /// Capacity of this machine relative to the smallest machine class. It divides the delay before the second page of a
+    /// long list.
+    pub relative_capacity: f64,
 }
 
-/// A first list that has more pages goes on after a random part of so many times as long as the first page took. That
-/// is long where many nodes list at once: a few then read the whole list, and the others learn it from them. 986 nodes
-/// that all read 10,000 records of 250 bytes take a store with 1,000 Mbit/s for 20 s (worked out); one page each takes 1 s.
-const LIST_SPREAD: f64 = 10.0;
+/// Maximum delay before the second page of the first list, as a multiple of the time that the first page took; the actual
+/// delay is a random part of it. The delay is long when many nodes list at once: a few of them then read the full list and
+/// the others get it from these. 986 nodes that all read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for
+/// 20 s (calculated); one page for each node takes 1 s.
+const LIST_SPREAD_FACTOR: f64 = 10.0;
 
-/// Pause after a read that may be stale has told that history is gone, before the list is read: word of one who reads the
-/// newest state comes within some tens of milliseconds. Short beside the time within which a change must be in force.
-const LAG_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum delay before a new list after a stale read has found that the store's history is gone. The update of a node that
+/// reads the newest state arrives within tens of milliseconds and makes the list redundant. The delay is short compared to
+/// the time within which a change must take effect.
+const RELIST_DELAY_AFTER_STALE_READ: Duration = Duration::from_millis(300);
 
-/// Longest wait for the second page. A node that is alone with a slow store goes on after it; with 1,000 nodes that have
-/// waited 1 s for the first page a dozen go on in each tenth of a second.
-const LONGEST_LIST_WAIT: Duration = Duration::from_secs(8);
+/// Upper bound of the delay before the second page. It lets a single node with a slow store continue. If 1,000 nodes have
+/// waited 1 s for the first page, about 12 of them continue per 100 ms.
+const MAXIMUM_LIST_DELAY: Duration = Duration::from_secs(8);
 
-/// How long a watch may wait whose answer is wanted at once.
-const CONFIRM_WAIT: Duration = Duration::from_millis(10);
+/// Maximum time that the store keeps a confirming watch open. It is short because the answer is needed at once.
+const CONFIRM_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 impl Default for FollowerSettings {
     fn default() -> Self {
         Self {
             watch_wait: Duration::from_millis(750),
             reader_watch_wait: Duration::from_millis(750),
-            pause: Duration::from_millis(50),
-            reader_pause: Duration::from_millis(500),
-            backoff_first: Duration::from_millis(100),
-            backoff_longest: Duration::from_millis(1_000),
-            list_weight: 1.0,
+            watch_pause: Duration::from_millis(50),
+            reader_watch_pause: Duration::from_millis(500),
+            initial_backoff: Duration::from_millis(100),
+            maximum_backoff: Duration::from_millis(1_000),
+            relative_capacity: 1.0,
         }
     }
 }
 
+/// What the follower is reading.
 #[derive(Debug)]
 enum Phase<Item> {
     Listing {
@@ -73,8 +77,8 @@
         items: Vec<Item>,
         after: Option<String>,
         freshness: Freshness,
-        /// The store has forgotten what came after this revision.
-        forgotten: Revision,
+        /// The revision up to which the state was known before the list, or zero. A watch can't continue from it.
+        known_up_to: Revision,
     },
     Watching {
         from: Revision,
@@ -82,13 +86,14 @@
 }
 
 impl<Item> Phase<Item> {
-    const fn list(freshness: Freshness, forgotten: Revision) -> Self {
+    /// Returns the phase at the start of a list.
+    const fn list(freshness: Freshness, known_up_to: Revision) -> Self {
         Self::Listing {
             oldest_at: None,
             items: Vec::new(),
             after: None,
             freshness,
-            forgotten,
+            known_up_to,
         }
     }
 }
@@ -102,19 +107,19 @@
     not_before: Timestamp,
     /// When a watch last brought changes.
     changed_at: Option<Timestamp>,
-    /// When the last call began.
-    asked_at: Option<Timestamp>,
-    /// Whether it may be answered from an older state. One whose history is gone may be that of a store that lags: others
-    /// are told what is new, and a list each time costs the store 2.5 MB at 10,000 instances.
-    asked_stale: bool,
-    /// Whether the last call was refused as one too many. The store may still answer cheaper reads, which may be stale.
+    /// When the last call started.
+    call_started_at: Option<Timestamp>,
+    /// Whether the last call was a stale watch. If its history is gone, the answer may come from a lagging replica of the
+    /// store, and a list each time would cost the store 2.5 MB with 10,000 instances although peers send the changes.
+    last_call_may_be_stale: bool,
+    /// Whether the store throttled the last call. It may still answer stale reads, which are cheaper.
     throttled: bool,
-    /// The store's era. What was read in an earlier one is no place to go on from.
+    /// The store's era. Revisions of an earlier era are not valid starting points.
     era: StoreEra,
 }
 
 impl<Item> Follower<Item> {
-    /// A follower that knows nothing.
+    /// Creates a follower that has read nothing.
     #[must_use]
     pub const fn new(settings: FollowerSettings) -> Self {
         Self {
@@ -123,34 +128,34 @@
             failures: 0,
             not_before: Timestamp::ZERO,
             changed_at: None,
-            asked_at: None,
-            asked_stale: false,
+            call_started_at: None,
+            last_call_may_be_stale: false,
             throttled: false,
             era: StoreEra(0),
         }
     }
 
-    /// The store is in this era, if no later one is known.
+    /// Records the store's era if it is newer than the known one, and restarts a list that began in an earlier era.
     pub fn enter_era(&mut self, era: StoreEra) {
         self.era = era.max(self.era);
         if let Phase::Listing {
             oldest_at: Some(at),
-            forgotten,
+            known_up_to,
             ..
         } = self.phase
             && at.era() < self.era
         {
-            self.phase = Phase::list(Freshness::Newest, forgotten);
+            self.phase = Phase::list(Freshness::Newest, known_up_to);
         }
     }
 
-    /// A call begins.
-    pub fn asked(&mut self, now: Timestamp, read: &Read) {
+    /// Records the start of a call.
+    pub fn start_call(&mut self, now: Timestamp, read: &Read) {
         if let (Read::List { freshness, .. }, Phase::Watching { from }) = (read, &self.phase) {
             self.phase = Phase::list(*freshness, *from);
         }
-        self.asked_at = Some(now);
-        self.asked_stale = matches!(
+        self.call_started_at = Some(now);
+        self.last_call_may_be_stale = matches!(
             read,
             Read::Watch {
                 freshness: Freshness::MayBeStale,
@@ -159,16 +164,16 @@
         );
     }
 
-    /// What to do now. `plan` is how it goes on once it has a list.
+    /// Returns what to do now. `plan` applies after the first list.
     #[must_use]
-    pub fn next(&self, now: Timestamp, plan: WatchPlan) -> Next {
+    pub fn next_action(&self, now: Timestamp, plan: WatchPlan) -> NextAction {
         if now < self.not_before {
-            return Next::WaitUntil(self.not_before);
+            return NextAction::WaitUntil(self.not_before);
         }
         match &self.phase {
             Phase::Listing {
                 after, freshness, ..
-            } => Next::Call(Read::List {
+            } => NextAction::Call(Read::List {
                 after: after.clone(),
                 freshness: *freshness,
             }),
@@ -176,32 +181,32 @@
         }
     }
 
-    /// What the node has heard from elsewhere reaches up to here: the next watch goes on from
-    /// there. A list that has not ended by then is not needed any more.
+    /// Records that the node has learned the state up to a revision from elsewhere. The next watch starts there, and an
+    /// unfinished list that is redundant is abandoned.
     pub fn skip_to(&mut self, at: Revision) {
         match &mut self.phase {
             Phase::Watching { from } => *from = at.max(*from),
-            Phase::Listing { forgotten, .. } if at > *forgotten => {
+            Phase::Listing { known_up_to, .. } if at > *known_up_to => {
                 self.phase = Phase::Watching { from: at };
             }
             Phase::Listing { .. } => {}
         }
     }
 
-    /// Whether it is reading a list that what the node has heard from elsewhere, up to here, makes
-    /// needless.
+    /// Returns whether the follower is reading a list that is redundant because the node has learned the state up to `at`
+    /// from elsewhere.
     #[must_use]
-    pub fn is_needless(&self, at: Revision) -> bool {
-        matches!(&self.phase, Phase::Listing { forgotten, .. } if at > *forgotten)
+    pub fn is_list_redundant(&self, at: Revision) -> bool {
+        matches!(&self.phase, Phase::Listing { known_up_to, .. } if at > *known_up_to)
     }
 
-    /// Whether the last call was answered, or none was made yet.
+    /// Returns whether the last call was answered, or none was made yet.
     #[must_use]
     pub const fn is_usable(&self) -> bool {
         self.failures == 0
     }
 
-    /// Takes the answer to the last call. Returns news, if it is any.
+    /// Processes the answer to the last call. Returns an update if the answer contains one.
     pub fn answer<Event>(
         &mut self,
         now: Timestamp,
@@ -216,7 +221,7 @@
             }
             Answer::Changes { at, .. } if at.era() != self.watched_from().era() => {
                 self.enter_era(at.era());
-                self.list_anew(now, random);
+                self.restart_list(now, random);
                 None
             }
             Answer::Page { at, .. } if self.has_pages_of_another_era(at.era()) => {
@@ -231,7 +236,7 @@
                 self.enter_era(at.era());
                 self.failures = 0;
                 if next_after.is_some() && self.is_first_page() {
-                    self.not_before = now.after(self.list_wait(now, random));
+                    self.not_before = now.after(self.list_delay(now, random));
                 }
                 self.page(items, next_after, at)
             }
@@ -243,12 +248,12 @@
                 self.changes(events, at)
             }
             Answer::HistoryGone => {
-                self.list_anew(now, random);
+                self.restart_list(now, random);
                 None
             }
             Answer::Throttled => {
-                if let Phase::Listing { forgotten, .. } = self.phase {
-                    self.phase = Phase::list(Freshness::MayBeStale, forgotten);
+                if let Phase::Listing { known_up_to, .. } = self.phase {
+                    self.phase = Phase::list(Freshness::MayBeStale, known_up_to);
                 }
                 self.back_off(now, random);
                 None
@@ -260,54 +265,59 @@
         }
     }
 
-    /// Whether the list that it reads began in another era.
+    /// Returns whether the current list has pages of another era.
     fn has_pages_of_another_era(&self, era: StoreEra) -> bool {
         matches!(&self.phase, Phase::Listing { oldest_at: Some(at), .. } if at.era() != era)
     }
 
-    /// The watch can't go on from where it is.
-    fn list_anew(&mut self, now: Timestamp, random: &mut impl Rng) {
-        let forgotten = self.watched_from();
-        self.phase = Phase::list(Freshness::Newest, forgotten);
-        if self.asked_stale {
-            self.not_before = now.after(LAG_PAUSE.mul_f64(random.random_range(0.5..=1.0)));
+    /// Starts a new list because the watch can't continue from its revision.
+    fn restart_list(&mut self, now: Timestamp, random: &mut impl Rng) {
+        let known_up_to = self.watched_from();
+        self.phase = Phase::list(Freshness::Newest, known_up_to);
+        if self.last_call_may_be_stale {
+            self.not_before =
+                now.after(RELIST_DELAY_AFTER_STALE_READ.mul_f64(random.random_range(0.5..=1.0)));
         }
     }
 
-    /// The revision up to which the follower has read.
+    /// Returns the revision up to which the follower has read.
     const fn watched_from(&self) -> Revision {
         match &self.phase {
             Phase::Watching { from } => *from,
-            Phase::Listing { forgotten, .. } => *forgotten,
+            Phase::Listing { known_up_to, .. } => *known_up_to,
         }
     }
 
-    fn watch(&self, now: Timestamp, from: Revision, plan: WatchPlan) -> Next {
+    /// Returns the next action while watching.
+    fn watch(&self, now: Timestamp, from: Revision, plan: WatchPlan) -> NextAction {
         let freshness = match plan {
             WatchPlan::Watch(_) | WatchPlan::Confirm if self.throttled => Freshness::MayBeStale,
             WatchPlan::Watch(freshness) => freshness,
             WatchPlan::Confirm => Freshness::Newest,
-            WatchPlan::RestUntil(time) if now < time => return Next::WaitUntil(time),
-            WatchPlan::RestUntil(_) => Freshness::MayBeStale,
+            WatchPlan::IdleUntil(time) if now < time => return NextAction::WaitUntil(time),
+            WatchPlan::IdleUntil(_) => Freshness::MayBeStale,
         };
         let (wait, pause) = match freshness {
-            Freshness::Newest => (self.settings.reader_watch_wait, self.settings.reader_pause),
-            Freshness::MayBeStale => (self.settings.watch_wait, self.settings.pause),
+            Freshness::Newest => (
+                self.settings.reader_watch_wait,
+                self.settings.reader_watch_pause,
+            ),
+            Freshness::MayBeStale => (self.settings.watch_wait, self.settings.watch_pause),
         };
         let pause_ends = self.changed_at.map(|changed_at| changed_at.after(pause));
         if let Some(pause_ends) = pause_ends.filter(|pause_ends| now < *pause_ends) {
-            return Next::WaitUntil(pause_ends);
+            return NextAction::WaitUntil(pause_ends);
         }
         if from.era() < self.era {
-            return Next::Call(Read::List {
+            return NextAction::Call(Read::List {
                 after: None,
                 freshness: Freshness::Newest,
             });
         }
-        Next::Call(Read::Watch {
+        NextAction::Call(Read::Watch {
             from,
             wait: if plan == WatchPlan::Confirm {
-                CONFIRM_WAIT
+                CONFIRM_WATCH_WAIT
             } else {
                 wait
             },
@@ -315,24 +325,25 @@
         })
     }
 
-    /// Whether no page of the first list has come yet.
+    /// Returns whether the first page of the first list has not arrived yet.
     fn is_first_page(&self) -> bool {
         matches!(
             &self.phase,
-            Phase::Listing { after: None, forgotten, .. } if *forgotten == Revision::default()
+            Phase::Listing { after: None, known_up_to, .. } if *known_up_to == Revision::default()
         )
     }
 
-    /// How long others have to read the list, after its first page.
-    fn list_wait(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
-        let took = self
-            .asked_at
-            .map_or(Duration::ZERO, |asked_at| now.since(asked_at));
-        let spread = LIST_SPREAD / self.settings.list_weight;
-        let longest = took.mul_f64(spread).min(LONGEST_LIST_WAIT);
+    /// Returns the delay before the second page, in which other nodes may read the list.
+    fn list_delay(&self, now: Timestamp, random: &mut impl Rng) -> Duration {
+        let page_time = self
+            .call_started_at
+            .map_or(Duration::ZERO, |call_started_at| now.since(call_started_at));
+        let spread = LIST_SPREAD_FACTOR / self.settings.relative_capacity;
+        let longest = page_time.mul_f64(spread).min(MAXIMUM_LIST_DELAY);
         longest.mul_f64(random.random_range(0.0..1.0))
     }
 
+    /// Adds a page to the list. Returns the list once it is complete.
     fn page<Event>(
         &mut self,
         page: Vec<Item>,
@@ -348,8 +359,8 @@
         else {
             return None;
         };
-        // The list is true at the revision of its oldest page, mostly the first: the watch from
-        // there tells what changed until the other pages were read.
+        // The list counts as of the revision of its oldest page, usually the first one. The watch from there returns the
+        // changes made until the other pages were read.
         let list_at = oldest_at.map_or(at, |oldest| oldest.min(at));
         *oldest_at = Some(list_at);
         items.extend(page);
@@ -359,9 +370,10 @@
         }
         let items = std::mem::take(items);
         self.phase = Phase::Watching { from: list_at };
-        Some(Update::Whole { at: list_at, items })
+        Some(Update::List { at: list_at, items })
     }
 
+    /// Advances the watch and returns its changes.
     fn changes<Event>(&mut self, events: Vec<Event>, at: Revision) -> Option<Update<Item, Event>> {
         let Phase::Watching { from } = &mut self.phase else {
             return None;
@@ -370,12 +382,11 @@
         Some(Update::Changes { at, events })
     }
 
-    /// Waits for a random part of a time that doubles with each failure, so that nodes that
-    /// failed together don't come back together.
+    /// Waits with exponential backoff. A random factor avoids retries at the same time by nodes that failed together.
     fn back_off(&mut self, now: Timestamp, random: &mut impl Rng) {
         let doublings = self.failures.min(16);
-        let doubled = self.settings.backoff_first.saturating_mul(1 << doublings);
-        let longest = doubled.min(self.settings.backoff_longest);
+        let doubled = self.settings.initial_backoff.saturating_mul(1 << doublings);
+        let longest = doubled.min(self.settings.maximum_backoff);
         self.failures = self.failures.saturating_add(1);
         self.not_before = now.after(longest.mul_f64(random.random_range(0.5..=1.0)));
     }
--- a/crates/bellyoke-core/src/cookie/publication.rs
+++ b/crates/bellyoke-core/src/cookie/publication.rs
@@ -1,26 +1,25 @@
-//! When a node builds its next forwarding table.
+//! Pacing of forwarding table builds.
 //!
-//! A table is built from all instances, so that its cost grows with them, and while a service is replaced changes come
-//! twenty times a second. So tables wait for each other, the longer the dearer they are; what changes meanwhile is in
-//! the next one. A node of few instances builds one in less than a tenth of a millisecond, and publishes each change at
-//! once.
+//! A table is built from all instances, so its cost grows with their number, and a rolling replacement of a service causes
+//! about 20 changes per second. Builds are therefore spaced in proportion to their cost, and changes in between are
+//! included in the next table. With few instances a build takes less than 0.1 ms, and each change is published at once.
 
 use crate::cookie::replica::StateChange;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Least time between two tables.
-const SHORTEST_REST: Duration = Duration::from_millis(5);
+/// Minimum interval between two tables.
+const MINIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Most time between two tables: a fifteenth of the shortest time within which a change of instances must be in force.
-const LONGEST_REST: Duration = Duration::from_millis(200);
+/// Maximum interval between two tables. It is 1/15 of the shortest time within which a change of instances must take
+/// effect.
+const MAXIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// So much longer than the building of a table took, by the clock, another one has to wait: building them takes a
-/// twentieth of what the thread gets of its processor, and a tenth where one takes 20 ms (10,000 instances on an eighth of
-/// a core).
-const RESTS: u32 = 20;
+/// Interval between two tables as a multiple of the wall-clock time of the last build. It limits builds to 1/20 of the
+/// thread's share of its processor, and to 1/10 if a build takes 20 ms (10,000 instances on 1/8 of a core).
+const BUILD_TIME_MULTIPLE: u32 = 20;
 
-/// Paces the tables of one node.
+/// Decides when a node builds its next forwarding table.
 ///
 /// ```
 /// use bellyoke_core::cookie::publication::TablePacer;
@@ -31,45 +30,46 @@
 /// let at = |milliseconds: u64| Timestamp::from_micros(milliseconds * 1_000);
 /// let instances = StateChange { directory: true, ..StateChange::default() };
 /// let mut pacer = TablePacer::default();
-/// pacer.changed(at(0), instances);
+/// pacer.record_change(at(0), instances);
 /// assert!(pacer.is_due(at(0)));
-/// pacer.published(at(0), Duration::from_millis(2));
-/// pacer.changed(at(10), instances);
+/// pacer.record_publication(at(0), Duration::from_millis(2));
+/// pacer.record_change(at(10), instances);
 /// assert!(!pacer.is_due(at(39)));
 /// assert!(pacer.is_due(at(40)));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TablePacer {
     /// Whether the state has changed since the last table.
-    is_behind: bool,
+    has_unpublished_changes: bool,
+    /// Earliest time of the next table.
     next_at: Timestamp,
 }
 
 impl TablePacer {
-    /// The state has changed. What operators have changed doesn't wait: that is rare.
-    pub fn changed(&mut self, now: Timestamp, change: StateChange) {
-        self.is_behind |= change.any();
+    /// Records a change of state. Changes by operators are rare and are published without delay.
+    pub fn record_change(&mut self, now: Timestamp, change: StateChange) {
+        self.has_unpublished_changes |= change.any();
         if change.configuration || change.zones {
             self.next_at = now;
         }
     }
 
-    /// Whether a table is to be built now.
+    /// Returns whether a table must be built now.
     #[must_use]
     pub fn is_due(&self, now: Timestamp) -> bool {
-        self.is_behind && now >= self.next_at
+        self.has_unpublished_changes && now >= self.next_at
     }
 
-    /// Whether the last table lacks something.
+    /// Returns whether the last table lacks a change.
     #[must_use]
-    pub const fn is_behind(&self) -> bool {
-        self.is_behind
+    pub const fn has_unpublished_changes(&self) -> bool {
+        self.has_unpublished_changes
     }
 
-    /// A table was published whose building began at `now` and took so long.
-    pub fn published(&mut self, now: Timestamp, took: Duration) {
-        self.is_behind = false;
-        let rest = took.saturating_mul(RESTS);
-        self.next_at = now.after(rest.clamp(SHORTEST_REST, LONGEST_REST));
+    /// Records the publication of a table whose build started at `now` and took `build_time`.
+    pub fn record_publication(&mut self, now: Timestamp, build_time: Duration) {
+        self.has_unpublished_changes = false;
+        let interval = build_time.saturating_mul(BUILD_TIME_MULTIPLE);
+        self.next_at = now.after(interval.clamp(MINIMUM_TABLE_INTERVAL, MAXIMUM_TABLE_INTERVAL));
     }
 }
--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -1,8 +1,8 @@
-//! Zones that operators have drained, so that their instances take no new flows.
+//! Zones drained by operators. Their instances get no new flows.
 //!
-//! There are few zones, so nodes hold the whole set at one revision and tell each other the whole
-//! set: the newer one wins. A zone that has been restored stays noted for a while, since its
-//! instances may have grown cold meanwhile and their records may not tell that yet.
+//! There are few zones, so nodes store the full set as of one revision and exchange the full set; the newer one wins. An
+//! undrained zone is recorded for a while, since its instances may have become cold meanwhile and their records may not
+//! show that yet.
 
 use crate::cookie::revision::Revision;
 use crate::time::Timestamp;
@@ -10,69 +10,69 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a restored zone stays noted: many times the seconds that an instance stays cold and
-/// that its next heartbeat takes.
-pub const RESTORATION_LIFETIME: Duration = Duration::from_secs(60);
+/// How long an undrained zone stays recorded. It is many times the slow start of an instance and the interval of its
+/// heartbeats, both of which take seconds.
+pub const UNDRAIN_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a zone stays drained after a restoration of the store that has lost the drain: time for the operators to write
-/// it again.
-pub const REWRITE_TIME: Duration = Duration::from_secs(5);
+/// How long a zone stays drained after a restoration of the store that lost its drain. It gives operators time to write the
+/// drain again.
+pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
-/// Most zones that are told to a peer; a set fits one datagram with room to spare.
-pub const MAXIMUM_ZONES: usize = 32;
+/// Maximum number of undrained zones in a snapshot. It leaves ample space in the one datagram that a snapshot must fit.
+pub const MAXIMUM_UNDRAINED_ZONES: usize = 32;
 
-/// A zone whose instances take no new flows.
+/// A zone whose instances get no new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DrainedZone {
     /// Name of the zone.
     pub zone: String,
-    /// When it was drained.
+    /// Revision at which it was drained.
     pub revision: Revision,
 }
 
-/// A zone that takes new flows again.
+/// A zone that gets new flows again.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct RestoredZone {
+pub struct UndrainedZone {
     /// Name of the zone.
     pub zone: String,
-    /// The revision by which it had been restored.
+    /// Revision at which the zone was known to be undrained.
     pub revision: Revision,
-    /// How long ago that was heard, milliseconds.
+    /// Time since a node learned of it, in milliseconds.
     pub age_milliseconds: u32,
 }
 
 /// One change of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneEvent {
-    /// It is drained.
+    /// The zone is drained.
     Drained(DrainedZone),
-    /// The zone of this name takes new flows again.
-    Restored(String),
+    /// The zone of this name gets new flows again.
+    Undrained(String),
 }
 
-/// All drained zones as a peer tells them.
+/// The full set of drained zones in messages between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ZoneSnapshot {
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub changed_at: Revision,
-    /// The revision up to which the set is true.
+    /// Revision up to which the set is up to date.
     pub as_of: Revision,
     /// The drained zones.
     pub drained: Vec<DrainedZone>,
-    /// Zones that were restored of late.
-    pub restored: Vec<RestoredZone>,
+    /// Recently undrained zones.
+    pub undrained: Vec<UndrainedZone>,
 }
 
-/// When a zone was restored.
+/// When a zone was undrained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Restoration {
-    /// The revision by which it had been.
+pub struct Undrain {
+    /// Revision at which the zone was known to be undrained.
     pub revision: Revision,
-    /// When this node, or the peer that told it, heard of that.
+    /// When this node, or the peer that it learned this from, learned of the change.
     pub at: Timestamp,
 }
 
-/// The drained zones that a node knows.
+/// The drained zones known to a node.
 ///
 /// ```
 /// use bellyoke_core::cookie::revision::Revision;
@@ -84,78 +84,78 @@
 /// let mut zones = ZoneDrains::unknown();
 /// zones.replace(now, Revision::new(7), vec![drained]);
 /// assert!(zones.is_drained("cork"));
-/// zones.apply(now, Revision::new(9), vec![ZoneEvent::Restored("cork".to_owned())]);
+/// zones.apply(now, Revision::new(9), vec![ZoneEvent::Undrained("cork".to_owned())]);
 /// assert!(!zones.is_drained("cork"));
-/// assert_eq!(zones.restoration("cork").unwrap().revision, Revision::new(9));
+/// assert_eq!(zones.last_undrain("cork").unwrap().revision, Revision::new(9));
 /// ```
 #[derive(Debug)]
 pub struct ZoneDrains {
     as_of: Option<Revision>,
     changed_at: Revision,
     drained: BTreeMap<String, Revision>,
-    restored: BTreeMap<String, Restoration>,
-    /// Until when zones stay drained whose drain is known from before a restoration of the store.
-    kept_until: BTreeMap<String, Timestamp>,
+    undrained: BTreeMap<String, Undrain>,
+    /// When drains from before a restoration of the store end unless they are written again.
+    retained_until: BTreeMap<String, Timestamp>,
 }
 
 impl ZoneDrains {
-    /// Nothing is known yet.
+    /// Creates a set that doesn't know yet which zones are drained.
     #[must_use]
     pub const fn unknown() -> Self {
         Self {
             as_of: None,
             changed_at: Revision::new(0),
             drained: BTreeMap::new(),
-            restored: BTreeMap::new(),
-            kept_until: BTreeMap::new(),
+            undrained: BTreeMap::new(),
+            retained_until: BTreeMap::new(),
         }
     }
 
-    /// None is drained, as in a cluster whose operators never drain a zone. A peer that knows
-    /// better is still believed.
+    /// Creates a set without drained zones, as in a cluster whose operators never drain a zone. Newer sets of peers are still
+    /// accepted.
     #[must_use]
     pub const fn none() -> Self {
         Self {
             as_of: Some(Revision::new(1)),
             changed_at: Revision::new(1),
             drained: BTreeMap::new(),
-            restored: BTreeMap::new(),
-            kept_until: BTreeMap::new(),
+            undrained: BTreeMap::new(),
+            retained_until: BTreeMap::new(),
         }
     }
 
-    /// The revision up to which all changes are known; none before the first whole list.
+    /// Returns the revision up to which all changes are known, or `None` before the first full list.
     #[must_use]
     pub const fn as_of(&self) -> Option<Revision> {
         self.as_of
     }
 
-    /// The revision of the last change; zero if nothing is known.
+    /// Returns the revision of the last change, or zero if nothing is known.
     #[must_use]
     pub const fn changed_at(&self) -> Revision {
         self.changed_at
     }
 
-    /// The drained zones and when they were drained, by name.
+    /// Iterates over the drained zones and the revisions at which they were drained, by name.
     pub fn drained(&self) -> impl Iterator<Item = (&str, Revision)> {
         let drained = self.drained.iter();
         drained.map(|(zone, revision)| (&zone[..], *revision))
     }
 
-    /// Whether the instances of a zone take no new flows.
+    /// Returns whether a zone is drained.
     #[must_use]
     pub fn is_drained(&self, zone: &str) -> bool {
         self.drained.contains_key(zone)
     }
 
-    /// When a zone was restored, if that was of late.
+    /// Returns when a zone was undrained, if that was recently.
     #[must_use]
-    pub fn restoration(&self, zone: &str) -> Option<Restoration> {
-        self.restored.get(zone).copied()
+    pub fn last_undrain(&self, zone: &str) -> Option<Undrain> {
+        self.undrained.get(zone).copied()
     }
 
-    /// Takes over a whole list that was true at revision `at`. Returns whether it tells anything
-    /// new; an older list than what is known changes nothing.
+    /// Replaces the set with a full list as of revision `at`. Returns whether the list is newer than the known state; an
+    /// older one changes nothing.
     pub fn replace(&mut self, now: Timestamp, at: Revision, listed: Vec<DrainedZone>) -> bool {
         if self.as_of.is_some_and(|known| at <= known) {
             return false;
@@ -167,21 +167,21 @@
             if listed.contains_key(&zone) {
                 continue;
             }
-            if drained_at.era() < at.era() && self.is_kept(now, &zone) {
+            if drained_at.era() < at.era() && self.is_retained(now, &zone) {
                 listed.insert(zone, drained_at);
-            } else if !self.was_restored_after(&zone, drained_at) {
-                self.restore(now, at, zone);
+            } else if !self.was_undrained_after(&zone, drained_at) {
+                self.undrain(now, at, zone);
             }
         }
         self.drained = listed;
-        self.keep_earlier(now, at);
-        // What came and went before is in no list, so that a peer that knows a revision in
-        // between may hold another set.
+        self.retain_earlier_drains(now, at);
+        // Zones that were drained and undrained between two lists are in neither, so a peer at a revision in between may
+        // have another set.
         self.advance(at, true);
         true
     }
 
-    /// Takes over the changes up to revision `at`. Returns whether there were any.
+    /// Applies the changes up to revision `at`. Returns whether there were any.
     pub fn apply(&mut self, now: Timestamp, at: Revision, events: Vec<ZoneEvent>) -> bool {
         if self.as_of.is_none_or(|known| at <= known) {
             return false;
@@ -192,9 +192,9 @@
                 ZoneEvent::Drained(drain) => {
                     self.drained.insert(drain.zone, drain.revision);
                 }
-                ZoneEvent::Restored(zone) => {
+                ZoneEvent::Undrained(zone) => {
                     if self.drained.remove(&zone).is_some() {
-                        self.restore(now, at, zone);
+                        self.undrain(now, at, zone);
                     }
                 }
             }
@@ -203,22 +203,23 @@
         changed
     }
 
-    /// Takes over a peer's set if it is newer. Returns whether it was.
+    /// Adopts a peer's set if it is newer, and merges its undrained zones. Returns whether the set was newer.
     pub fn adopt(&mut self, now: Timestamp, snapshot: ZoneSnapshot) -> bool {
-        for restored in snapshot.restored {
-            self.learn_restoration(now, restored);
+        for undrained in snapshot.undrained {
+            self.merge_undrain(now, undrained);
         }
-        let newer = self.as_of.is_none_or(|known| snapshot.changed_at > known);
-        if newer {
+        let is_newer = self.as_of.is_none_or(|known| snapshot.changed_at > known);
+        if is_newer {
             self.replace(now, snapshot.as_of, snapshot.drained);
             self.changed_at = snapshot.changed_at;
         } else {
             self.confirm(snapshot.changed_at, snapshot.as_of);
         }
-        newer
+        is_newer
     }
 
-    /// A peer's word that nothing has changed after `changed_at` up to `as_of`.
+    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It has no effect if this node
+    /// doesn't know everything up to `changed_at`.
     pub fn confirm(&mut self, changed_at: Revision, as_of: Revision) {
         if let Some(known) = &mut self.as_of
             && changed_at <= *known
@@ -227,29 +228,29 @@
         }
     }
 
-    /// Forgets zones that were restored long ago, and takes zones for restored whose drains a restored store has lost and
-    /// nobody has written again. Returns whether there was such a zone.
+    /// Drops records of zones that were undrained long ago. Undrains zones whose drains were lost in a restoration of the
+    /// store and not written again in time, and returns whether there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
-        let recent = |restoration: &Restoration| now.since(restoration.at) < RESTORATION_LIFETIME;
-        self.restored.retain(|_, restoration| recent(restoration));
-        let Some(as_of) = self.as_of.filter(|_| !self.kept_until.is_empty()) else {
+        let recent = |undrain: &Undrain| now.since(undrain.at) < UNDRAIN_RETENTION;
+        self.undrained.retain(|_, undrain| recent(undrain));
+        let Some(as_of) = self.as_of.filter(|_| !self.retained_until.is_empty()) else {
             return false;
         };
-        let over = self.kept_until.extract_if(.., |_, until| now >= *until);
-        let over: Vec<String> = over.map(|(zone, _)| zone).collect();
+        let expired = self.retained_until.extract_if(.., |_, until| now >= *until);
+        let expired: Vec<String> = expired.map(|(zone, _)| zone).collect();
         let mut changed = false;
-        for zone in over {
+        for zone in expired {
             let drained_at = self.drained.get(&zone);
             if drained_at.is_some_and(|drained_at| drained_at.era() < as_of.era()) {
                 self.drained.remove(&zone);
-                self.restore(now, as_of, zone);
+                self.undrain(now, as_of, zone);
                 changed = true;
             }
         }
         changed
     }
 
-    /// The set for a peer; none if nothing is known.
+    /// Returns the set for a peer, or `None` if nothing is known.
     #[must_use]
     pub fn snapshot(&self, now: Timestamp) -> Option<ZoneSnapshot> {
         let drained = self.drained.iter();
@@ -257,62 +258,67 @@
             zone: zone.clone(),
             revision: *revision,
         });
-        let restored = self.restored.iter();
-        let restored = restored.map(|(zone, restoration)| RestoredZone {
+        let undrained = self.undrained.iter();
+        let undrained = undrained.map(|(zone, undrain)| UndrainedZone {
             zone: zone.clone(),
-            revision: restoration.revision,
-            age_milliseconds: u32::try_from(now.since(restoration.at).as_millis())
-                .unwrap_or(u32::MAX),
+            revision: undrain.revision,
+            age_milliseconds: u32::try_from(now.since(undrain.at).as_millis()).unwrap_or(u32::MAX),
         });
         Some(ZoneSnapshot {
             as_of: self.as_of?,
             changed_at: self.changed_at,
             drained: drained.collect(),
-            restored: restored.take(MAXIMUM_ZONES).collect(),
+            undrained: undrained.take(MAXIMUM_UNDRAINED_ZONES).collect(),
         })
     }
 
-    /// Whether a zone that a restored store tells nothing of still counts as drained.
-    fn is_kept(&self, now: Timestamp, zone: &str) -> bool {
-        self.kept_until.get(zone).is_none_or(|until| now < *until)
+    /// Returns whether a drain that is missing in a restored store still applies.
+    fn is_retained(&self, now: Timestamp, zone: &str) -> bool {
+        self.retained_until
+            .get(zone)
+            .is_none_or(|until| now < *until)
     }
 
-    /// Notes until when drains from before the era of a revision count.
-    fn keep_earlier(&mut self, now: Timestamp, at: Revision) {
+    /// Records when drains from an era before that of `at` end.
+    fn retain_earlier_drains(&mut self, now: Timestamp, at: Revision) {
         let earlier = self.drained.iter();
         let earlier = earlier.filter(|(_, drained_at)| drained_at.era() < at.era());
         for (zone, _) in earlier {
-            let until = now.after(REWRITE_TIME);
-            self.kept_until.entry(zone.clone()).or_insert(until);
+            let until = now.after(DRAIN_REWRITE_GRACE);
+            self.retained_until.entry(zone.clone()).or_insert(until);
         }
     }
 
-    fn was_restored_after(&self, zone: &str, drained_at: Revision) -> bool {
-        let restoration = self.restored.get(zone);
-        restoration.is_some_and(|restoration| restoration.revision > drained_at)
+    /// Returns whether a zone was undrained after the given drain.
+    fn was_undrained_after(&self, zone: &str, drained_at: Revision) -> bool {
+        let undrain = self.undrained.get(zone);
+        undrain.is_some_and(|undrain| undrain.revision > drained_at)
     }
 
-    fn restore(&mut self, now: Timestamp, at: Revision, zone: String) {
-        let restoration = Restoration {
+    /// Records that a zone was undrained.
+    fn undrain(&mut self, now: Timestamp, at: Revision, zone: String) {
+        let undrain = Undrain {
             revision: at,
             at: now,
         };
-        self.restored.insert(zone, restoration);
+        self.undrained.insert(zone, undrain);
     }
 
-    fn learn_restoration(&mut self, now: Timestamp, told: RestoredZone) {
-        let age = Duration::from_millis(u64::from(told.age_milliseconds));
-        let known = self.restored.get(&told.zone);
-        let newer = known.is_none_or(|known| known.revision < told.revision);
-        if newer && age < RESTORATION_LIFETIME {
-            let restoration = Restoration {
-                revision: told.revision,
+    /// Merges an undrained zone of a peer.
+    fn merge_undrain(&mut self, now: Timestamp, zone: UndrainedZone) {
+        let age = Duration::from_millis(u64::from(zone.age_milliseconds));
+        let known = self.undrained.get(&zone.zone);
+        let is_newer = known.is_none_or(|known| known.revision < zone.revision);
+        if is_newer && age < UNDRAIN_RETENTION {
+            let undrain = Undrain {
+                revision: zone.revision,
                 at: now.before(age),
             };
-            self.restored.insert(told.zone, restoration);
+            self.undrained.insert(zone.zone, undrain);
         }
     }
 
+    /// Sets the known revision.
     fn advance(&mut self, at: Revision, changed: bool) {
         self.as_of = Some(at);
         if changed {
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -357,7 +357,7 @@
     };
     node.apply_instances(at(10_000), empty());
     let routes = vec![configuration(9, &[("till", 1)])];
-    let routes = Update::Whole {
+    let routes = Update::List {
         at: Revision::new(9),
         items: routes,
     };
@@ -517,7 +517,7 @@
     };
     let is_idle = |listener: &Coordinator, now| {
         let plan = listener.watch_plan(at(now), ObjectKind::Configuration);
-        matches!(plan, WatchPlan::RestUntil(until) if until > at(now))
+        matches!(plan, WatchPlan::IdleUntil(until) if until > at(now))
     };
     listener.tick(at(0));
     listener.handle_datagram(at(50), reader, heartbeat(0));
@@ -534,7 +534,7 @@
     listener.handle_datagram(at(4_550), reader, heartbeat(100));
     assert!(is_idle(&listener, 4_550));
     let plan = listener.watch_plan(at(4_550), ObjectKind::Configuration);
-    assert_eq!(plan, WatchPlan::RestUntil(at(4_450 + 1_500)));
+    assert_eq!(plan, WatchPlan::IdleUntil(at(4_450 + 1_500)));
 }
 
 /// Ages in messages may exceed the uptime of the receiver. Capped at the uptime, they would make an
