--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -100,12 +100,12 @@
     let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
     let mut node = Coordinator::new(Replica::new(Duration::from_secs(70)), exchange);
     let items = (0..instances).map(|number| record(number, u64::from(number)));
-    let list = Update::Whole {
+    let list = Update::List {
         at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: items.collect(),
     };
     node.apply_instances(time_of(0), list);
-    let configuration = Update::Whole {
+    let configuration = Update::List {
         at: Revision::new(FIRST_REVISION_AFTER_LIST),
         items: vec![configuration()],
     };
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -193,12 +193,12 @@
             return;
         }
         let directory = self.replica.directory();
-        let address_reused = directory.succeeded();
+        let address_reused = directory.with_reused_address();
         let record_of = |cookie| {
             let known = directory.find(cookie)?;
             Some(if address_reused.contains(&known.record.id) {
                 RecordState::AddressReused
-            } else if known.gone_at.is_some() {
+            } else if known.removed_at.is_some() {
                 RecordState::Deleted
             } else {
                 RecordState::Present
@@ -237,7 +237,7 @@
 ) -> Vec<SocketAddrV4> {
     let is_healthy = |known: &&KnownInstance| {
         let cookie = Cookie::of(known.record.id);
-        let serves = known.gone_at.is_none() && known.record.state == InstanceState::Ready;
+        let serves = known.removed_at.is_none() && known.record.state == InstanceState::Ready;
         serves && known.warm_at <= now && !reachability.is_suspected(now, cookie)
     };
     let healthy_first = healthy.iter().filter_map(|cookie| directory.find(*cookie));
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -72,7 +72,7 @@
             None => None,
             Some(packed) => match unpack_directory(&self.names, packed)? {
                 DirectoryPart::Changes(delta) => Some(delta),
-                DirectoryPart::Whole(_) => {
+                DirectoryPart::Full(_) => {
                     return Err(DecodeError::Invalid(
                         "a delta contains a full list".to_owned(),
                     ));
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -351,7 +351,7 @@
 /// `heartbeats_at` it receives heartbeats with a confirmation that is `age` milliseconds old.
 fn node_with_failing_store(heartbeats_at: u64, age: u32) -> Coordinator {
     let mut node = new_node();
-    let empty = || Update::Whole {
+    let empty = || Update::List {
         at: Revision::new(9),
         items: Vec::new(),
     };
@@ -399,7 +399,7 @@
     let mut times = (from..from + 60_000).step_by(100);
     times.find(|now| {
         let is_idle = match node.watch_plan(at(*now), ObjectKind::Instances) {
-            WatchPlan::RestUntil(until) => at(*now) < until,
+            WatchPlan::IdleUntil(until) => at(*now) < until,
             WatchPlan::Watch(_) | WatchPlan::Confirm => false,
         };
         !is_idle && node.may_call_store(at(*now), ObjectKind::Instances)
@@ -596,7 +596,7 @@
     let listener = cluster.with_duty(StoreDuty::Listener)[0];
     let coordinator = &cluster.nodes[&listener].coordinator;
     let plan = coordinator.watch_plan(at(cluster.now), ObjectKind::Instances);
-    assert!(matches!(plan, WatchPlan::RestUntil(until) if until > at(cluster.now)));
+    assert!(matches!(plan, WatchPlan::IdleUntil(until) if until > at(cluster.now)));
     let later = cluster.now + 10_000;
     let plan = coordinator.watch_plan(at(later), ObjectKind::Instances);
     assert_eq!(plan, WatchPlan::Confirm, "its confirmation has expired");
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -150,7 +150,7 @@
     node.suspect(at(100), &[cookie()]);
     assert!(node.next_probe(at(100), &[]).is_some());
     restart(&mut node, 200);
-    node.probed(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
+    node.record_probe(at(400), &[(cookie(), ProbeOutcome::Unreachable)]);
     assert!(node.unreachable(at(400)).is_empty());
 }
 
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -454,7 +454,7 @@
 
 #[test]
 fn stale_reads_are_avoided_for_a_while_after_a_restoration() {
-    let mut cluster = in_five_zones(10, 40);
+    let mut cluster = cluster_in_five_zones(10, 40);
     adopted_within(&mut cluster, 1_000, 40);
     let backup = cluster.with_duty(StoreDuty::Backup)[0];
     let plan = |cluster: &Cluster, now: u64| {
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -228,7 +228,7 @@
         at: Revision::new(20),
         events: vec![ZoneEvent::Drained(drained("cork", 20))],
     };
-    assert!(sender.zones(at(90_001), drain).change.zones);
+    assert!(sender.apply_zones(at(90_001), drain).change.zones);
     let message = sender.delta_for(at(90_002), known).unwrap();
     let datagram = bellyoke_core::cookie::exchange::PeerDatagram::Delta(message);
     assert!(
@@ -242,7 +242,7 @@
     let snapshot = peer.snapshot_for(at(90_004), starting.fetch_request());
     assert!(
         starting
-            .snapshot(at(90_005), address, snapshot)
+            .apply_snapshot(at(90_005), address, snapshot)
             .change
             .zones
     );
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -458,7 +458,7 @@
         let standing = self
             .coordinator
             .classify_reply(now, call.context, &call.read, &reply);
-        standing.counting(reply.answer)
+        standing.filter(reply.answer)
     }
 
     fn take_instances(
@@ -510,9 +510,7 @@
             Some(update) if !self.lacks(Ablation::IgnoreDrainedZones) => {
                 self.coordinator.apply_zones(now, update)
             }
-            Some(Update::Whole { at, .. }) => {
-                self.coordinator.apply_zones(now, nothing_drained(at))
-            }
+            Some(Update::List { at, .. }) => self.coordinator.apply_zones(now, nothing_drained(at)),
             Some(_) | None => Outcome::default(),
         }
     }
--- a/crates/bellyoke-node/src/connection/follow.rs
+++ b/crates/bellyoke-node/src/connection/follow.rs
@@ -62,7 +62,7 @@
         let took = clock.now().since(asked_at);
         let mut control = link.control.borrow_mut();
         let standing = control.classify_reply(kind, context, &read, &reply);
-        let answer = standing.counting(reply.answer);
+        let answer = standing.filter(reply.answer);
         count(control.metrics(), kind, &read, &answer, took);
         let rejected = reader.rejected();
         control
