--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -14,7 +14,7 @@
 };
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::Revision;
-use bellyoke_core::cookie::route::{Configuration, Route, RouteTerms, WeightedService};
+use bellyoke_core::cookie::route::{Configuration, RequestPolicy, Route, WeightedService};
 use bellyoke_core::time::Timestamp;
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -119,7 +119,7 @@
         routes: vec![Route {
             address: SocketAddrV4::new(Ipv4Addr::new(192, 0, 2, 1), 443),
             services: services.to_vec(),
-            terms: RouteTerms::default(),
+            request_policy: RequestPolicy::default(),
         }],
         limits: Vec::new(),
         idle_timeout_milliseconds: 15_000,
--- a/crates/bellyoke-core/benches/cookie.rs
+++ b/crates/bellyoke-core/benches/cookie.rs
@@ -10,7 +10,7 @@
 use bellyoke_core::cookie::packet::{FlowPacket, FlowTuple, PacketRole};
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::Revision;
-use bellyoke_core::cookie::route::{Configuration, Route, RouteTerms, WeightedService};
+use bellyoke_core::cookie::route::{Configuration, RequestPolicy, Route, WeightedService};
 use bellyoke_core::cookie::table::ForwardingTable;
 use bellyoke_core::time::Timestamp;
 use std::collections::HashMap;
@@ -143,7 +143,7 @@
             service: format!("service-{service}"),
             weight: 1,
         }],
-        terms: RouteTerms::default(),
+        request_policy: RequestPolicy::default(),
     };
     let mut replica = Replica::new(Duration::from_secs(70));
     replica.adopt_configuration(Configuration {
--- a/crates/bellyoke-core/examples/embed_cookie.rs
+++ b/crates/bellyoke-core/examples/embed_cookie.rs
@@ -7,7 +7,7 @@
 use bellyoke_core::cookie::packet::{Destination, FlowPacket, FlowTuple, PacketRole};
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::Revision;
-use bellyoke_core::cookie::route::{Configuration, Route, RouteTerms, WeightedService};
+use bellyoke_core::cookie::route::{Configuration, RequestPolicy, Route, WeightedService};
 use bellyoke_core::time::Timestamp;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -44,7 +44,7 @@
                 service: "till".to_owned(),
                 weight: 1,
             }],
-            terms: RouteTerms::default(),
+            request_policy: RequestPolicy::default(),
         }],
         limits: Vec::new(),
         idle_timeout_milliseconds: 15_000,
--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -17,11 +17,11 @@
 pub mod service;
 pub mod signs;
 
-use crate::cookie::answers::{AnswerFate, AnswerSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample};
 use crate::cookie::instance::Cookie;
+use crate::cookie::last_seen::LastSeenTable;
 use crate::cookie::packet::FlowPacket;
-use crate::cookie::route::RouteTerms;
-use crate::cookie::seen::SeenTable;
+use crate::cookie::route::RequestPolicy;
 use crate::cookie::table::{ForwardingTable, ServiceNumber};
 use crate::time::Timestamp;
 use service::ServiceGate;
@@ -57,9 +57,9 @@
 ///
 /// ```
 /// use bellyoke_core::cookie::admission::RequestClass;
-/// use bellyoke_core::cookie::route::{RequestKind, RouteTerms};
+/// use bellyoke_core::cookie::route::{RequestKind, RequestPolicy};
 ///
-/// let class = |priority, kind| RequestClass::of(&RouteTerms { priority, kind, ..RouteTerms::default() });
+/// let class = |priority, kind| RequestClass::of(&RequestPolicy { priority, kind, ..RequestPolicy::default() });
 /// let order = class(1, RequestKind::NonIdempotent);
 /// let lookup = class(1, RequestKind::Idempotent);
 /// assert!(order < lookup, "what can't be repeated is admitted first");
@@ -70,16 +70,16 @@
     /// Rank of the requests; 0 goes first.
     pub priority: u8,
     /// Whether they may be sent again once they may have run.
-    pub may_repeat: bool,
+    pub may_retry: bool,
 }
 
 impl RequestClass {
     /// The class of a route's requests.
     #[must_use]
-    pub const fn of(terms: &RouteTerms) -> Self {
+    pub const fn of(request_policy: &RequestPolicy) -> Self {
         Self {
-            priority: terms.priority,
-            may_repeat: terms.kind.may_repeat(),
+            priority: request_policy.priority,
+            may_retry: request_policy.kind.may_retry(),
         }
     }
 }
@@ -117,8 +117,8 @@
     /// By service number, with the name that the number had.
     services: Vec<(String, ServiceGate)>,
     configuration_version: u64,
-    refused: SeenTable,
-    admitted: SeenTable,
+    refused: LastSeenTable,
+    admitted: LastSeenTable,
 }
 
 impl AdmissionGate {
@@ -129,8 +129,8 @@
             settings,
             services: Vec::new(),
             configuration_version: 0,
-            refused: SeenTable::new(VERDICT_PLACES),
-            admitted: SeenTable::new(VERDICT_PLACES),
+            refused: LastSeenTable::new(VERDICT_PLACES),
+            admitted: LastSeenTable::new(VERDICT_PLACES),
         }
     }
 
@@ -142,7 +142,7 @@
         packet: &FlowPacket,
         attempt: u32,
         service: ServiceNumber,
-        terms: &RouteTerms,
+        request_policy: &RequestPolicy,
     ) -> bool {
         if !self.settings.enabled {
             return true;
@@ -155,14 +155,14 @@
         let Some(gate) = self.gate(table, service) else {
             return true;
         };
-        let class = RequestClass::of(terms);
+        let class = RequestClass::of(request_policy);
         let admitted = gate.offer(now, &settings, packet.flow.service, class);
         let verdicts = if admitted {
             &mut self.admitted
         } else {
             &mut self.refused
         };
-        verdicts.note(now, key);
+        verdicts.record(now, key);
         admitted
     }
 
@@ -193,7 +193,7 @@
                 cookie,
                 service,
                 priority: 0,
-                fate: AnswerFate::Unanswered { waited },
+                outcome: AnswerOutcome::Unanswered { waited },
             };
             self.answered(now, table, &sample);
         }
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -1,6 +1,6 @@
 //! How many openings a second are admitted while a service is overloaded.
 
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -60,10 +60,10 @@
     /// Whether what became of a request shows what the budget does: not before queues have drained, nor if it was
     /// given up that was asked before.
     #[must_use]
-    pub fn is_told_by(&self, now: Timestamp, fate: &AnswerFate) -> bool {
-        match *fate {
-            AnswerFate::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
-            AnswerFate::Answered { .. } | AnswerFate::Short { .. } => {
+    pub fn is_told_by(&self, now: Timestamp, outcome: &AnswerOutcome) -> bool {
+        match *outcome {
+            AnswerOutcome::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
+            AnswerOutcome::Answered { .. } | AnswerOutcome::Short { .. } => {
                 now.since(self.shrunk_at) >= SETTLE_TIME
             }
         }
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -12,7 +12,7 @@
 use super::budget::OpeningBudget;
 use super::signs::{QueueCount, QueueSigns};
 use super::{AdmissionChange, AdmissionSettings, RequestClass};
-use crate::cookie::answers::{AnswerFate, AnswerSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample};
 use crate::time::Timestamp;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -121,8 +121,8 @@
         sample: &AnswerSample,
     ) {
         self.turn(now, settings);
-        let queues = match sample.fate {
-            AnswerFate::Answered { after, .. } => {
+        let queues = match sample.outcome {
+            AnswerOutcome::Answered { after, .. } => {
                 let queues = self.signs.is_long(sample.priority, after);
                 if self.budget.is_none() {
                     self.signs.learn_calm(sample.priority, after);
@@ -130,7 +130,7 @@
                 Some(queues)
             }
             // One that turns away at once is known to queue by its answers; an error of another is no sign of load.
-            AnswerFate::Short { after } => {
+            AnswerOutcome::Short { after } => {
                 let queues = self.signs.is_long(sample.priority, after);
                 if !queues && !self.signs.has_queued(now, sample.cookie) {
                     return;
@@ -138,22 +138,22 @@
                 queues.then_some(true)
             }
             // Who waits for long at an instance that queues waits in its queue. Another one may have died.
-            AnswerFate::Unanswered { .. } if self.signs.has_queued(now, sample.cookie) => {
+            AnswerOutcome::Unanswered { .. } if self.signs.has_queued(now, sample.cookie) => {
                 Some(true)
             }
-            AnswerFate::Unanswered { .. } => return,
+            AnswerOutcome::Unanswered { .. } => return,
         };
-        self.count_answer(now, &sample.fate, queues == Some(true));
+        self.count_answer(now, &sample.outcome, queues == Some(true));
         if let Some(queues) = queues {
             self.signs.note(now, sample.cookie, queues);
         }
     }
 
-    fn count_answer(&mut self, now: Timestamp, fate: &AnswerFate, is_queued: bool) {
-        let is_served = matches!(fate, AnswerFate::Answered { .. });
+    fn count_answer(&mut self, now: Timestamp, outcome: &AnswerOutcome, is_queued: bool) {
+        let is_served = matches!(outcome, AnswerOutcome::Answered { .. });
         self.served += u32::from(is_served);
         let budget = self.budget.as_ref();
-        if budget.is_some_and(|budget| !budget.is_told_by(now, fate)) {
+        if budget.is_some_and(|budget| !budget.is_told_by(now, outcome)) {
             return;
         }
         self.queued += u32::from(is_queued);
--- a/crates/bellyoke-core/src/cookie/answers.rs
+++ b/crates/bellyoke-core/src/cookie/answers.rs
@@ -14,8 +14,8 @@
 mod progress;
 
 pub use baseline::AnswerBaseline;
-pub use monitor::{AnswerMonitor, AnswerQuality, JudgedSample};
-pub use progress::{RequestOutcome, RequestProgress};
+pub use monitor::{AnswerMonitor, AnswerQuality, ClassifiedSample};
+pub use progress::{RequestProgress, RequestStatus};
 
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::ServiceNumber;
@@ -31,12 +31,12 @@
     /// Rank of the request's route; 0 goes first.
     pub priority: u8,
     /// What became of it.
-    pub fate: AnswerFate,
+    pub outcome: AnswerOutcome,
 }
 
 /// How a request ended, as far as its client's packets tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerFate {
+pub enum AnswerOutcome {
     /// An answer of a usual length came.
     Answered {
         /// From the request to the first acknowledgement of the answer: work and queue.
--- a/crates/bellyoke-core/src/cookie/answers/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/answers/monitor.rs
@@ -1,8 +1,8 @@
 //! Samples of what became of requests, from the packets of all flows of one traffic thread.
 
 use super::baseline::AnswerBaseline;
-use super::progress::RequestOutcome;
-use super::{AnswerFate, AnswerSample};
+use super::progress::RequestStatus;
+use super::{AnswerOutcome, AnswerSample};
 use crate::cookie::flows::{FlowRecord, FlowTable};
 use crate::cookie::packet::{FlowPacket, FlowTuple};
 use crate::cookie::table::{ForwardingTable, ServiceNumber};
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerQuality {
     /// About as usual.
-    Usual,
+    Normal,
     /// Much later than usual.
     Slow,
     /// An error, or none at all.
@@ -41,7 +41,7 @@
 
 /// A sample, and how it compares with others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct JudgedSample {
+pub struct ClassifiedSample {
     /// What became of the request.
     pub sample: AnswerSample,
     /// How that compares.
@@ -71,19 +71,19 @@
         flow_hash: u64,
         packet: &FlowPacket,
         record: &mut FlowRecord,
-    ) -> Option<JudgedSample> {
-        let was_asked = record.request.asked_at.is_some();
-        let outcome = record.request.observe(now, packet);
-        let is_asked = record.request.asked_at.is_some();
-        let begins = is_asked && (!was_asked || outcome.is_some());
+    ) -> Option<ClassifiedSample> {
+        let was_asked = record.request.sent_at.is_some();
+        let status = record.request.observe(now, packet);
+        let is_asked = record.request.sent_at.is_some();
+        let begins = is_asked && (!was_asked || status.is_some());
         if begins && self.watched.len() < MAXIMUM_WATCHED && !self.watched.contains(&flow_hash) {
             self.watched.push(flow_hash);
         }
-        self.judge(table, record, &outcome?)
+        self.judge(table, record, &status?)
     }
 
     /// A flow has come that opened through another node.
-    pub fn note_moved(&mut self, now: Timestamp) {
+    pub fn record_moved_flow(&mut self, now: Timestamp) {
         self.moved_at.rotate_left(1);
         self.moved_at[MOVES - 1] = now;
         let is_wave = now.since(self.moved_at[0]) < MOVE_TIME;
@@ -100,24 +100,24 @@
         now: Timestamp,
         table: &ForwardingTable,
         flows: &mut FlowTable,
-    ) -> Vec<JudgedSample> {
+    ) -> Vec<ClassifiedSample> {
         let mut judged = Vec::new();
         let watched = std::mem::take(&mut self.watched);
         for flow_hash in watched {
             let Some(record) = flows.get_mut(flow_hash) else {
                 continue;
             };
-            let Some(outcome) = record.request.outcome(now) else {
+            let Some(status) = record.request.status(now) else {
                 continue;
             };
-            if self.is_over(now, table, record, &outcome) {
-                let asked_at = record.request.asked_at;
+            if self.is_over(now, table, record, &status) {
+                let sent_at = record.request.sent_at;
                 record.request.finish(now);
-                let has_moved = asked_at.is_some_and(|asked_at| asked_at <= self.respread_at);
-                if outcome.after.is_none() && has_moved {
+                let has_moved = sent_at.is_some_and(|sent_at| sent_at <= self.respread_at);
+                if status.after.is_none() && has_moved {
                     continue;
                 }
-                judged.extend(self.judge(table, record, &outcome));
+                judged.extend(self.judge(table, record, &status));
             } else {
                 self.watched.push(flow_hash);
             }
@@ -129,7 +129,7 @@
     pub fn forget_requests(&mut self, flows: &mut FlowTable) {
         for flow_hash in std::mem::take(&mut self.watched) {
             if let Some(record) = flows.get_mut(flow_hash) {
-                record.request.asked_at = None;
+                record.request.sent_at = None;
             }
         }
     }
@@ -139,57 +139,57 @@
         now: Timestamp,
         table: &ForwardingTable,
         record: &FlowRecord,
-        outcome: &RequestOutcome,
+        status: &RequestStatus,
     ) -> bool {
-        if outcome.after.is_some() {
+        if status.after.is_some() {
             return now.since(record.seen_at) >= REST;
         }
         let baseline = key(table, record).and_then(|key| self.baselines.get(&key));
-        baseline.is_some_and(|baseline| outcome.waited >= baseline.overdue())
+        baseline.is_some_and(|baseline| status.waited >= baseline.overdue())
     }
 
     fn judge(
         &mut self,
         table: &ForwardingTable,
         record: &FlowRecord,
-        outcome: &RequestOutcome,
-    ) -> Option<JudgedSample> {
+        status: &RequestStatus,
+    ) -> Option<ClassifiedSample> {
         let (address, service) = key(table, record)?;
-        let priority = table.route(address)?.terms.priority;
+        let priority = table.route(address)?.request_policy.priority;
         let is_known = self.baselines.contains_key(&(address, service));
         if !is_known && self.baselines.len() >= MAXIMUM_ROUTES {
             return None;
         }
         let baseline = self.baselines.entry((address, service)).or_default();
-        let (fate, quality) = compare(baseline, outcome);
-        if let Some(after) = outcome.after {
-            baseline.learn(after, outcome.bytes);
+        let (outcome, quality) = compare(baseline, status);
+        if let Some(after) = status.after {
+            baseline.learn(after, status.bytes);
         }
         let sample = AnswerSample {
             cookie: record.cookie,
             service,
             priority,
-            fate,
+            outcome,
         };
-        Some(JudgedSample { sample, quality })
+        Some(ClassifiedSample { sample, quality })
     }
 }
 
-fn compare(baseline: &AnswerBaseline, outcome: &RequestOutcome) -> (AnswerFate, AnswerQuality) {
-    let bytes = outcome.bytes;
-    let Some(after) = outcome.after else {
-        let waited = outcome.waited;
-        return (AnswerFate::Unanswered { waited }, AnswerQuality::Failed);
+fn compare(baseline: &AnswerBaseline, status: &RequestStatus) -> (AnswerOutcome, AnswerQuality) {
+    let bytes = status.bytes;
+    let Some(after) = status.after else {
+        let waited = status.waited;
+        return (AnswerOutcome::Unanswered { waited }, AnswerQuality::Failed);
     };
     if baseline.is_short(bytes) {
-        return (AnswerFate::Short { after }, AnswerQuality::Failed);
+        return (AnswerOutcome::Short { after }, AnswerQuality::Failed);
     }
     let quality = if baseline.is_slow(after) {
         AnswerQuality::Slow
     } else {
-        AnswerQuality::Usual
+        AnswerQuality::Normal
     };
-    (AnswerFate::Answered { after, bytes }, quality)
+    (AnswerOutcome::Answered { after, bytes }, quality)
 }
 
 fn key(table: &ForwardingTable, record: &FlowRecord) -> Option<(SocketAddrV4, ServiceNumber)> {
--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -26,15 +26,15 @@
 /// let mut request = RequestProgress::default();
 /// assert_eq!(request.observe(at(0), &packet(Some(1), 200, false, 900)), None, "it is asked");
 /// assert_eq!(request.observe(at(40_000), &packet(None, 0, false, 1_700)), None, "an answer begins");
-/// let outcome = request.observe(at(41_000), &packet(None, 0, true, 1_900)).unwrap();
-/// assert_eq!(outcome.after, Some(Duration::from_millis(40)));
-/// assert_eq!(outcome.bytes, 1_000);
+/// let status = request.observe(at(41_000), &packet(None, 0, true, 1_900)).unwrap();
+/// assert_eq!(status.after, Some(Duration::from_millis(40)));
+/// assert_eq!(status.bytes, 1_000);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProgress {
     /// When the request was sent, its last byte if it has several packets; none while the flow rests, or once
     /// it was told what became of the request.
-    pub asked_at: Option<Timestamp>,
+    pub sent_at: Option<Timestamp>,
     /// What the client had acknowledged then.
     pub acknowledged_before: u32,
     /// Sequence number after the last byte of data seen.
@@ -47,7 +47,7 @@
 
 /// How far a request had come when it was over, or was looked at last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestOutcome {
+pub struct RequestStatus {
     /// From the request to the first acknowledgement of the answer; none if nothing came.
     pub after: Option<Duration>,
     /// Bytes of the answer.
@@ -59,10 +59,10 @@
 impl RequestProgress {
     /// Takes a packet of the flow into account. Returns what became of a request if the packet shows that it
     /// is over: the next one begins, or the flow ends.
-    pub fn observe(&mut self, now: Timestamp, packet: &FlowPacket) -> Option<RequestOutcome> {
+    pub fn observe(&mut self, now: Timestamp, packet: &FlowPacket) -> Option<RequestStatus> {
         let begins = self.begins_request(packet);
         // What a later request acknowledges belongs to the answer before it.
-        if self.asked_at.is_some() {
+        if self.sent_at.is_some() {
             self.acknowledge(now, packet.acknowledged);
         }
         let mut over = None;
@@ -74,7 +74,7 @@
         }
         if packet.role == PacketRole::Abort && self.answered == 0 {
             // Its client may have lost interest. Whoever waited too long for it was noticed before.
-            self.asked_at = None;
+            self.sent_at = None;
         }
         let ends = packet.closes || packet.role == PacketRole::Abort;
         if ends && self.answered > 0 {
@@ -85,21 +85,21 @@
 
     /// How far the request under way has come; none while there is none.
     #[must_use]
-    pub fn outcome(&self, now: Timestamp) -> Option<RequestOutcome> {
-        let asked_at = self.asked_at?;
+    pub fn status(&self, now: Timestamp) -> Option<RequestStatus> {
+        let sent_at = self.sent_at?;
         let first_after = Duration::from_micros(u64::from(self.first_after));
-        Some(RequestOutcome {
+        Some(RequestStatus {
             after: (self.answered > 0).then_some(first_after),
             bytes: self.answered,
-            waited: now.since(asked_at),
+            waited: now.since(sent_at),
         })
     }
 
     /// The same, and there is none under way after it.
-    pub fn finish(&mut self, now: Timestamp) -> Option<RequestOutcome> {
-        let outcome = self.outcome(now);
-        self.asked_at = None;
-        outcome
+    pub fn finish(&mut self, now: Timestamp) -> Option<RequestStatus> {
+        let status = self.status(now);
+        self.sent_at = None;
+        status
     }
 
     /// Whether a packet brings data that was not seen before. Copies and what was overtaken don't.
@@ -125,7 +125,7 @@
             acknowledged
         };
         self.asked_end = sequence.wrapping_add(u32::from(packet.data_length)).max(1);
-        self.asked_at = Some(now);
+        self.sent_at = Some(now);
         self.answered = 0;
         self.first_after = 0;
     }
@@ -136,9 +136,9 @@
             return;
         }
         if self.answered == 0
-            && let Some(asked_at) = self.asked_at
+            && let Some(sent_at) = self.sent_at
         {
-            let after = now.since(asked_at).as_micros();
+            let after = now.since(sent_at).as_micros();
             self.first_after = u32::try_from(after).unwrap_or(u32::MAX);
         }
         self.answered = bytes;
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -12,7 +12,7 @@
 use crate::cookie::instance::{InstanceId, InstanceRecord, InstanceState};
 use crate::cookie::replica::{DirectoryPart, DirectorySnapshot, Snapshot, Versions};
 use crate::cookie::revision::Revision;
-use crate::cookie::route::{Configuration, Route, RouteTerms, ServiceLimits, WeightedService};
+use crate::cookie::route::{Configuration, RequestPolicy, Route, ServiceLimits, WeightedService};
 use crate::cookie::zones::ZoneSnapshot;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 struct PackedKind {
     services: Vec<PackedShare>,
-    terms: RouteTerms,
+    request_policy: RequestPolicy,
 }
 
 #[derive(Debug, Archive, Serialize, Deserialize)]
@@ -266,7 +266,7 @@
             port: route.address.port(),
             kind: kinds.insert(PackedKind {
                 services: shares,
-                terms: route.terms,
+                request_policy: route.request_policy,
             })?,
         });
     }
@@ -288,15 +288,15 @@
     for kind in packed.kinds {
         let shares = kind.services.into_iter();
         let shares = shares.map(|share| unpack_share(names, share));
-        kinds.push((shares.collect::<Result<Vec<_>, _>>()?, kind.terms));
+        kinds.push((shares.collect::<Result<Vec<_>, _>>()?, kind.request_policy));
     }
     let mut routes = Vec::with_capacity(packed.routes.len());
     for route in packed.routes {
-        let (services, terms) = resolve(&kinds, route.kind)?;
+        let (services, request_policy) = resolve(&kinds, route.kind)?;
         routes.push(Route {
             address: SocketAddrV4::new(Ipv4Addr::from(route.ip), route.port),
             services,
-            terms,
+            request_policy,
         });
     }
     Ok(Configuration {
--- a/crates/bellyoke-core/src/cookie/ends.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 /// Resets of resting flows in one interval, each of some 60 bytes: 1 Mbit/s, a tenth of the thinnest link.
-pub const RESETS_AT_ONCE: usize = 32;
+pub const RESETS_PER_INTERVAL: usize = 32;
 
 /// Time between two groups of resets.
 pub const RESET_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A resting flow that is to be reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FlowEnd {
+pub struct FlowReset {
     /// The flow.
     pub flow: FlowTuple,
     /// The instance that it was open at.
@@ -33,7 +33,7 @@
 
 /// What speaks for the end of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndCause {
+pub enum ResetCause {
     /// Its instance has ended, whatever the flow does.
     Ended,
     /// Its client repeats what it sent, and its instance can't be reached.
@@ -43,21 +43,21 @@
 /// The flows that wait for their resets.
 ///
 /// ```
-/// use bellyoke_core::cookie::ends::FlowEnds;
+/// use bellyoke_core::cookie::flow_resets::FlowResetQueue;
 /// use bellyoke_core::cookie::flows::FlowTable;
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 /// use bellyoke_core::time::Timestamp;
 /// use std::time::Duration;
 ///
 /// let flows = FlowTable::new(1_000, Duration::from_secs(15));
-/// let mut ends = FlowEnds::default();
+/// let mut ends = FlowResetQueue::default();
 /// let ended = std::iter::empty();
 /// ends.review(Timestamp::ZERO, ended, &flows);
 /// assert_eq!(ends.next(Timestamp::ZERO, &flows, |_, _| None), None);
 /// assert_eq!(ends.next_at(), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct FlowEnds {
+pub struct FlowResetQueue {
     /// Instances whose flows were queued already.
     begun: BTreeSet<Cookie>,
     due: VecDeque<DueEnd>,
@@ -72,10 +72,10 @@
     hash: u64,
     /// What its client had acknowledged when it was queued.
     acknowledged: u32,
-    cause: EndCause,
+    cause: ResetCause,
 }
 
-impl FlowEnds {
+impl FlowResetQueue {
     /// Queues the flows of instances that have ended since the last call.
     pub fn review(
         &mut self,
@@ -90,7 +90,7 @@
             let due = news.map(|(hash, record)| DueEnd {
                 hash,
                 acknowledged: record.acknowledged,
-                cause: EndCause::Ended,
+                cause: ResetCause::Ended,
             });
             self.due.extend(due);
             self.interval_began = self.interval_began.max(now);
@@ -104,7 +104,7 @@
         self.due.push_front(DueEnd {
             hash,
             acknowledged,
-            cause: EndCause::Unanswered,
+            cause: ResetCause::Unanswered,
         });
     }
 
@@ -114,13 +114,13 @@
         &mut self,
         now: Timestamp,
         flows: &FlowTable,
-        reason: impl Fn(Cookie, EndCause) -> Option<ResetReason>,
-    ) -> Option<FlowEnd> {
+        reason: impl Fn(Cookie, ResetCause) -> Option<ResetReason>,
+    ) -> Option<FlowReset> {
         if now.since(self.interval_began) >= RESET_INTERVAL {
             self.interval_began = now;
             self.sent = 0;
         }
-        while self.sent < RESETS_AT_ONCE {
+        while self.sent < RESETS_PER_INTERVAL {
             let DueEnd {
                 hash,
                 acknowledged,
@@ -135,7 +135,7 @@
                 continue;
             };
             self.sent += 1;
-            return Some(FlowEnd {
+            return Some(FlowReset {
                 flow: record.flow,
                 cookie: record.cookie,
                 acknowledged,
@@ -148,7 +148,7 @@
     /// When [`Self::next`] has something to do; none if nothing waits.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
-        let is_paced = self.sent >= RESETS_AT_ONCE;
+        let is_paced = self.sent >= RESETS_PER_INTERVAL;
         let pause = if is_paced {
             RESET_INTERVAL
         } else {
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -54,7 +54,7 @@
 ///     acknowledged: 12,
 /// };
 /// let mut table = FlowTable::new(1_000, Duration::from_secs(15));
-/// let record = table.note(Timestamp::ZERO, flow.hash(), &packet, cookie);
+/// let record = table.record_packet(Timestamp::ZERO, flow.hash(), &packet, cookie);
 /// assert_eq!(record.acknowledged, 12);
 /// assert_eq!(table.of_instance(cookie).count(), 1);
 /// ```
@@ -84,7 +84,7 @@
     }
 
     /// Notes a packet of a flow that goes to an instance, and returns its record.
-    pub fn note(
+    pub fn record_packet(
         &mut self,
         now: Timestamp,
         flow_hash: u64,
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -7,16 +7,16 @@
 use crate::cookie::admission::{AdmissionChange, AdmissionGate, AdmissionSettings};
 use crate::cookie::answers::AnswerMonitor;
 use crate::cookie::cold::ColdLimiter;
-use crate::cookie::ends::FlowEnds;
+use crate::cookie::flow_resets::FlowResetQueue;
 use crate::cookie::flows::FlowTable;
 use crate::cookie::health::{HealthChange, HealthSettings, OpeningMonitor};
 use crate::cookie::instance::Cookie;
+use crate::cookie::last_seen::LastSeenTable;
 use crate::cookie::load::LoadMeter;
 use crate::cookie::locality::{ShareChange, ZonePlacements, ZonePreference, imbalance};
 use crate::cookie::outliers::{InstanceTally, TallyBook};
 use crate::cookie::packet::{Destination, FlowPacket, PacketRole};
 use crate::cookie::placement::Suitability;
-use crate::cookie::seen::SeenTable;
 use crate::cookie::table::ForwardingTable;
 use crate::time::Timestamp;
 use following::SHORTEST_REPEAT;
@@ -118,13 +118,13 @@
     /// When the last packet was decided on.
     decided_at: Timestamp,
     /// When data of flows was first sent.
-    first_sent: SeenTable,
+    first_sent: LastSeenTable,
     flows: FlowTable,
-    ends: FlowEnds,
-    ends_resting: bool,
+    resets: FlowResetQueue,
+    resets_idle_flows: bool,
     cold: ColdLimiter,
     /// When an instance last showed that it lives.
-    alive_at: SeenTable,
+    alive_at: LastSeenTable,
     /// Instances to which clients have repeated data since they were last asked for.
     repeated: BTreeSet<Cookie>,
     /// Flows whose clients have repeated something, and when.
@@ -153,12 +153,12 @@
             ended: BTreeSet::new(),
             avoided: BTreeMap::new(),
             decided_at: Timestamp::ZERO,
-            first_sent: SeenTable::new(FIRST_SENT_PLACES),
+            first_sent: LastSeenTable::new(FIRST_SENT_PLACES),
             flows: FlowTable::new(FLOW_CAPACITY, FLOW_REST),
-            ends: FlowEnds::default(),
-            ends_resting: true,
+            resets: FlowResetQueue::default(),
+            resets_idle_flows: true,
             cold: ColdLimiter::new(None, 0),
-            alive_at: SeenTable::new(INSTANCE_PLACES),
+            alive_at: LastSeenTable::new(INSTANCE_PLACES),
             repeated: BTreeSet::new(),
             repeating: Vec::new(),
             proven: BTreeSet::new(),
@@ -177,13 +177,13 @@
         Self { cold, ..self }
     }
 
-    /// The same, remembering at most `capacity` flows. `ends_resting` tells whether resting flows of
+    /// The same, remembering at most `capacity` flows. `resets_idle_flows` tells whether resting flows of
     /// instances that have ended are reset.
     #[must_use]
-    pub fn with_flows(self, capacity: usize, ends_resting: bool) -> Self {
+    pub fn with_flows(self, capacity: usize, resets_idle_flows: bool) -> Self {
         Self {
             flows: FlowTable::new(capacity, FLOW_REST),
-            ends_resting,
+            resets_idle_flows,
             ..self
         }
     }
@@ -249,7 +249,7 @@
             self.note_answer(now, table, &judged);
         }
         self.proven.retain(|cookie| is_known(*cookie));
-        self.review_ends(now, table);
+        self.review_flow_resets(now, table);
         self.monitor.take_changes()
     }
 
@@ -336,7 +336,7 @@
     /// Instances at which openings completed a moment ago, the last ones first: controls for probes of
     /// others.
     #[must_use]
-    pub fn sound_instances(&self, now: Timestamp) -> Vec<Cookie> {
+    pub fn healthy_instances(&self, now: Timestamp) -> Vec<Cookie> {
         let mut sound = self.monitor.succeeded_within(now, SOUND_LIFETIME);
         sound.truncate(MAXIMUM_SOUND);
         sound
--- a/crates/bellyoke-core/src/cookie/forwarder/ending.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/ending.rs
@@ -1,7 +1,7 @@
 //! Which instances live, and the flows that end since theirs doesn't.
 
 use super::{Forwarder, ResetReason};
-use crate::cookie::ends::{EndCause, FlowEnd};
+use crate::cookie::flow_resets::{FlowReset, ResetCause};
 use crate::cookie::instance::Cookie;
 use crate::cookie::placement::mix;
 use crate::cookie::table::ForwardingTable;
@@ -33,7 +33,7 @@
 
     /// The instances among those in question that showed life a moment ago.
     #[must_use]
-    pub fn living(&self, now: Timestamp, questioned: &BTreeSet<Cookie>) -> Vec<Cookie> {
+    pub fn alive_instances(&self, now: Timestamp, questioned: &BTreeSet<Cookie>) -> Vec<Cookie> {
         let living = questioned.iter().copied();
         living
             .filter(|cookie| self.alive_within(now, *cookie, OBJECTION_WINDOW))
@@ -41,23 +41,27 @@
     }
 
     /// The next resting flow to reset now; none if none is due.
-    pub fn next_end(&mut self, now: Timestamp, table: &ForwardingTable) -> Option<FlowEnd> {
-        self.ends.next_at()?;
-        let mut ends = std::mem::take(&mut self.ends);
+    pub fn next_flow_reset(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+    ) -> Option<FlowReset> {
+        self.resets.next_at()?;
+        let mut ends = std::mem::take(&mut self.resets);
         let end = ends.next(now, &self.flows, |cookie, cause| {
             self.end_of(now, table, cookie, cause)
         });
-        self.ends = ends;
+        self.resets = ends;
         if let Some(end) = &end {
             self.flows.remove(end.flow.hash());
         }
         end
     }
 
-    /// When [`Self::next_end`] has something to do; none if no flow waits to be reset.
+    /// When [`Self::next_flow_reset`] has something to do; none if no flow waits to be reset.
     #[must_use]
-    pub fn next_end_at(&self) -> Option<Timestamp> {
-        self.ends.next_at()
+    pub fn next_flow_reset_at(&self) -> Option<Timestamp> {
+        self.resets.next_at()
     }
 
     /// Flows remembered.
@@ -67,11 +71,11 @@
     }
 
     /// Queues the flows that end by what is held of instances now.
-    pub fn review_ends(&mut self, now: Timestamp, table: &ForwardingTable) {
+    pub fn review_flow_resets(&mut self, now: Timestamp, table: &ForwardingTable) {
         self.end_unanswered(now);
-        if self.ends_resting {
+        if self.resets_idle_flows {
             let ended = self.ended.iter().chain(table.superseded()).copied();
-            self.ends.review(now, ended, &self.flows);
+            self.resets.review(now, ended, &self.flows);
         }
     }
 
@@ -86,7 +90,7 @@
             };
             let (cookie, acknowledged) = (record.cookie, record.acknowledged);
             if self.is_unreachable(cookie) && !self.is_alive(now, cookie) {
-                self.ends.queue_unanswered(hash, acknowledged);
+                self.resets.queue_unanswered(hash, acknowledged);
             } else if now.since(repeated_at) < REPEATING_LIFETIME {
                 self.repeating.push((hash, repeated_at));
             }
@@ -107,14 +111,14 @@
         now: Timestamp,
         table: &ForwardingTable,
         cookie: Cookie,
-        cause: EndCause,
+        cause: ResetCause,
     ) -> Option<ResetReason> {
         if table.is_superseded(cookie) {
             return Some(ResetReason::Superseded);
         }
         let ends = match cause {
-            EndCause::Ended => self.has_ended(now, cookie),
-            EndCause::Unanswered => self.is_unreachable(cookie) && !self.is_alive(now, cookie),
+            ResetCause::Ended => self.has_ended(now, cookie),
+            ResetCause::Unanswered => self.is_unreachable(cookie) && !self.is_alive(now, cookie),
         };
         ends.then_some(ResetReason::Unreachable)
     }
@@ -132,7 +136,7 @@
         let key = life_key(cookie);
         let known = self.alive_at.seen_at(key);
         self.alive_at
-            .note(known.map_or(since, |known| known.max(since)), key);
+            .record(known.map_or(since, |known| known.max(since)), key);
         let avoided = self.avoided.get(&cookie);
         if avoided.is_some_and(|avoided_at| since > *avoided_at) {
             self.proven.insert(cookie);
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -1,11 +1,11 @@
 //! Packets of flows that are open: where they go, and what they tell of requests.
 
 use super::{Decision, DropReason, Forwarder, ResetReason};
-use crate::cookie::answers::{AnswerFate, AnswerSample, JudgedSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample, ClassifiedSample};
 use crate::cookie::instance::Cookie;
+use crate::cookie::last_seen::data_key;
 use crate::cookie::load::PACKET_WEIGHT;
 use crate::cookie::packet::{FlowPacket, PacketRole};
-use crate::cookie::seen::data_key;
 use crate::cookie::table::ForwardingTable;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -77,7 +77,7 @@
         cookie: Cookie,
         after: Duration,
     ) {
-        if let Some((_, zone)) = table.place_of(cookie) {
+        if let Some((_, zone)) = table.location_of(cookie) {
             self.zones.adopt(table);
             self.zones.opened(now, flow_hash, zone, after);
         }
@@ -97,9 +97,9 @@
         let flow_hash = packet.flow.hash();
         let asks = packet.data_sequence.is_some();
         if asks && !is_opened && self.flows.get(flow_hash).is_none() {
-            self.answers.note_moved(now);
+            self.answers.record_moved_flow(now);
         }
-        let record = self.flows.note(now, flow_hash, packet, cookie);
+        let record = self.flows.record_packet(now, flow_hash, packet, cookie);
         let judged = self.answers.observe(now, table, flow_hash, packet, record);
         if let Some(judged) = judged {
             self.note_answer(now, table, &judged);
@@ -110,8 +110,13 @@
     }
 
     /// What became of a request, for the choice between zones.
-    pub fn note_sample(&mut self, now: Timestamp, table: &ForwardingTable, sample: &AnswerSample) {
-        if let Some((_, zone)) = table.place_of(sample.cookie) {
+    pub fn record_sample(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+        sample: &AnswerSample,
+    ) {
+        if let Some((_, zone)) = table.location_of(sample.cookie) {
             self.zones.adopt(table);
             self.zones.sampled(now, zone, sample);
         }
@@ -121,12 +126,12 @@
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
-        judged: &JudgedSample,
+        judged: &ClassifiedSample,
     ) {
         self.tallies.note(judged);
-        self.note_sample(now, table, &judged.sample);
+        self.record_sample(now, table, &judged.sample);
         self.admission.answered(now, table, &judged.sample);
-        if matches!(judged.sample.fate, AnswerFate::Short { .. }) {
+        if matches!(judged.sample.outcome, AnswerOutcome::Short { .. }) {
             self.loads.count(now, judged.sample.cookie, FAILURE_WEIGHT);
         }
     }
@@ -140,7 +145,7 @@
         };
         let key = data_key(packet.flow.hash(), sequence);
         let Some(first_sent) = self.first_sent.seen_at(key) else {
-            self.first_sent.note(now, key);
+            self.first_sent.record(now, key);
             return false;
         };
         let is_repeat = now.since(first_sent) >= SHORTEST_REPEAT;
@@ -155,6 +160,6 @@
     /// that close their flows, lose nothing.
     fn asks_in_vain(&self, now: Timestamp, packet: &FlowPacket, cookie: Cookie) -> bool {
         let asks = packet.data_sequence.is_some() && !packet.closes;
-        self.ends_resting && asks && self.has_ended(now, cookie)
+        self.resets_idle_flows && asks && self.has_ended(now, cookie)
     }
 }
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -25,7 +25,7 @@
         packet: &FlowPacket,
         attempt: u32,
     ) -> Decision {
-        if !table.is_informed() {
+        if !table.is_initialized() {
             return Decision::Drop(DropReason::NotReady);
         }
         let flow_hash = packet.flow.hash();
@@ -35,14 +35,14 @@
         let Some(part) = choose_part(&route.parts, flow_hash) else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
-        let terms = &route.terms;
+        let request_policy = &route.request_policy;
         let admission = &mut self.admission;
-        if !admission.admits(now, table, packet, attempt, part.service, terms) {
+        if !admission.admits(now, table, packet, attempt, part.service, request_policy) {
             return Decision::Refuse(RefusalReason::Overloaded);
         }
         self.zones.adopt(table);
         self.zones.review_outcomes(now);
-        let tries = route.terms.kind.may_repeat() && tries_outliers(flow_hash);
+        let tries = route.request_policy.kind.may_retry() && tries_outliers(flow_hash);
         let chosen = self.choose(now, table, part, flow_hash, attempt, tries);
         let Some((chosen, suitability)) = chosen else {
             return Decision::Refuse(RefusalReason::NoInstance);
--- a/crates/bellyoke-core/src/cookie/seen.rs
+++ b/crates/bellyoke-core/src/cookie/last_seen.rs
@@ -12,13 +12,13 @@
 /// When things were seen, by uniform keys other than zero. What takes another one's place costs
 /// only the memory of that one. 16 bytes a place, none until something is noted.
 #[derive(Debug)]
-pub(crate) struct SeenTable {
+pub(crate) struct LastSeenTable {
     places: Vec<Seen>,
     /// A power of two.
     length: usize,
 }
 
-impl SeenTable {
+impl LastSeenTable {
     pub(crate) const fn new(length: usize) -> Self {
         Self {
             places: Vec::new(),
@@ -31,7 +31,7 @@
         (place.key == key).then_some(place.at)
     }
 
-    pub(crate) fn note(&mut self, now: Timestamp, key: u64) {
+    pub(crate) fn record(&mut self, now: Timestamp, key: u64) {
         if self.places.is_empty() {
             self.places = vec![Seen::default(); self.length];
         }
--- a/crates/bellyoke-core/src/cookie/link/sent.rs
+++ b/crates/bellyoke-core/src/cookie/link/sent.rs
@@ -5,7 +5,7 @@
 //! had arrived. So only data that comes again *after a pause of its flow* was lost.
 
 use super::OutgoingPacket;
-use crate::cookie::seen::{SeenTable, data_key};
+use crate::cookie::last_seen::{LastSeenTable, data_key};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -24,15 +24,15 @@
 /// What was sent last, and which flows were heard.
 #[derive(Debug)]
 pub struct SentTable {
-    data: SeenTable,
-    flows: SeenTable,
+    data: LastSeenTable,
+    flows: LastSeenTable,
 }
 
 impl Default for SentTable {
     fn default() -> Self {
         Self {
-            data: SeenTable::new(DATA_PLACES),
-            flows: SeenTable::new(FLOW_PLACES),
+            data: LastSeenTable::new(DATA_PLACES),
+            flows: LastSeenTable::new(FLOW_PLACES),
         }
     }
 }
@@ -43,7 +43,7 @@
     pub fn heard(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
         let paused = self.flows.seen_at(flow);
-        self.flows.note(now, flow);
+        self.flows.record(now, flow);
         let sent = self.data.seen_at(key_of(packet));
         let longer =
             |since: Option<Timestamp>, least| since.is_some_and(|at| now.since(at) >= least);
@@ -54,7 +54,7 @@
     pub fn sent(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let key = key_of(packet);
         let is_new = self.data.seen_at(key).is_none();
-        self.data.note(now, key);
+        self.data.record(now, key);
         is_new
     }
 }
--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -229,7 +229,7 @@
     pub fn sampled(&mut self, now: Timestamp, zone: ZoneNumber, sample: &AnswerSample) {
         let is_own = self.own == Some(zone);
         if let Some(service) = self.services.get_mut(sample.service.0 as usize) {
-            service.sampled(now, is_own, &sample.fate);
+            service.sampled(now, is_own, &sample.outcome);
         }
     }
 
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -1,6 +1,6 @@
 //! How long flows take, by what clients' packets tell.
 
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -109,10 +109,10 @@
 
 impl Answers {
     /// `longest` bounds what one request counts: a packet that was lost tells nothing of a queue.
-    fn add(&mut self, now: Timestamp, fate: &AnswerFate, longest: Duration) {
-        match fate {
-            AnswerFate::Answered { after, .. } => self.delay.add(now, (*after).min(longest)),
-            AnswerFate::Short { .. } | AnswerFate::Unanswered { .. } => {
+    fn add(&mut self, now: Timestamp, outcome: &AnswerOutcome, longest: Duration) {
+        match outcome {
+            AnswerOutcome::Answered { after, .. } => self.delay.add(now, (*after).min(longest)),
+            AnswerOutcome::Short { .. } | AnswerOutcome::Unanswered { .. } => {
                 self.refused = self.refused * kept(now, self.refused_at) + 1.0;
                 self.refused_at = now;
             }
@@ -145,7 +145,7 @@
 }
 
 impl ServiceDelays {
-    pub(super) fn add(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
+    pub(super) fn add(&mut self, now: Timestamp, is_own: bool, outcome: &AnswerOutcome) {
         let answers = if is_own {
             &mut self.own
         } else {
@@ -154,7 +154,7 @@
         let longest = self.usual.map_or(Duration::MAX, |usual| {
             Duration::from_secs_f32(usual * LONGEST_FACTOR)
         });
-        answers.add(now, fate, longest);
+        answers.add(now, outcome, longest);
     }
 
     /// From request to answer in the own zone, if enough was seen of late.
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -3,7 +3,7 @@
 use super::ZoneCapacity;
 use super::delays::ServiceDelays;
 use super::utilization::{Demand, ZonePart};
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -96,8 +96,8 @@
         self.shares
     }
 
-    pub(super) fn sampled(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
-        self.delays.add(now, is_own, fate);
+    pub(super) fn sampled(&mut self, now: Timestamp, is_own: bool, outcome: &AnswerOutcome) {
+        self.delays.add(now, is_own, outcome);
     }
 
     pub(super) fn note_capacity(&mut self, capacity: ZoneCapacity, zones: usize) {
--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -1,6 +1,6 @@
 //! Counts of samples by instance.
 
-use crate::cookie::answers::{AnswerQuality, JudgedSample};
+use crate::cookie::answers::{AnswerQuality, ClassifiedSample};
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::ServiceNumber;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 /// Sums the samples of a traffic thread between two reports.
 ///
 /// ```
-/// use bellyoke_core::cookie::answers::{AnswerFate, AnswerQuality, AnswerSample, JudgedSample};
+/// use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerQuality, AnswerSample, ClassifiedSample};
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 /// use bellyoke_core::cookie::outliers::TallyBook;
 /// use bellyoke_core::cookie::table::ServiceNumber;
@@ -42,10 +42,10 @@
 ///     cookie: Cookie::of(InstanceId(7)),
 ///     service: ServiceNumber(0),
 ///     priority: 0,
-///     fate: AnswerFate::Short { after: Duration::from_millis(2) },
+///     outcome: AnswerOutcome::Short { after: Duration::from_millis(2) },
 /// };
 /// let mut book = TallyBook::default();
-/// book.note(&JudgedSample { sample, quality: AnswerQuality::Failed });
+/// book.note(&ClassifiedSample { sample, quality: AnswerQuality::Failed });
 /// let tallies = book.take();
 /// assert_eq!((tallies[0].asked, tallies[0].failed), (1, 1));
 /// assert!(book.is_empty());
@@ -57,7 +57,7 @@
 
 impl TallyBook {
     /// Counts a sample.
-    pub fn note(&mut self, judged: &JudgedSample) {
+    pub fn note(&mut self, judged: &ClassifiedSample) {
         let cookie = judged.sample.cookie;
         let is_full = self.tallies.len() >= MAXIMUM_INSTANCES;
         if is_full && !self.tallies.contains_key(&cookie) {
@@ -71,7 +71,7 @@
         });
         tally.asked = tally.asked.saturating_add(1);
         match judged.quality {
-            AnswerQuality::Usual => {}
+            AnswerQuality::Normal => {}
             AnswerQuality::Slow => tally.slow = tally.slow.saturating_add(1),
             AnswerQuality::Failed => tally.failed = tally.failed.saturating_add(1),
         }
--- a/crates/bellyoke-core/src/cookie/packet.rs
+++ b/crates/bellyoke-core/src/cookie/packet.rs
@@ -72,12 +72,12 @@
         length: usize,
     },
     /// The head tells another length than came.
-    #[error("the head tells {told} bytes of data, {came} came")]
+    #[error("the header declares {declared} bytes of data, got {actual}")]
     Length {
         /// Bytes of data that the head tells.
-        told: usize,
+        declared: usize,
         /// Bytes of data that came.
-        came: usize,
+        actual: usize,
     },
     /// Not from a client: a balancer's own reset or an answer of a backend.
     #[error("not a client's packet")]
--- a/crates/bellyoke-core/src/cookie/route.rs
+++ b/crates/bellyoke-core/src/cookie/route.rs
@@ -33,7 +33,7 @@
 impl RequestKind {
     /// Whether a request that may have run can be sent again.
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Download)
     }
 }
@@ -42,13 +42,13 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize,
 )]
-pub struct RouteTerms {
+pub struct RequestPolicy {
     /// What may be done with them.
     pub kind: RequestKind,
     /// Rank among the requests of a service; 0 goes first.
     pub priority: u8,
     /// How soon an answer is wanted, milliseconds; zero if that isn't told.
-    pub aim_milliseconds: u32,
+    pub latency_target_milliseconds: u32,
     /// After how long an answer is of no use, milliseconds; zero if that isn't told.
     pub timeout_milliseconds: u32,
 }
@@ -61,7 +61,7 @@
     /// The services and their weights.
     pub services: Vec<WeightedService>,
     /// What its requests are like.
-    pub terms: RouteTerms,
+    pub request_policy: RequestPolicy,
 }
 
 /// How a service's instances work while they are cold: for some seconds after their start, or after
--- a/crates/bellyoke-core/src/cookie/stall.rs
+++ b/crates/bellyoke-core/src/cookie/stall.rs
@@ -59,7 +59,7 @@
 impl BacklogGuard {
     /// A packet was read at `now`. Returns whether it may have waited through a stall. Whichever
     /// thread runs first after the stall, it is noticed: by the missing tick or by the count.
-    pub fn packet(&mut self, now: Timestamp, ticks: TickReport) -> bool {
+    pub fn may_have_waited(&mut self, now: Timestamp, ticks: TickReport) -> bool {
         let tick_missing = now.since(ticks.last) > STALL_THRESHOLD;
         if tick_missing || ticks.stalls != self.stalls_seen {
             self.stalls_seen = ticks.stalls;
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -4,7 +4,7 @@
 use crate::cookie::instance::{Cookie, InstanceId, InstanceState};
 use crate::cookie::packet::Destination;
 use crate::cookie::revision::Revision;
-use crate::cookie::route::{Configuration, Route, RouteTerms, ServiceLimits};
+use crate::cookie::route::{Configuration, RequestPolicy, Route, ServiceLimits};
 use crate::cookie::zones::ZoneDrains;
 use crate::time::Timestamp;
 use hashbrown::{HashMap, HashSet};
@@ -68,7 +68,7 @@
     /// The services and their weights.
     pub parts: Vec<ServicePart>,
     /// What the requests are like.
-    pub terms: RouteTerms,
+    pub request_policy: RequestPolicy,
 }
 
 /// What a node's traffic threads forward by: one version of the routes and of the instances.
@@ -166,13 +166,13 @@
     /// The service of an instance; none if no route names it, or the instance isn't remembered.
     #[must_use]
     pub fn service_of(&self, cookie: Cookie) -> Option<ServiceNumber> {
-        self.place_of(cookie).map(|(service, _)| service)
+        self.location_of(cookie).map(|(service, _)| service)
     }
 
     /// The service and the zone of an instance; none if no route names the service, or the instance isn't
     /// remembered.
     #[must_use]
-    pub fn place_of(&self, cookie: Cookie) -> Option<(ServiceNumber, ZoneNumber)> {
+    pub fn location_of(&self, cookie: Cookie) -> Option<(ServiceNumber, ZoneNumber)> {
         let found = self
             .service_of
             .binary_search_by_key(&cookie, |(cookie, ..)| *cookie);
@@ -227,7 +227,7 @@
 
     /// Whether routes, instances and drained zones are known. Until then nothing may be refused.
     #[must_use]
-    pub const fn is_informed(&self) -> bool {
+    pub const fn is_initialized(&self) -> bool {
         self.configuration_version != 0 && self.has_lists
     }
 
@@ -330,8 +330,14 @@
                 service,
             });
         }
-        let terms = route.terms;
-        (route.address, TableRoute { parts, terms })
+        let request_policy = route.request_policy;
+        (
+            route.address,
+            TableRoute {
+                parts,
+                request_policy,
+            },
+        )
     }
 
     fn names(&self) -> Vec<String> {
--- a/crates/bellyoke-core/tests/cookie/admission.rs
+++ b/crates/bellyoke-core/tests/cookie/admission.rs
@@ -10,7 +10,7 @@
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::Revision;
 use bellyoke_core::cookie::route::{
-    Configuration, RequestKind, Route, RouteTerms, WeightedService,
+    Configuration, RequestKind, RequestPolicy, Route, WeightedService,
 };
 use bellyoke_core::cookie::table::ForwardingTable;
 use bellyoke_core::time::Timestamp;
@@ -45,10 +45,10 @@
             service: "till".to_owned(),
             weight: 1,
         }],
-        terms: RouteTerms {
+        request_policy: RequestPolicy {
             kind,
             priority,
-            aim_milliseconds: 500,
+            latency_target_milliseconds: 500,
             timeout_milliseconds: 3_000,
         },
     }
--- a/crates/bellyoke-core/tests/cookie/answers.rs
+++ b/crates/bellyoke-core/tests/cookie/answers.rs
@@ -1,7 +1,9 @@
 //! What became of requests, as far as their clients' packets tell.
 
 use crate::support::{SERVICE, at, configuration, later, node, of_service, record};
-use bellyoke_core::cookie::answers::{AnswerFate, AnswerMonitor, AnswerQuality, JudgedSample};
+use bellyoke_core::cookie::answers::{
+    AnswerMonitor, AnswerOutcome, AnswerQuality, ClassifiedSample,
+};
 use bellyoke_core::cookie::flows::FlowTable;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 use bellyoke_core::cookie::packet::{FlowPacket, PacketRole};
@@ -18,7 +20,7 @@
     flows: FlowTable,
     monitor: AnswerMonitor,
     now: u64,
-    samples: Vec<JudgedSample>,
+    samples: Vec<ClassifiedSample>,
 }
 
 impl Watcher {
@@ -41,7 +43,7 @@
     fn packet(&mut self, packet: &FlowPacket) {
         let (now, cookie) = (at(self.now), packet.cookie.unwrap());
         let hash = packet.flow.hash();
-        let record = self.flows.note(now, hash, packet, cookie);
+        let record = self.flows.record_packet(now, hash, packet, cookie);
         let sample = self.monitor.observe(now, &self.table, hash, packet, record);
         self.samples.extend(sample);
     }
@@ -75,7 +77,7 @@
         });
     }
 
-    fn take(&mut self) -> Vec<JudgedSample> {
+    fn take(&mut self) -> Vec<ClassifiedSample> {
         std::mem::take(&mut self.samples)
     }
 
@@ -118,11 +120,11 @@
     watcher.request(1, 40, &[1_200, 400]);
     let samples = watcher.take();
     let after = Duration::from_millis(40);
-    let expected = AnswerFate::Answered {
+    let expected = AnswerOutcome::Answered {
         after,
         bytes: 1_600,
     };
-    assert_eq!(samples[0].sample.fate, expected);
+    assert_eq!(samples[0].sample.outcome, expected);
     assert_eq!(samples.len(), 1);
 }
 
@@ -133,7 +135,7 @@
     watcher.request(900, 5, &[180]);
     let samples = watcher.take();
     let after = Duration::from_millis(5);
-    assert_eq!(samples[0].sample.fate, AnswerFate::Short { after });
+    assert_eq!(samples[0].sample.outcome, AnswerOutcome::Short { after });
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
 }
 
@@ -149,8 +151,8 @@
     assert_eq!(samples.len(), 1);
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
     assert!(matches!(
-        samples[0].sample.fate,
-        AnswerFate::Unanswered { .. }
+        samples[0].sample.outcome,
+        AnswerOutcome::Unanswered { .. }
     ));
     // The client gives up.
     watcher.packet(&FlowPacket {
@@ -183,8 +185,8 @@
     let after = Duration::from_millis(30);
     assert_eq!(samples.len(), 1);
     assert_eq!(
-        samples[0].sample.fate,
-        AnswerFate::Answered {
+        samples[0].sample.outcome,
+        AnswerOutcome::Answered {
             after,
             bytes: 2_400
         }
@@ -203,8 +205,8 @@
     let lengths: Vec<u32> = watcher
         .take()
         .iter()
-        .filter_map(|judged| match judged.sample.fate {
-            AnswerFate::Answered { bytes, .. } => Some(bytes),
+        .filter_map(|judged| match judged.sample.outcome {
+            AnswerOutcome::Answered { bytes, .. } => Some(bytes),
             _ => None,
         })
         .collect();
@@ -223,7 +225,7 @@
     let failed = watcher.take();
     let failed = failed
         .iter()
-        .filter(|judged| judged.quality != AnswerQuality::Usual);
+        .filter(|judged| judged.quality != AnswerQuality::Normal);
     assert!(failed.count() <= 4, "one in a hundred at most");
 }
 
@@ -240,7 +242,7 @@
     watcher.pass(500);
     let samples = watcher.take();
     assert_eq!(samples.len(), 1);
-    assert_eq!(samples[0].quality, AnswerQuality::Usual);
+    assert_eq!(samples[0].quality, AnswerQuality::Normal);
 }
 
 #[test]
@@ -255,7 +257,7 @@
         }
     }
     let samples = watcher.take();
-    let usual = |judged: &&JudgedSample| judged.quality == AnswerQuality::Usual;
+    let usual = |judged: &&ClassifiedSample| judged.quality == AnswerQuality::Normal;
     assert_eq!(samples.iter().filter(usual).count(), 100);
     assert_eq!(samples.len(), 100);
 }
@@ -273,7 +275,7 @@
     watcher.pass(300);
     let samples = watcher.take();
     assert_eq!(samples.len(), 1);
-    assert_eq!(samples[0].quality, AnswerQuality::Usual);
+    assert_eq!(samples[0].quality, AnswerQuality::Normal);
 }
 
 #[test]
@@ -297,14 +299,14 @@
     watcher.packet(&asks(900, 1, 500));
     for _ in 0..3 {
         watcher.pass(60);
-        watcher.monitor.note_moved(at(watcher.now));
+        watcher.monitor.record_moved_flow(at(watcher.now));
     }
     watcher.pass(1_000);
     assert_eq!(watcher.take(), []);
     // What is asked afterwards counts again, and one forgotten flow changes nothing.
     watcher.packet(&asks(901, 1, 500));
     watcher.pass(50);
-    watcher.monitor.note_moved(at(watcher.now));
+    watcher.monitor.record_moved_flow(at(watcher.now));
     watcher.pass(600);
     assert_eq!(watcher.take().len(), 1);
 }
@@ -329,7 +331,7 @@
     let samples = watcher.take();
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
     let last = samples.last().unwrap();
-    assert_eq!(last.quality, AnswerQuality::Usual, "learned by now");
+    assert_eq!(last.quality, AnswerQuality::Normal, "learned by now");
 }
 
 #[test]
@@ -356,7 +358,7 @@
     assert_eq!(samples[0].sample.cookie, other);
     assert_eq!(
         samples[0].quality,
-        AnswerQuality::Usual,
+        AnswerQuality::Normal,
         "nothing is known of it"
     );
 }
--- a/crates/bellyoke-core/tests/cookie/ends.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -3,7 +3,7 @@
 use crate::cluster::address;
 use crate::support::{at, flow, later, node, opening, record};
 use bellyoke_core::cookie::capacity::ZoneKey;
-use bellyoke_core::cookie::ends::{FlowEnd, RESET_INTERVAL, RESETS_AT_ONCE};
+use bellyoke_core::cookie::flow_resets::{FlowReset, RESET_INTERVAL, RESETS_PER_INTERVAL};
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder, ResetReason};
 use bellyoke_core::cookie::health::HealthSettings;
 use bellyoke_core::cookie::instance::{Cookie, InstanceEvent, InstanceId, InstanceRecord};
@@ -33,9 +33,9 @@
 }
 
 /// A forwarder that has seen `flows` flows at instance 1, which rest since second 1.
-fn resting(table: &ForwardingTable, flows: u32, ends_resting: bool) -> Forwarder {
+fn resting(table: &ForwardingTable, flows: u32, resets_idle_flows: bool) -> Forwarder {
     let forwarder = Forwarder::new(HealthSettings::default());
-    let mut forwarder = forwarder.with_flows(1_000, ends_resting);
+    let mut forwarder = forwarder.with_flows(1_000, resets_idle_flows);
     for number in 0..flows {
         forwarder.decide(at(1_000), table, &packet(number, None, 7), false);
     }
@@ -50,30 +50,30 @@
     forwarder.review(at(now), table);
 }
 
-fn ends(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) -> Vec<FlowEnd> {
-    std::iter::from_fn(|| forwarder.next_end(at(now), table)).collect()
+fn ends(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) -> Vec<FlowReset> {
+    std::iter::from_fn(|| forwarder.next_flow_reset(at(now), table)).collect()
 }
 
 #[test]
 fn resting_flows_of_an_ended_instance_are_reset_in_groups() {
     let table = table();
     let mut forwarder = resting(&table, 50, true);
-    assert_eq!(forwarder.next_end_at(), None);
+    assert_eq!(forwarder.next_flow_reset_at(), None);
     end(&mut forwarder, &table, 5_000);
-    assert_eq!(forwarder.next_end_at(), Some(at(5_000)));
+    assert_eq!(forwarder.next_flow_reset_at(), Some(at(5_000)));
     let first = ends(&mut forwarder, &table, 5_000);
-    assert_eq!(first.len(), RESETS_AT_ONCE);
+    assert_eq!(first.len(), RESETS_PER_INTERVAL);
     let expected = (cookie(1), 7, ResetReason::Unreachable);
     let told = first[0];
     assert_eq!((told.cookie, told.acknowledged, told.reason), expected);
     assert_eq!(ends(&mut forwarder, &table, 5_010), []);
     let next = at(5_000).after(RESET_INTERVAL);
-    assert_eq!(forwarder.next_end_at(), Some(next));
+    assert_eq!(forwarder.next_flow_reset_at(), Some(next));
     assert_eq!(
         ends(&mut forwarder, &table, 5_020).len(),
-        50 - RESETS_AT_ONCE
+        50 - RESETS_PER_INTERVAL
     );
-    assert_eq!(forwarder.next_end_at(), None);
+    assert_eq!(forwarder.next_flow_reset_at(), None);
     // Once for each flow.
     forwarder.review(at(6_000), &table);
     assert_eq!(ends(&mut forwarder, &table, 6_000), []);
@@ -263,7 +263,10 @@
         };
         forwarder.decide(at(now + 10), &table, &first, false);
     }
-    assert_eq!(forwarder.sound_instances(at(1_300)), [cookie(1), cookie(2)]);
+    assert_eq!(
+        forwarder.healthy_instances(at(1_300)),
+        [cookie(1), cookie(2)]
+    );
 }
 
 /// As where the node's own link turns out to lose data, or the instance takes connections again.
@@ -272,7 +275,10 @@
     let table = table();
     let mut forwarder = resting(&table, 50, true);
     end(&mut forwarder, &table, 5_000);
-    assert_eq!(ends(&mut forwarder, &table, 5_000).len(), RESETS_AT_ONCE);
+    assert_eq!(
+        ends(&mut forwarder, &table, 5_000).len(),
+        RESETS_PER_INTERVAL
+    );
     forwarder.set_unreachable(&BTreeSet::new(), &BTreeSet::new());
     assert_eq!(ends(&mut forwarder, &table, 5_020), []);
     let decision = forwarder.decide(at(5_030), &table, &packet(49, Some(100), 7), false);
@@ -327,13 +333,13 @@
     let (table, mut forwarder) = repeated();
     let unreachable = BTreeSet::from([cookie(1)]);
     forwarder.review(at(2_250), &table);
-    assert_eq!(forwarder.next_end(at(2_250), &table), None);
+    assert_eq!(forwarder.next_flow_reset(at(2_250), &table), None);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_400), &table);
-    let end = forwarder.next_end(at(2_400), &table).unwrap();
+    let end = forwarder.next_flow_reset(at(2_400), &table).unwrap();
     assert_eq!((end.flow, end.reason), (flow(0), ResetReason::Unreachable));
     assert_eq!(
-        forwarder.next_end(at(2_400), &table),
+        forwarder.next_flow_reset(at(2_400), &table),
         None,
         "the other one rests"
     );
@@ -346,11 +352,11 @@
     forwarder.decide(at(2_300), &table, &packet(0, None, 900), false);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_400), &table);
-    assert_eq!(forwarder.next_end(at(2_400), &table), None);
+    assert_eq!(forwarder.next_flow_reset(at(2_400), &table), None);
     // Nor does one of which nothing was heard again, once a verdict comes much later.
     let (table, mut forwarder) = repeated();
     forwarder.review(at(2_800), &table);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_900), &table);
-    assert_eq!(forwarder.next_end(at(2_900), &table), None);
+    assert_eq!(forwarder.next_flow_reset(at(2_900), &table), None);
 }
--- a/crates/bellyoke-core/tests/cookie/flows.rs
+++ b/crates/bellyoke-core/tests/cookie/flows.rs
@@ -17,7 +17,7 @@
         acknowledged: number,
         ..later(number, cookie(id))
     };
-    table.note(at(now), flow(number).hash(), &packet, cookie(id));
+    table.record_packet(at(now), flow(number).hash(), &packet, cookie(id));
 }
 
 #[test]
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -5,7 +5,7 @@
 //! zones are compared with nodes that know no zone.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
-use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
+use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerSample};
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder};
 use bellyoke_core::cookie::health::HealthSettings;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId, InstanceRecord, InstanceState};
@@ -303,13 +303,13 @@
             cookie,
             service: ServiceNumber(0),
             priority: 0,
-            fate: AnswerFate::Short {
+            outcome: AnswerOutcome::Short {
                 after: Duration::from_millis(3),
             },
         };
         let node = self.callers[number].node;
         let time = bellyoke_core::time::Timestamp::from_micros(now);
-        self.nodes[node].1.note_sample(time, &self.table, &sample);
+        self.nodes[node].1.record_sample(time, &self.table, &sample);
     }
 
     fn outcome(self, start: u64) -> Outcome {
--- a/crates/bellyoke-core/tests/cookie/outlier_placement.rs
+++ b/crates/bellyoke-core/tests/cookie/outlier_placement.rs
@@ -20,7 +20,7 @@
 fn table(kind: RequestKind) -> ForwardingTable {
     let mut replica = node((1..=INSTANCES).map(|id| record(id, 1)).collect());
     let mut routes = configuration(2, &[("till", 1)]).routes;
-    routes[0].terms.kind = kind;
+    routes[0].request_policy.kind = kind;
     replica.adopt_configuration(Configuration {
         routes,
         ..configuration(2, &[])
--- a/crates/bellyoke-core/tests/cookie/stall.rs
+++ b/crates/bellyoke-core/tests/cookie/stall.rs
@@ -21,8 +21,8 @@
         last: at(1_000),
         stalls: 0,
     };
-    assert!(!guard.packet(at(1_050), ticks));
-    assert!(guard.packet(at(5_000), ticks));
+    assert!(!guard.may_have_waited(at(1_050), ticks));
+    assert!(guard.may_have_waited(at(5_000), ticks));
 }
 
 #[test]
@@ -32,7 +32,7 @@
         last: at(5_000),
         stalls: 1,
     };
-    assert!(guard.packet(at(5_001), ticks));
+    assert!(guard.may_have_waited(at(5_001), ticks));
 }
 
 #[test]
@@ -42,8 +42,8 @@
         last: at(5_000),
         stalls: 1,
     };
-    assert!(guard.packet(at(5_001), ticks));
-    assert!(guard.packet(at(5_002), ticks));
+    assert!(guard.may_have_waited(at(5_001), ticks));
+    assert!(guard.may_have_waited(at(5_002), ticks));
     guard.emptied();
-    assert!(!guard.packet(at(5_003), ticks));
+    assert!(!guard.may_have_waited(at(5_003), ticks));
 }
--- a/crates/bellyoke-core/tests/cookie/support.rs
+++ b/crates/bellyoke-core/tests/cookie/support.rs
@@ -4,7 +4,7 @@
 use bellyoke_core::cookie::packet::{FlowPacket, FlowTuple, PacketRole};
 use bellyoke_core::cookie::replica::Replica;
 use bellyoke_core::cookie::revision::Revision;
-use bellyoke_core::cookie::route::{Configuration, Route, RouteTerms, WeightedService};
+use bellyoke_core::cookie::route::{Configuration, RequestPolicy, Route, WeightedService};
 use bellyoke_core::time::Timestamp;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -57,7 +57,7 @@
         routes: vec![Route {
             address: SERVICE,
             services: services.collect(),
-            terms: RouteTerms::default(),
+            request_policy: RequestPolicy::default(),
         }],
         limits: Vec::new(),
         idle_timeout_milliseconds: 15_000,
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -1,7 +1,7 @@
 //! How zones rank in the choice of an instance, and when a zone counts as lost.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
-use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
+use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerSample};
 use bellyoke_core::cookie::instance::{Cookie, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::locality::{ZoneCapacity, ZonePreference, ZoneRank};
 use bellyoke_core::cookie::placement::{Suitability, choose_by_zone};
@@ -195,7 +195,7 @@
                 cookie: Cookie::of(InstanceId(1)),
                 service: SERVICE,
                 priority: 0,
-                fate: AnswerFate::Short {
+                outcome: AnswerOutcome::Short {
                     after: Duration::from_millis(2),
                 },
             };
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -196,10 +196,10 @@
     replica.replace_instances(at(0), Revision::new(10), vec![record(1, 1)]);
     let lifecycle = Lifecycle::new(Duration::from_secs(1));
     assert_eq!(lifecycle.ready(replica.versions()), Err(Unready::NoZones));
-    assert!(!replica.table().is_informed());
+    assert!(!replica.table().is_initialized());
     replica.replace_zones(at(1), Revision::new(11), Vec::new());
     assert_eq!(lifecycle.ready(replica.versions()), Ok(()));
-    assert!(replica.table().is_informed());
+    assert!(replica.table().is_initialized());
 }
 
 fn coordinator(number: u8) -> Coordinator {
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -214,7 +214,7 @@
         let Some(view) = packet.product_view() else {
             return Forwarded::Dropped;
         };
-        let mut backlog = self.guard.packet(now, self.ticks);
+        let mut backlog = self.guard.may_have_waited(now, self.ticks);
         if self.lacks(Ablation::NoBacklogGuard) {
             backlog = false;
         }
@@ -291,7 +291,7 @@
         self.forwarder.set_unreachable(&unreachable, &avoided);
         self.forwarder.set_ended(&self.coordinator.ended(now));
         let questioned = self.coordinator.in_question(now);
-        let living = self.forwarder.living(now, &questioned);
+        let living = self.forwarder.alive_instances(now, &questioned);
         if !self.lacks(Ablation::NoPeers) && !self.lacks(Ablation::NoObjections) {
             effects.extend(self.coordinator.object(now, &living).1);
         }
@@ -309,7 +309,7 @@
 
     /// Resets of resting flows whose instances have ended.
     pub fn end_resting(&mut self, now: Timestamp) -> Vec<Packet> {
-        let ends = std::iter::from_fn(|| self.forwarder.next_end(now, &self.table));
+        let ends = std::iter::from_fn(|| self.forwarder.next_flow_reset(now, &self.table));
         let resets: Vec<Packet> = ends
             .map(|end| Packet::reset_of(&end.flow, end.acknowledged))
             .collect();
@@ -324,7 +324,7 @@
         if self.lacks(Ablation::NoProbes) {
             return None;
         }
-        let sound = self.forwarder.sound_instances(now);
+        let sound = self.forwarder.healthy_instances(now);
         self.coordinator.next_probe(now, &sound)
     }
 
--- a/crates/bellyoke-lab/src/cookie/scenario.rs
+++ b/crates/bellyoke-lab/src/cookie/scenario.rs
@@ -5,7 +5,7 @@
 use super::store::StoreMode;
 use bellyoke_core::cookie::capacity::{CapacityClass, NodePlace, ZoneKey};
 use bellyoke_core::cookie::exchange::ExchangeSettings;
-use bellyoke_core::cookie::route::{Configuration, Route, RouteTerms, WeightedService};
+use bellyoke_core::cookie::route::{Configuration, RequestPolicy, Route, WeightedService};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -293,7 +293,7 @@
             service: service_name(index),
             weight: 1,
         }],
-        terms: RouteTerms::default(),
+        request_policy: RequestPolicy::default(),
     };
     let own = (0..services).map(|index| route(service_address(index), index));
     let probe = probe.map(|index| route(PROBE_ADDRESS, index));
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -144,7 +144,7 @@
 
     /// When something is due that no packet brings about; none if nothing is.
     fn next_at(&self) -> Option<Timestamp> {
-        let ends_at = self.forwarder.next_end_at();
+        let ends_at = self.forwarder.next_flow_reset_at();
         let sends_at = self.sender.next_at();
         let waiting = self.has_waiting_clients();
         let review_at = waiting.then_some(self.next_urgent_review);
@@ -166,12 +166,12 @@
 
     /// Resets the resting flows that are due.
     fn end_resting(&mut self) {
-        if self.forwarder.next_end_at().is_none() {
+        if self.forwarder.next_flow_reset_at().is_none() {
             return;
         }
         let now = self.shared.clock.now();
         let table = self.shared.table.load_full();
-        while let Some(end) = self.forwarder.next_end(now, &table) {
+        while let Some(end) = self.forwarder.next_flow_reset(now, &table) {
             let reset = self.codec.reset_flow(&end.flow, end.acknowledged);
             let client = SocketAddrV4::new(*end.flow.client.ip(), self.client_port);
             self.shared.packets.count(PacketOutcome::ResetResting);
@@ -197,7 +197,7 @@
     /// packets in the socket may be old.
     fn handle(&mut self, datagram: &mut [u8], was_draining: bool) -> bool {
         let now = self.shared.clock.now();
-        let backlog = self.guard.packet(now, self.shared.ticks());
+        let backlog = self.guard.may_have_waited(now, self.shared.ticks());
         if backlog && !was_draining {
             self.forwarder.stalled();
         }
@@ -300,7 +300,7 @@
         self.log_health_changes(now, table);
         self.show_zones(now, table);
         self.exchange_doubts(now);
-        self.forwarder.review_ends(now, table);
+        self.forwarder.review_flow_resets(now, table);
         self.exchange_answers();
         let failing: Vec<Cookie> = self.forwarder.failing_instances().collect();
         if **self.shared.failing.load() != failing {
@@ -312,12 +312,12 @@
     /// link loses data it neither asks nor acts: what it sees may be its own fault.
     fn exchange_doubts(&mut self, now: Timestamp) {
         let failed = self.forwarder.take_failed(now);
-        let sound = self.forwarder.sound_instances(now);
+        let sound = self.forwarder.healthy_instances(now);
         if **self.shared.sound.load() != sound {
             self.shared.sound.store(Arc::new(sound));
         }
         let questioned = self.shared.in_question.load();
-        let living = self.forwarder.living(now, &questioned);
+        let living = self.forwarder.alive_instances(now, &questioned);
         if **self.shared.living.load() != living {
             self.shared.living.store(Arc::new(living));
         }
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -3,7 +3,7 @@
 use super::{PacketOutcome, TrafficThread};
 use bellyoke_api::event_code::EventCode;
 use bellyoke_core::cookie::admission::RequestClass;
-use bellyoke_core::cookie::ends::FlowEnd;
+use bellyoke_core::cookie::flow_resets::FlowReset;
 use bellyoke_core::cookie::health::HealthChange;
 use bellyoke_core::cookie::packet::{Destination, FlowPacket, PacketCodec};
 use bellyoke_core::cookie::placement::Suitability;
@@ -77,7 +77,7 @@
         };
         let service = route.parts.first().map(|part| part.service.0 as usize);
         let service = service.and_then(|number| table.services().get(number));
-        let class = RequestClass::of(&route.terms);
+        let class = RequestClass::of(&route.request_policy);
         let service = service.map_or("", String::as_str);
         self.shared.packets.refused(service, class);
     }
@@ -144,7 +144,7 @@
         );
     }
 
-    pub(super) fn log_end(&mut self, now: Timestamp, end: &FlowEnd) {
+    pub(super) fn log_end(&mut self, now: Timestamp, end: &FlowReset) {
         self.limiter.log(
             EventCode::RestingFlowEnded,
             now,
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -398,7 +398,7 @@
     /// Publishes the table after a change, once it is due, or at once if what is published says nothing yet.
     fn note_change(&mut self, now: Timestamp, change: StateChange) {
         self.tables.changed(now, change);
-        let says_nothing = self.tables.is_behind() && !self.shared.table.load().is_informed();
+        let says_nothing = self.tables.is_behind() && !self.shared.table.load().is_initialized();
         if self.tables.is_due(now) || says_nothing {
             let table = self.coordinator.replica().table();
             self.shared.table.store(Arc::new(table));
