--- a/crates/bellyoke-core/src/cookie/answers/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/answers/monitor.rs
@@ -15,18 +15,18 @@
 const MAXIMUM_ROUTES: usize = 256;
 
 /// Requests watched at once; of further ones only the end on their flow is seen.
-const MAXIMUM_WATCHED: usize = 1_024;
+const MAXIMUM_WATCHED_FLOWS: usize = 1_024;
 
 /// An answer of which nothing more came for so long is whole. Packets of one answer follow each other
 /// within milliseconds; those lost come 200 ms later, so that a rare answer passes as short.
-const REST: Duration = Duration::from_millis(100);
+const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// So many flows that come from other nodes within [`MOVE_TIME`] show that routers spread flows anew: this
 /// node's own ones have gone to others, and their answers with them.
-const MOVES: usize = 3;
+const REDISTRIBUTED_FLOWS_THRESHOLD: usize = 3;
 
 /// See [`MOVES`]. Resting flows that were forgotten come singly.
-const MOVE_TIME: Duration = Duration::from_secs(1);
+const REDISTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 
 /// How an answer compares with the usual ones of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,9 +56,9 @@
     /// Flow hashes of requests under way.
     watched: Vec<u64>,
     /// When the last flows came from other nodes, the last one last.
-    moved_at: [Timestamp; MOVES],
+    moved_at: [Timestamp; REDISTRIBUTED_FLOWS_THRESHOLD],
     /// When routers last spread flows anew.
-    respread_at: Timestamp,
+    redistributed_at: Timestamp,
 }
 
 impl AnswerMonitor {
@@ -72,24 +72,27 @@
         packet: &FlowPacket,
         record: &mut FlowRecord,
     ) -> Option<ClassifiedSample> {
-        let was_asked = record.request.sent_at.is_some();
+        let was_pending = record.request.sent_at.is_some();
         let status = record.request.observe(now, packet);
-        let is_asked = record.request.sent_at.is_some();
-        let begins = is_asked && (!was_asked || status.is_some());
-        if begins && self.watched.len() < MAXIMUM_WATCHED && !self.watched.contains(&flow_hash) {
+        let is_pending = record.request.sent_at.is_some();
+        let is_new = is_pending && (!was_pending || status.is_some());
+        if is_new
+            && self.watched.len() < MAXIMUM_WATCHED_FLOWS
+            && !self.watched.contains(&flow_hash)
+        {
             self.watched.push(flow_hash);
         }
-        self.judge(table, record, &status?)
+        self.classify(table, record, &status?)
     }
 
     /// A flow has come that opened through another node.
     pub fn record_moved_flow(&mut self, now: Timestamp) {
         self.moved_at.rotate_left(1);
-        self.moved_at[MOVES - 1] = now;
-        let is_wave = now.since(self.moved_at[0]) < MOVE_TIME;
+        self.moved_at[REDISTRIBUTED_FLOWS_THRESHOLD - 1] = now;
+        let is_redistribution = now.since(self.moved_at[0]) < REDISTRIBUTION_WINDOW;
         // Those that rested come over some seconds; what is asked meanwhile counts.
-        if is_wave && now.since(self.respread_at) >= MOVE_TIME {
-            self.respread_at = now;
+        if is_redistribution && now.since(self.redistributed_at) >= REDISTRIBUTION_WINDOW {
+            self.redistributed_at = now;
         }
     }
 
@@ -101,7 +104,7 @@
         table: &ForwardingTable,
         flows: &mut FlowTable,
     ) -> Vec<ClassifiedSample> {
-        let mut judged = Vec::new();
+        let mut classified = Vec::new();
         let watched = std::mem::take(&mut self.watched);
         for flow_hash in watched {
             let Some(record) = flows.get_mut(flow_hash) else {
@@ -113,16 +116,16 @@
             if self.is_over(now, table, record, &status) {
                 let sent_at = record.request.sent_at;
                 record.request.finish(now);
-                let has_moved = sent_at.is_some_and(|sent_at| sent_at <= self.respread_at);
+                let has_moved = sent_at.is_some_and(|sent_at| sent_at <= self.redistributed_at);
                 if status.after.is_none() && has_moved {
                     continue;
                 }
-                judged.extend(self.judge(table, record, &status));
+                classified.extend(self.classify(table, record, &status));
             } else {
                 self.watched.push(flow_hash);
             }
         }
-        judged
+        classified
     }
 
     /// The process stood still: what it missed would count as not answered.
@@ -142,19 +145,19 @@
         status: &RequestStatus,
     ) -> bool {
         if status.after.is_some() {
-            return now.since(record.seen_at) >= REST;
+            return now.since(record.seen_at) >= ANSWER_IDLE_TIMEOUT;
         }
-        let baseline = key(table, record).and_then(|key| self.baselines.get(&key));
+        let baseline = baseline_key(table, record).and_then(|key| self.baselines.get(&key));
         baseline.is_some_and(|baseline| status.waited >= baseline.overdue())
     }
 
-    fn judge(
+    fn classify(
         &mut self,
         table: &ForwardingTable,
         record: &FlowRecord,
         status: &RequestStatus,
     ) -> Option<ClassifiedSample> {
-        let (address, service) = key(table, record)?;
+        let (address, service) = baseline_key(table, record)?;
         let priority = table.route(address)?.request_policy.priority;
         let is_known = self.baselines.contains_key(&(address, service));
         if !is_known && self.baselines.len() >= MAXIMUM_ROUTES {
@@ -192,7 +195,10 @@
     (AnswerOutcome::Answered { after, bytes }, quality)
 }
 
-fn key(table: &ForwardingTable, record: &FlowRecord) -> Option<(SocketAddrV4, ServiceNumber)> {
+fn baseline_key(
+    table: &ForwardingTable,
+    record: &FlowRecord,
+) -> Option<(SocketAddrV4, ServiceNumber)> {
     let FlowTuple { service, .. } = record.flow;
     Some((service, table.service_of(record.cookie)?))
 }
--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Half of the sequence space: what is further ahead than that is behind.
-const HALF: u32 = 1 << 31;
+const HALF_SEQUENCE_SPACE: u32 = 1 << 31;
 
 /// The request under way on one flow, as far as its client's packets tell.
 ///
@@ -38,11 +38,11 @@
     /// What the client had acknowledged then.
     pub acknowledged_before: u32,
     /// Sequence number after the last byte of data seen.
-    asked_end: u32,
+    data_end: u32,
     /// Bytes of the answer acknowledged.
-    answered: u32,
+    answered_bytes: u32,
     /// From the request to the first acknowledgement of the answer, microseconds; zero before it.
-    first_after: u32,
+    first_answer_microseconds: u32,
 }
 
 /// How far a request had come when it was over, or was looked at last.
@@ -65,32 +65,33 @@
         if self.sent_at.is_some() {
             self.acknowledge(now, packet.acknowledged);
         }
-        let mut over = None;
-        if begins && self.answered > 0 {
-            over = self.finish(now);
+        let mut finished = None;
+        if begins && self.answered_bytes > 0 {
+            finished = self.finish(now);
         }
         if begins {
-            self.begin(now, packet);
+            self.start_request(now, packet);
         }
-        if packet.role == PacketRole::Abort && self.answered == 0 {
+        if packet.role == PacketRole::Abort && self.answered_bytes == 0 {
             // Its client may have lost interest. Whoever waited too long for it was noticed before.
             self.sent_at = None;
         }
         let ends = packet.closes || packet.role == PacketRole::Abort;
-        if ends && self.answered > 0 {
-            over = over.or(self.finish(now));
+        if ends && self.answered_bytes > 0 {
+            finished = finished.or(self.finish(now));
         }
-        over
+        finished
     }
 
     /// How far the request under way has come; none while there is none.
     #[must_use]
     pub fn status(&self, now: Timestamp) -> Option<RequestStatus> {
         let sent_at = self.sent_at?;
-        let first_after = Duration::from_micros(u64::from(self.first_after));
+        let first_answer_microseconds =
+            Duration::from_micros(u64::from(self.first_answer_microseconds));
         Some(RequestStatus {
-            after: (self.answered > 0).then_some(first_after),
-            bytes: self.answered,
+            after: (self.answered_bytes > 0).then_some(first_answer_microseconds),
+            bytes: self.answered_bytes,
             waited: now.since(sent_at),
         })
     }
@@ -108,39 +109,39 @@
             return false;
         };
         let end = sequence.wrapping_add(u32::from(packet.data_length));
-        let knows_end = self.asked_end != 0;
-        let ahead = end.wrapping_sub(self.asked_end);
-        !knows_end || (ahead != 0 && ahead < HALF)
+        let knows_end = self.data_end != 0;
+        let ahead = end.wrapping_sub(self.data_end);
+        !knows_end || (ahead != 0 && ahead < HALF_SEQUENCE_SPACE)
     }
 
     /// A request begins, or goes on if nothing of an answer has come.
-    fn begin(&mut self, now: Timestamp, packet: &FlowPacket) {
+    fn start_request(&mut self, now: Timestamp, packet: &FlowPacket) {
         let sequence = packet.data_sequence.unwrap_or_default();
-        let acknowledged = self.acknowledged_before.wrapping_add(self.answered);
+        let acknowledged = self.acknowledged_before.wrapping_add(self.answered_bytes);
         let ahead = packet.acknowledged.wrapping_sub(acknowledged);
-        let is_first = self.asked_end == 0;
-        self.acknowledged_before = if is_first || ahead < HALF {
+        let is_first = self.data_end == 0;
+        self.acknowledged_before = if is_first || ahead < HALF_SEQUENCE_SPACE {
             packet.acknowledged
         } else {
             acknowledged
         };
-        self.asked_end = sequence.wrapping_add(u32::from(packet.data_length)).max(1);
+        self.data_end = sequence.wrapping_add(u32::from(packet.data_length)).max(1);
         self.sent_at = Some(now);
-        self.answered = 0;
-        self.first_after = 0;
+        self.answered_bytes = 0;
+        self.first_answer_microseconds = 0;
     }
 
     fn acknowledge(&mut self, now: Timestamp, acknowledged: u32) {
         let bytes = acknowledged.wrapping_sub(self.acknowledged_before);
-        if bytes >= HALF || bytes <= self.answered {
+        if bytes >= HALF_SEQUENCE_SPACE || bytes <= self.answered_bytes {
             return;
         }
-        if self.answered == 0
+        if self.answered_bytes == 0
             && let Some(sent_at) = self.sent_at
         {
             let after = now.since(sent_at).as_micros();
-            self.first_after = u32::try_from(after).unwrap_or(u32::MAX);
+            self.first_answer_microseconds = u32::try_from(after).unwrap_or(u32::MAX);
         }
-        self.answered = bytes;
+        self.answered_bytes = bytes;
     }
 }
--- a/crates/bellyoke-core/src/cookie/cold.rs
+++ b/crates/bellyoke-core/src/cookie/cold.rs
@@ -19,11 +19,11 @@
 use std::time::Duration;
 
 /// How likely it may be that more nodes take part for an instance than its limit allows flows.
-const EXCESS_CHANCE: f64 = 1e-6;
+const EXCESS_PROBABILITY: f64 = 1e-6;
 
 /// The time in which flows are counted, and what two flows that this node sends further apart may
 /// have come closer on their way, as a packet waits up to 100 ms for the processor.
-const COUNTED_TIME: Duration = Duration::from_millis(1_100);
+const COUNTING_WINDOW: Duration = Duration::from_millis(1_100);
 
 /// What operators allow beyond what cold instances are said to bear.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,9 +40,9 @@
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn limit(&self, flows_per_minute: u32) -> u32 {
-        let borne = f64::from(flows_per_minute) / 60.0 * self.overshoot;
+        let flows_per_second = f64::from(flows_per_minute) / 60.0 * self.overshoot;
         // The cast saturates.
-        (borne as u32).saturating_add(self.slack)
+        (flows_per_second as u32).saturating_add(self.slack)
     }
 }
 
@@ -84,13 +84,13 @@
     }
 }
 
-/// The largest mean of a Poisson variate that exceeds `limit` with no more than [`EXCESS_CHANCE`].
+/// The largest mean of a Poisson variate that exceeds `limit` with no more than [`EXCESS_PROBABILITY`].
 fn safe_mean(limit: u32) -> f64 {
-    const STEPS: u32 = 40;
+    const BISECTION_STEPS: u32 = 40;
     let (mut safe, mut unsafe_mean) = (0.0, f64::from(limit) + 1.0);
-    for _ in 0..STEPS {
+    for _ in 0..BISECTION_STEPS {
         let mean = (safe + unsafe_mean) / 2.0;
-        if chance_above(limit, mean) <= EXCESS_CHANCE {
+        if probability_above(limit, mean) <= EXCESS_PROBABILITY {
             safe = mean;
         } else {
             unsafe_mean = mean;
@@ -101,7 +101,7 @@
 
 /// How likely a Poisson variate of this mean exceeds `limit`. The terms above it are summed up, since
 /// one less those below would lose what is as small.
-fn chance_above(limit: u32, mean: f64) -> f64 {
+fn probability_above(limit: u32, mean: f64) -> f64 {
     let mut logarithm = -mean;
     for count in 1..=limit + 1 {
         logarithm += (mean / f64::from(count)).ln();
@@ -146,7 +146,7 @@
 
     /// How many nodes there are, at least.
     #[allow(clippy::float_cmp)]
-    pub fn set_nodes(&mut self, nodes: f64) {
+    pub fn set_minimum_node_count(&mut self, nodes: f64) {
         if self.nodes != nodes {
             self.nodes = nodes;
             self.shares.clear();
@@ -171,21 +171,21 @@
         let Some(share) = share else {
             return true;
         };
-        if !self.takes_part(id, share) {
+        if !self.participates(id, share) {
             return false;
         }
         let opened = self.opened.get(&Cookie::of(id));
         let recent = opened.map_or(0, |opened| {
             opened
                 .iter()
-                .filter(|at| now.since(**at) < COUNTED_TIME)
+                .filter(|at| now.since(**at) < COUNTING_WINDOW)
                 .count()
         });
         u32::try_from(recent).is_ok_and(|recent| recent < share.flows)
     }
 
     /// A flow was opened at a cold instance.
-    pub fn opened(&mut self, now: Timestamp, id: InstanceId) {
+    pub fn record_opening(&mut self, now: Timestamp, id: InstanceId) {
         if self.allowance.is_some() {
             let opened = self.opened.entry(Cookie::of(id)).or_default();
             opened.push_back(now);
@@ -195,13 +195,13 @@
     /// Forgets what doesn't count any more.
     pub fn expire(&mut self, now: Timestamp) {
         self.opened.retain(|_, opened| {
-            opened.retain(|at| now.since(*at) < COUNTED_TIME);
+            opened.retain(|at| now.since(*at) < COUNTING_WINDOW);
             !opened.is_empty()
         });
     }
 
     #[allow(clippy::cast_precision_loss)]
-    fn takes_part(&self, id: InstanceId, share: ColdShare) -> bool {
+    fn participates(&self, id: InstanceId, share: ColdShare) -> bool {
         let draw = mix(self.salt ^ mix(id.0)) as f64 / u64::MAX as f64;
         draw < share.probability
     }
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -50,24 +50,24 @@
 /// use std::time::Duration;
 ///
 /// let flows = FlowTable::new(1_000, Duration::from_secs(15));
-/// let mut ends = FlowResetQueue::default();
+/// let mut resets = FlowResetQueue::default();
 /// let ended = std::iter::empty();
-/// ends.review(Timestamp::ZERO, ended, &flows);
-/// assert_eq!(ends.next(Timestamp::ZERO, &flows, |_, _| None), None);
-/// assert_eq!(ends.next_at(), None);
+/// resets.review(Timestamp::ZERO, ended, &flows);
+/// assert_eq!(resets.next(Timestamp::ZERO, &flows, |_, _| None), None);
+/// assert_eq!(resets.next_at(), None);
 /// ```
 #[derive(Debug, Default)]
 pub struct FlowResetQueue {
     /// Instances whose flows were queued already.
-    begun: BTreeSet<Cookie>,
-    due: VecDeque<DueEnd>,
-    interval_began: Timestamp,
-    sent: usize,
+    already_queued: BTreeSet<Cookie>,
+    queue: VecDeque<QueuedReset>,
+    interval_started_at: Timestamp,
+    sent_in_interval: usize,
 }
 
 /// A flow that waits for its reset.
 #[derive(Clone, Copy, Debug)]
-struct DueEnd {
+struct QueuedReset {
     /// The flow's hash.
     hash: u64,
     /// What its client had acknowledged when it was queued.
@@ -84,24 +84,25 @@
         flows: &FlowTable,
     ) {
         let ended: BTreeSet<Cookie> = ended.collect();
-        let is_news = |cookie: &Cookie| ended.contains(cookie) && !self.begun.contains(cookie);
-        if ended.iter().any(is_news) {
-            let news = flows.iter().filter(|(_, record)| is_news(&record.cookie));
-            let due = news.map(|(hash, record)| DueEnd {
+        let is_new =
+            |cookie: &Cookie| ended.contains(cookie) && !self.already_queued.contains(cookie);
+        if ended.iter().any(is_new) {
+            let new_flows = flows.iter().filter(|(_, record)| is_new(&record.cookie));
+            let queue = new_flows.map(|(hash, record)| QueuedReset {
                 hash,
                 acknowledged: record.acknowledged,
                 cause: ResetCause::Ended,
             });
-            self.due.extend(due);
-            self.interval_began = self.interval_began.max(now);
+            self.queue.extend(queue);
+            self.interval_started_at = self.interval_started_at.max(now);
         }
-        self.begun = ended;
+        self.already_queued = ended;
     }
 
     /// Queues a flow whose client waits for an answer. It goes first: each moment counts against what its client
     /// allows for an answer.
     pub fn queue_unanswered(&mut self, hash: u64, acknowledged: u32) {
-        self.due.push_front(DueEnd {
+        self.queue.push_front(QueuedReset {
             hash,
             acknowledged,
             cause: ResetCause::Unanswered,
@@ -116,16 +117,16 @@
         flows: &FlowTable,
         reason: impl Fn(Cookie, ResetCause) -> Option<ResetReason>,
     ) -> Option<FlowReset> {
-        if now.since(self.interval_began) >= RESET_INTERVAL {
-            self.interval_began = now;
-            self.sent = 0;
+        if now.since(self.interval_started_at) >= RESET_INTERVAL {
+            self.interval_started_at = now;
+            self.sent_in_interval = 0;
         }
-        while self.sent < RESETS_PER_INTERVAL {
-            let DueEnd {
+        while self.sent_in_interval < RESETS_PER_INTERVAL {
+            let QueuedReset {
                 hash,
                 acknowledged,
                 cause,
-            } = self.due.pop_front()?;
+            } = self.queue.pop_front()?;
             let Some(record) = flows.get(hash).copied() else {
                 continue;
             };
@@ -134,7 +135,7 @@
             let Some(reason) = reason else {
                 continue;
             };
-            self.sent += 1;
+            self.sent_in_interval += 1;
             return Some(FlowReset {
                 flow: record.flow,
                 cookie: record.cookie,
@@ -148,12 +149,12 @@
     /// When [`Self::next`] has something to do; none if nothing waits.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
-        let is_paced = self.sent >= RESETS_PER_INTERVAL;
+        let is_paced = self.sent_in_interval >= RESETS_PER_INTERVAL;
         let pause = if is_paced {
             RESET_INTERVAL
         } else {
             Duration::ZERO
         };
-        (!self.due.is_empty()).then(|| self.interval_began.after(pause))
+        (!self.queue.is_empty()).then(|| self.interval_started_at.after(pause))
     }
 }
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -63,23 +63,23 @@
     /// Most records of one generation.
     capacity: usize,
     /// How long a generation lasts: a flow that rests no longer is remembered.
-    lifetime: Duration,
+    idle_timeout: Duration,
     young: HashMap<u64, FlowRecord>,
     old: HashMap<u64, FlowRecord>,
-    began: Timestamp,
+    generation_started_at: Timestamp,
 }
 
 impl FlowTable {
     /// An empty table of at most `capacity` flows, which remembers each for at least `rest` after its last
     /// packet as long as there is room.
     #[must_use]
-    pub fn new(capacity: usize, rest: Duration) -> Self {
+    pub fn new(capacity: usize, idle_timeout: Duration) -> Self {
         Self {
             capacity: (capacity / 2).max(1),
-            lifetime: rest,
+            idle_timeout: idle_timeout,
             young: HashMap::new(),
             old: HashMap::new(),
-            began: Timestamp::ZERO,
+            generation_started_at: Timestamp::ZERO,
         }
     }
 
@@ -91,7 +91,7 @@
         packet: &FlowPacket,
         cookie: Cookie,
     ) -> &mut FlowRecord {
-        self.turn(now);
+        self.rotate_generations(now);
         let fresh = FlowRecord {
             flow: packet.flow,
             cookie,
@@ -99,9 +99,12 @@
             seen_at: now,
             request: RequestProgress::default(),
         };
-        let held = self.old.remove(&flow_hash);
-        let held = held.filter(|held| held.flow == packet.flow && held.cookie == cookie);
-        let record = self.young.entry(flow_hash).or_insert(held.unwrap_or(fresh));
+        let known = self.old.remove(&flow_hash);
+        let known = known.filter(|known| known.flow == packet.flow && known.cookie == cookie);
+        let record = self
+            .young
+            .entry(flow_hash)
+            .or_insert(known.unwrap_or(fresh));
         if record.flow != packet.flow || record.cookie != cookie {
             *record = fresh;
         }
@@ -160,12 +163,12 @@
         self.old.clear();
     }
 
-    fn turn(&mut self, now: Timestamp) {
-        let is_over = now.since(self.began) >= self.lifetime;
+    fn rotate_generations(&mut self, now: Timestamp) {
+        let is_over = now.since(self.generation_started_at) >= self.idle_timeout;
         if is_over || self.young.len() >= self.capacity {
             std::mem::swap(&mut self.old, &mut self.young);
             self.young.clear();
-            self.began = now;
+            self.generation_started_at = now;
         }
     }
 }
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -19,32 +19,32 @@
 use crate::cookie::placement::Suitability;
 use crate::cookie::table::ForwardingTable;
 use crate::time::Timestamp;
-use following::SHORTEST_REPEAT;
+use following::MINIMUM_RETRANSMISSION_INTERVAL;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// How long after its record went an instance is still better than no instance. Shorter than
 /// the time within which a leaving instance must get no new flow.
-pub const RECENTLY_GONE: Duration = Duration::from_millis(1_500);
+pub const RECENTLY_GONE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Data packets whose first sight is remembered, 16 bytes each: those of some seconds on a machine
 /// that forwards a few hundred a second. What is forgotten sooner leaves its flow to the client.
-const FIRST_SENT_PLACES: usize = 1_024;
+const FIRST_SENT_CAPACITY: usize = 1_024;
 
 /// Flows that are remembered where the settings don't tell.
-const FLOW_CAPACITY: usize = 8_192;
+const DEFAULT_FLOW_CAPACITY: usize = 8_192;
 
 /// How long a resting flow is remembered: users count no flow that has rested for longer.
-const FLOW_REST: Duration = Duration::from_secs(15);
+const FLOW_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Instances whose last sign of life is remembered, 16 bytes each.
-const INSTANCE_PLACES: usize = 1_024;
+const ALIVE_TABLE_CAPACITY: usize = 1_024;
 
 /// How long the end of an opening speaks for an instance.
-const SOUND_LIFETIME: Duration = Duration::from_millis(500);
+const HEALTHY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Most sound instances that are told: a few are enough for controls.
-const MAXIMUM_SOUND: usize = 8;
+/// Most healthy instances that are told: a few are enough for controls.
+const MAXIMUM_HEALTHY_CONTROLS: usize = 8;
 
 /// What to do with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -126,12 +126,12 @@
     /// When an instance last showed that it lives.
     alive_at: LastSeenTable,
     /// Instances to which clients have repeated data since they were last asked for.
-    repeated: BTreeSet<Cookie>,
+    retransmitted_to: BTreeSet<Cookie>,
     /// Flows whose clients have repeated something, and when.
-    repeating: Vec<(u64, Timestamp)>,
+    retransmitting_flows: Vec<(u64, Timestamp)>,
     /// Instances that showed life while probes spoke against them: they only take no connections, so
     /// that probes tell nothing of them.
-    proven: BTreeSet<Cookie>,
+    proven_alive: BTreeSet<Cookie>,
     answers: AnswerMonitor,
     tallies: TallyBook,
     /// Instances whose answers fail, unlike those of others.
@@ -139,7 +139,7 @@
     zones: ZonePreference,
     admission: AdmissionGate,
     /// The restarts that are taken account of, as the table tells them.
-    restarted: Vec<(Cookie, u64)>,
+    known_restarts: Vec<(Cookie, u64)>,
 }
 
 impl Forwarder {
@@ -153,21 +153,21 @@
             ended: BTreeSet::new(),
             avoided: BTreeMap::new(),
             decided_at: Timestamp::ZERO,
-            first_sent: LastSeenTable::new(FIRST_SENT_PLACES),
-            flows: FlowTable::new(FLOW_CAPACITY, FLOW_REST),
+            first_sent: LastSeenTable::new(FIRST_SENT_CAPACITY),
+            flows: FlowTable::new(DEFAULT_FLOW_CAPACITY, FLOW_IDLE_TIMEOUT),
             resets: FlowResetQueue::default(),
             resets_idle_flows: true,
             cold: ColdLimiter::new(None, 0),
-            alive_at: LastSeenTable::new(INSTANCE_PLACES),
-            repeated: BTreeSet::new(),
-            repeating: Vec::new(),
-            proven: BTreeSet::new(),
+            alive_at: LastSeenTable::new(ALIVE_TABLE_CAPACITY),
+            retransmitted_to: BTreeSet::new(),
+            retransmitting_flows: Vec::new(),
+            proven_alive: BTreeSet::new(),
             answers: AnswerMonitor::default(),
             tallies: TallyBook::default(),
             outliers: BTreeSet::new(),
             zones: ZonePreference::new(""),
             admission: AdmissionGate::new(AdmissionSettings::default()),
-            restarted: Vec::new(),
+            known_restarts: Vec::new(),
         }
     }
 
@@ -182,7 +182,7 @@
     #[must_use]
     pub fn with_flows(self, capacity: usize, resets_idle_flows: bool) -> Self {
         Self {
-            flows: FlowTable::new(capacity, FLOW_REST),
+            flows: FlowTable::new(capacity, FLOW_IDLE_TIMEOUT),
             resets_idle_flows,
             ..self
         }
@@ -205,12 +205,12 @@
     }
 
     /// How many nodes there are, at least.
-    pub fn set_nodes(&mut self, nodes: f64) {
-        self.cold.set_nodes(nodes);
+    pub fn set_minimum_node_count(&mut self, nodes: f64) {
+        self.cold.set_minimum_node_count(nodes);
     }
 
     /// How many nodes there are about; zero if that isn't known.
-    pub fn set_estimated_nodes(&mut self, nodes: u64) {
+    pub fn set_estimated_node_count(&mut self, nodes: u64) {
         self.zones.set_nodes(nodes);
     }
 
@@ -244,32 +244,32 @@
         self.admission.openings_failed(now, table, failed, waited);
         let is_known = |cookie| table.destination(cookie).is_some();
         self.monitor.retain(is_known);
-        let judged = self.answers.review(now, table, &mut self.flows);
-        for judged in judged {
-            self.note_answer(now, table, &judged);
+        let classified = self.answers.review(now, table, &mut self.flows);
+        for classified in classified {
+            self.record_answer(now, table, &classified);
         }
-        self.proven.retain(|cookie| is_known(*cookie));
+        self.proven_alive.retain(|cookie| is_known(*cookie));
         self.review_flow_resets(now, table);
         self.monitor.take_changes()
     }
 
     /// Forgets what was seen of instances that have started again since.
     fn forget_earlier_runs(&mut self, table: &ForwardingTable) {
-        if self.restarted == table.restarted() {
+        if self.known_restarts == table.restarted() {
             return;
         }
         for restart in table.restarted() {
-            if self.restarted.binary_search(restart).is_ok() {
+            if self.known_restarts.binary_search(restart).is_ok() {
                 continue;
             }
             let cookie = restart.0;
             self.monitor.forget(cookie);
             self.loads.forget(cookie);
-            self.proven.remove(&cookie);
+            self.proven_alive.remove(&cookie);
             self.avoided.remove(&cookie);
             self.outliers.remove(&cookie);
         }
-        self.restarted = table.restarted().to_vec();
+        self.known_restarts = table.restarted().to_vec();
     }
 
     /// Adapts which zones new flows go to, and returns the shares that changed notably.
@@ -320,26 +320,29 @@
 
     /// Instances at which an opening failed, or to which data was repeated on an open flow, since the last
     /// call: they are in question. One that has shown life since isn't.
-    pub fn take_failed(&mut self, now: Timestamp) -> Vec<Cookie> {
+    pub fn take_suspects(&mut self, now: Timestamp) -> Vec<Cookie> {
         let mut failed: BTreeSet<Cookie> = self.monitor.take_failed().into_iter().collect();
-        let repeated = std::mem::take(&mut self.repeated).into_iter();
-        failed.extend(repeated.filter(|cookie| !self.alive_within(now, *cookie, SHORTEST_REPEAT)));
+        let retransmitted_to = std::mem::take(&mut self.retransmitted_to).into_iter();
+        failed
+            .extend(retransmitted_to.filter(|cookie| {
+                !self.alive_within(now, *cookie, MINIMUM_RETRANSMISSION_INTERVAL)
+            }));
         failed.into_iter().collect()
     }
 
     /// Whether a client has repeated something a moment ago: its request is late already.
     #[must_use]
     pub fn has_waiting_clients(&self) -> bool {
-        !self.repeated.is_empty() || !self.repeating.is_empty()
+        !self.retransmitted_to.is_empty() || !self.retransmitting_flows.is_empty()
     }
 
     /// Instances at which openings completed a moment ago, the last ones first: controls for probes of
     /// others.
     #[must_use]
     pub fn healthy_instances(&self, now: Timestamp) -> Vec<Cookie> {
-        let mut sound = self.monitor.succeeded_within(now, SOUND_LIFETIME);
-        sound.truncate(MAXIMUM_SOUND);
-        sound
+        let mut healthy = self.monitor.succeeded_within(now, HEALTHY_WINDOW);
+        healthy.truncate(MAXIMUM_HEALTHY_CONTROLS);
+        healthy
     }
 
     /// Instances that this node can't reach, and those that openings avoid, of which these are some.
@@ -369,7 +372,7 @@
     }
 
     /// The process stood still: openings under way prove nothing.
-    pub fn stalled(&mut self) {
+    pub fn reset_after_stall(&mut self) {
         self.monitor.forget_pending();
         self.answers.forget_requests(&mut self.flows);
         self.zones.stalled();
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -1,21 +1,21 @@
 //! Where new flows go.
 
-use super::{Decision, DropReason, Forwarder, RECENTLY_GONE, RefusalReason};
+use super::{Decision, DropReason, Forwarder, RECENTLY_GONE_PERIOD, RefusalReason};
 use crate::cookie::cold::ColdShare;
 use crate::cookie::instance::Cookie;
 use crate::cookie::load::OPENING_WEIGHT;
 use crate::cookie::locality::ZoneCapacity;
 use crate::cookie::packet::FlowPacket;
-use crate::cookie::placement::{Suitability, choose_by_zone, choose_part, mix};
-use crate::cookie::table::{Candidate, ForwardingTable, ServicePart};
+use crate::cookie::placement::{Suitability, choose_by_zone, choose_service, mix};
+use crate::cookie::table::{Candidate, ForwardingTable, RouteService};
 use crate::time::Timestamp;
 
 /// One of so many flows that may be repeated goes to an outlier as if it were none, to try it. With a third of
 /// a service set aside that is an eighth of what they had.
-const TRIAL_INTERVAL: u64 = 32;
+const OUTLIER_TRIAL_INTERVAL: u64 = 32;
 
 /// Keeps the choice of flows that try outliers independent from that of the instance.
-const TRIAL_SALT: u64 = 0x6f75_746c_6965_7201;
+const OUTLIER_TRIAL_SALT: u64 = 0x6f75_746c_6965_7201;
 
 impl Forwarder {
     pub(super) fn open(
@@ -32,24 +32,31 @@
         let Some(route) = table.route(packet.flow.service) else {
             return Decision::Refuse(RefusalReason::NoRoute);
         };
-        let Some(part) = choose_part(&route.parts, flow_hash) else {
+        let Some(route_service) = choose_service(&route.services, flow_hash) else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
         let request_policy = &route.request_policy;
         let admission = &mut self.admission;
-        if !admission.admits(now, table, packet, attempt, part.service, request_policy) {
+        if !admission.admits(
+            now,
+            table,
+            packet,
+            attempt,
+            route_service.service,
+            request_policy,
+        ) {
             return Decision::Refuse(RefusalReason::Overloaded);
         }
         self.zones.adopt(table);
         self.zones.review_outcomes(now);
         let tries = route.request_policy.kind.may_retry() && tries_outliers(flow_hash);
-        let chosen = self.choose(now, table, part, flow_hash, attempt, tries);
+        let chosen = self.choose(now, table, route_service, flow_hash, attempt, tries);
         let Some((chosen, suitability)) = chosen else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
         let destination = chosen.destination();
         if now < chosen.warm_at {
-            self.cold.opened(now, chosen.id);
+            self.cold.record_opening(now, chosen.id);
         }
         self.monitor.opening(now, flow_hash, destination.cookie);
         self.loads.count(now, destination.cookie, OPENING_WEIGHT);
@@ -65,12 +72,12 @@
         &mut self,
         now: Timestamp,
         table: &'table ForwardingTable,
-        part: &ServicePart,
+        route_service: &RouteService,
         flow_hash: u64,
         attempt: u32,
         tries_outliers: bool,
     ) -> Option<(&'table Candidate, Suitability)> {
-        let candidates = table.candidates(part);
+        let candidates = table.candidates(route_service);
         // All instances of a service bear the same while they are cold.
         let cold_flows = candidates.first()?.cold_flows_per_minute;
         let share = self.cold.share(cold_flows);
@@ -85,7 +92,7 @@
                 suitability
             })
         };
-        let ranks = self.zones.ranks(part.service, flow_hash);
+        let ranks = self.zones.ranks(route_service.service, flow_hash);
         let load = |candidate: &Candidate| {
             // A dead instance is idle too, but not therefore to be preferred.
             if self.monitor.is_doubted(candidate.cookie) {
@@ -98,7 +105,7 @@
         let chosen = choose_by_zone(candidates, flow_hash, attempt, suitability, zone_rank, load)?;
         let suitability = self.suitability(now, chosen, share)?;
         self.zones
-            .placed(now, part.service, flow_hash, chosen.zone, capacity);
+            .placed(now, route_service.service, flow_hash, chosen.zone, capacity);
         Some((chosen, suitability))
     }
 
@@ -115,7 +122,8 @@
             return None;
         }
         if let Some(gone_at) = candidate.gone_at {
-            return (now.since(gone_at) < RECENTLY_GONE).then_some(Suitability::RecentlyGone);
+            return (now.since(gone_at) < RECENTLY_GONE_PERIOD)
+                .then_some(Suitability::RecentlyGone);
         }
         let cookie = candidate.cookie;
         if self.is_avoided(cookie) || self.monitor.is_suspected(now, cookie) {
@@ -132,11 +140,11 @@
     }
 
     fn is_avoided(&self, cookie: Cookie) -> bool {
-        self.avoided.contains_key(&cookie) && !self.proven.contains(&cookie)
+        self.avoided.contains_key(&cookie) && !self.proven_alive.contains(&cookie)
     }
 }
 
 /// Whether a flow tries an outlier as if it were none.
 const fn tries_outliers(flow_hash: u64) -> bool {
-    mix(flow_hash ^ TRIAL_SALT).is_multiple_of(TRIAL_INTERVAL)
+    mix(flow_hash ^ OUTLIER_TRIAL_SALT).is_multiple_of(OUTLIER_TRIAL_INTERVAL)
 }
--- a/crates/bellyoke-core/src/cookie/last_seen.rs
+++ b/crates/bellyoke-core/src/cookie/last_seen.rs
@@ -3,7 +3,7 @@
 use crate::time::Timestamp;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Entry {
     /// Zero for none.
     key: u64,
     at: Timestamp,
@@ -13,7 +13,7 @@
 /// only the memory of that one. 16 bytes a place, none until something is noted.
 #[derive(Debug)]
 pub(crate) struct LastSeenTable {
-    places: Vec<Seen>,
+    entries: Vec<Entry>,
     /// A power of two.
     length: usize,
 }
@@ -21,25 +21,25 @@
 impl LastSeenTable {
     pub(crate) const fn new(length: usize) -> Self {
         Self {
-            places: Vec::new(),
+            entries: Vec::new(),
             length,
         }
     }
 
     pub(crate) fn seen_at(&self, key: u64) -> Option<Timestamp> {
-        let place = self.places.get(self.place_of(key))?;
-        (place.key == key).then_some(place.at)
+        let index = self.entries.get(self.index_of(key))?;
+        (index.key == key).then_some(index.at)
     }
 
     pub(crate) fn record(&mut self, now: Timestamp, key: u64) {
-        if self.places.is_empty() {
-            self.places = vec![Seen::default(); self.length];
+        if self.entries.is_empty() {
+            self.entries = vec![Entry::default(); self.length];
         }
-        let place = self.place_of(key);
-        self.places[place] = Seen { key, at: now };
+        let index = self.index_of(key);
+        self.entries[index] = Entry { key, at: now };
     }
 
-    fn place_of(&self, key: u64) -> usize {
+    fn index_of(&self, key: u64) -> usize {
         usize::try_from(key >> 32).unwrap_or_default() & (self.length - 1)
     }
 }
@@ -47,6 +47,6 @@
 /// The key of data in a flow. Flow hashes are uniform; the product spreads the sequence numbers of
 /// one flow.
 pub(crate) fn data_key(flow_hash: u64, sequence: u32) -> u64 {
-    const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
-    (flow_hash ^ u64::from(sequence).wrapping_mul(SPREAD)) | 1
+    const SEQUENCE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    (flow_hash ^ u64::from(sequence).wrapping_mul(SEQUENCE_MULTIPLIER)) | 1
 }
--- a/crates/bellyoke-core/src/cookie/load.rs
+++ b/crates/bellyoke-core/src/cookie/load.rs
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 
 /// Cookies told apart; others share a place. A power of two, 16 bytes each.
-const PLACES: usize = 1_024;
+const ENTRIES: usize = 1_024;
 
 /// Time in which a count halves, seconds. Long flows send a few packets a second.
 const HALF_LIFE_SECONDS: f32 = 2.0;
@@ -48,13 +48,13 @@
 /// ```
 #[derive(Debug)]
 pub struct LoadMeter {
-    places: Vec<DecayingCount>,
+    entries: Vec<DecayingCount>,
 }
 
 impl Default for LoadMeter {
     fn default() -> Self {
         Self {
-            places: vec![DecayingCount::default(); PLACES],
+            entries: vec![DecayingCount::default(); ENTRIES],
         }
     }
 }
@@ -62,26 +62,26 @@
 impl LoadMeter {
     /// A packet for an instance was forwarded.
     pub fn count(&mut self, now: Timestamp, cookie: Cookie, weight: f32) {
-        let place = &mut self.places[place_of(cookie)];
-        place.value = place.value_at(now) + weight;
-        place.counted_at = now;
+        let entry = &mut self.entries[index_of(cookie)];
+        entry.value = entry.value_at(now) + weight;
+        entry.counted_at = now;
     }
 
     /// An instance has started again, with nothing to do.
     pub fn forget(&mut self, cookie: Cookie) {
-        self.places[place_of(cookie)] = DecayingCount::default();
+        self.entries[index_of(cookie)] = DecayingCount::default();
     }
 
     /// How busy an instance is: packets of the last few seconds, the latest most.
     #[must_use]
     pub fn load(&self, now: Timestamp, cookie: Cookie) -> f32 {
-        self.places[place_of(cookie)].value_at(now)
+        self.entries[index_of(cookie)].value_at(now)
     }
 }
 
 /// Cookies that are consecutive numbers get places of their own.
-fn place_of(cookie: Cookie) -> usize {
+fn index_of(cookie: Cookie) -> usize {
     let bits = cookie.bits();
     let folded = bits ^ (bits >> 10) ^ (bits >> 20);
-    usize::try_from(folded).unwrap_or_default() & (PLACES - 1)
+    usize::try_from(folded).unwrap_or_default() & (ENTRIES - 1)
 }
--- a/crates/bellyoke-core/src/cookie/outliers/board.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/board.rs
@@ -1,7 +1,7 @@
 //! The verdicts that a node has heard.
 
 use crate::cookie::instance::Cookie;
-use crate::cookie::table::{ForwardingTable, ServicePart};
+use crate::cookie::table::{ForwardingTable, RouteService};
 use crate::time::Timestamp;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
                 break;
             };
             let service = crate::cookie::table::ServiceNumber(number);
-            let part = ServicePart { weight: 1, service };
+            let part = RouteService { weight: 1, service };
             let candidates = table.candidates(&part);
             let most = (candidates.len() as f64 * largest_share) as usize;
             let named = candidates.iter();
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -2,7 +2,7 @@
 
 use super::tally::{InstanceTally, asked_by_service};
 use crate::cookie::instance::Cookie;
-use crate::cookie::table::{ForwardingTable, ServiceNumber, ServicePart};
+use crate::cookie::table::{ForwardingTable, RouteService, ServiceNumber};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -212,7 +212,7 @@
         nodes: f64,
         changes: &mut Vec<OutlierChange>,
     ) {
-        let part = ServicePart { weight: 1, service };
+        let part = RouteService { weight: 1, service };
         let candidates: BTreeSet<Cookie> = table
             .candidates(&part)
             .iter()
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -8,17 +8,17 @@
 
 use crate::cookie::instance::InstanceId;
 use crate::cookie::locality::ZoneRank;
-use crate::cookie::table::{Candidate, ServicePart};
+use crate::cookie::table::{Candidate, RouteService};
 
 /// Copies of an opening that are told apart; later ones go where the last goes.
 const COPIES: usize = 2;
 
 /// Most instances of which the least busy is chosen. Fewer leave long flows at those that were
 /// there when others went; with all, an instance that has just come would get every new flow.
-pub const CHOICES: usize = 5;
+pub const LEAST_LOADED_CANDIDATES: usize = 5;
 
 /// Ranks that are told apart: the choices of an opening, and one for each copy.
-const RANKS: usize = CHOICES + COPIES;
+const RANKS: usize = LEAST_LOADED_CANDIDATES + COPIES;
 
 /// How willing an instance is to take new flows. The order is that of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,18 +37,21 @@
 
 /// The part that the flow belongs to; none if all weights are zero.
 #[must_use]
-pub fn choose_part(parts: &[ServicePart], flow_hash: u64) -> Option<&ServicePart> {
+pub fn choose_service(services: &[RouteService], flow_hash: u64) -> Option<&RouteService> {
     /// Keeps the choice of the service independent from that of the instance.
-    const PART_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
-    let total: u64 = parts.iter().map(|part| u64::from(part.weight)).sum();
+    const SERVICE_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
+    let total: u64 = services
+        .iter()
+        .map(|service| u64::from(service.weight))
+        .sum();
     if total == 0 {
         return None;
     }
-    let mut remaining = mix(flow_hash ^ PART_SALT) % total;
-    for part in parts {
-        let weight = u64::from(part.weight);
+    let mut remaining = mix(flow_hash ^ SERVICE_SALT) % total;
+    for service in services {
+        let weight = u64::from(service.weight);
         if remaining < weight {
-            return Some(part);
+            return Some(service);
         }
         remaining -= weight;
     }
@@ -132,7 +135,10 @@
         .clone()
         .filter(|other| other.zone_rank == best.zone_rank);
     let beside_copies = suitable.count().saturating_sub(COPIES);
-    in_zone.count().min(beside_copies).clamp(1, CHOICES)
+    in_zone
+        .count()
+        .min(beside_copies)
+        .clamp(1, LEAST_LOADED_CANDIDATES)
 }
 
 /// Later copies go where the last goes.
--- a/crates/bellyoke-core/src/cookie/stall.rs
+++ b/crates/bellyoke-core/src/cookie/stall.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BacklogGuard {
     stalls_seen: u64,
-    draining: bool,
+    in_backlog: bool,
 }
 
 impl BacklogGuard {
@@ -63,13 +63,13 @@
         let tick_missing = now.since(ticks.last) > STALL_THRESHOLD;
         if tick_missing || ticks.stalls != self.stalls_seen {
             self.stalls_seen = ticks.stalls;
-            self.draining = true;
+            self.in_backlog = true;
         }
-        self.draining
+        self.in_backlog
     }
 
     /// The socket was found empty: whatever comes now is fresh.
     pub const fn emptied(&mut self) {
-        self.draining = false;
+        self.in_backlog = false;
     }
 }
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -55,7 +55,7 @@
 
 /// A service's part in a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServicePart {
+pub struct RouteService {
     /// Weight among the route's parts.
     pub weight: u32,
     /// The service.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRoute {
     /// The services and their weights.
-    pub parts: Vec<ServicePart>,
+    pub services: Vec<RouteService>,
     /// What the requests are like.
     pub request_policy: RequestPolicy,
 }
@@ -154,8 +154,8 @@
 
     /// The instances that may take new flows of a part.
     #[must_use]
-    pub fn candidates(&self, part: &ServicePart) -> &[Candidate] {
-        usize::try_from(part.service.0).map_or(&[], |number| &self.candidates[number])
+    pub fn candidates(&self, service: &RouteService) -> &[Candidate] {
+        usize::try_from(service.service.0).map_or(&[], |number| &self.candidates[number])
     }
 
     /// The instances that may take new flows, service by service.
@@ -321,11 +321,11 @@
 
 impl<'configuration> ServiceIndexes<'configuration> {
     fn resolve(&mut self, route: &'configuration Route) -> (SocketAddrV4, TableRoute) {
-        let mut parts = Vec::with_capacity(route.services.len());
+        let mut services = Vec::with_capacity(route.services.len());
         for weighted in &route.services {
             let next = ServiceNumber(u32::try_from(self.indexes.len()).unwrap_or(u32::MAX));
             let service = *self.indexes.entry(&weighted.service).or_insert(next);
-            parts.push(ServicePart {
+            services.push(RouteService {
                 weight: weighted.weight,
                 service,
             });
@@ -334,7 +334,7 @@
         (
             route.address,
             TableRoute {
-                parts,
+                services,
                 request_policy,
             },
         )
--- a/crates/bellyoke-core/tests/cookie/cold.rs
+++ b/crates/bellyoke-core/tests/cookie/cold.rs
@@ -62,7 +62,7 @@
     let forwarder = |_| {
         let limiter = ColdLimiter::new(allowance, random.random());
         let mut forwarder = Forwarder::new(HealthSettings::default()).with_cold_limiter(limiter);
-        forwarder.set_nodes(f64::from(nodes));
+        forwarder.set_minimum_node_count(f64::from(nodes));
         forwarder
     };
     (0..nodes).map(forwarder).collect()
--- a/crates/bellyoke-core/tests/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -181,7 +181,7 @@
         ..packet(1, None, 7)
     };
     forwarder.decide(at(2_000), &table, &closes, false);
-    assert_eq!(forwarder.flows(), 2);
+    assert_eq!(forwarder.flow_count(), 2);
     end(&mut forwarder, &table, 5_000);
     let ended = ends(&mut forwarder, &table, 5_000);
     assert!(ended.iter().all(|end| end.flow != flow(1)));
@@ -238,15 +238,15 @@
     let asks = packet(0, Some(100), 7);
     forwarder.decide(at(2_000), &table, &asks, false);
     forwarder.decide(at(2_010), &table, &asks, false);
-    assert_eq!(forwarder.take_failed(at(2_020)), [], "the network's copy");
+    assert_eq!(forwarder.take_suspects(at(2_020)), [], "the network's copy");
     forwarder.decide(at(2_200), &table, &asks, false);
-    assert_eq!(forwarder.take_failed(at(2_210)), [cookie(1)]);
-    assert_eq!(forwarder.take_failed(at(2_220)), [], "told once");
+    assert_eq!(forwarder.take_suspects(at(2_210)), [cookie(1)]);
+    assert_eq!(forwarder.take_suspects(at(2_220)), [], "told once");
     // Another flow has gone on in the meantime: a packet was lost.
     forwarder.decide(at(2_590), &table, &packet(1, Some(200), 7), false);
     forwarder.decide(at(2_600), &table, &asks, false);
     forwarder.decide(at(2_610), &table, &packet(1, None, 60), false);
-    assert_eq!(forwarder.take_failed(at(2_620)), []);
+    assert_eq!(forwarder.take_suspects(at(2_620)), []);
 }
 
 /// Of instances that died at once some are still known to be sound a moment ago.
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -141,7 +141,7 @@
             (0..load.nodes[zone]).map(move |_| {
                 let forwarder = Forwarder::new(HealthSettings::default());
                 let mut forwarder = forwarder.with_zone(names[zone]);
-                forwarder.set_estimated_nodes(u64::from(all_nodes));
+                forwarder.set_estimated_node_count(u64::from(all_nodes));
                 (zone, forwarder)
             })
         });
--- a/crates/bellyoke-core/tests/cookie/placement.rs
+++ b/crates/bellyoke-core/tests/cookie/placement.rs
@@ -2,7 +2,9 @@
 
 use crate::support::{at, configuration, flow, node, of_service, record};
 use bellyoke_core::cookie::instance::InstanceId;
-use bellyoke_core::cookie::placement::{CHOICES, Suitability, choose_instance, choose_part};
+use bellyoke_core::cookie::placement::{
+    LEAST_LOADED_CANDIDATES, Suitability, choose_instance, choose_service,
+};
 use bellyoke_core::cookie::revision::Revision;
 use bellyoke_core::cookie::table::{Candidate, ForwardingTable};
 use proptest::prelude::*;
@@ -12,7 +14,7 @@
 
 fn candidates(table: &ForwardingTable) -> &[Candidate] {
     let route = table.route(crate::support::SERVICE).unwrap();
-    table.candidates(&route.parts[0])
+    table.candidates(&route.services[0])
 }
 
 fn choose(table: &ForwardingTable, number: u32, attempt: u32) -> Option<InstanceId> {
@@ -49,9 +51,14 @@
         &[("till", 90), ("listings", 10), ("none", 0)],
     ));
     let table = replica.table();
-    let parts = &table.route(crate::support::SERVICE).unwrap().parts;
+    let services = &table.route(crate::support::SERVICE).unwrap().services;
     let listings = (0..FLOWS)
-        .filter(|number| choose_part(parts, flow(*number).hash()).unwrap().weight == 10)
+        .filter(|number| {
+            choose_service(services, flow(*number).hash())
+                .unwrap()
+                .weight
+                == 10
+        })
         .count();
     let share = listings as f64 / f64::from(FLOWS);
     assert!((0.09..0.11).contains(&share), "{share}");
@@ -62,8 +69,8 @@
     let mut replica = node(vec![record(1, 1)]);
     replica.adopt_configuration(configuration(2, &[("till", 0)]));
     let table = replica.table();
-    let parts = &table.route(crate::support::SERVICE).unwrap().parts;
-    assert_eq!(choose_part(parts, 7), None);
+    let services = &table.route(crate::support::SERVICE).unwrap().services;
+    assert_eq!(choose_service(services, 7), None);
 }
 
 #[test]
@@ -118,7 +125,7 @@
         let chosen = choose_instance(candidates(&table), hash, 0, better, load);
         assert_eq!(chosen.unwrap().id, InstanceId(1));
     }
-    let expected = 100 * u32::try_from(CHOICES).unwrap();
+    let expected = 100 * u32::try_from(LEAST_LOADED_CANDIDATES).unwrap();
     assert!(idle_chosen.abs_diff(expected) < 50, "{idle_chosen} of 700");
 }
 
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -36,7 +36,7 @@
 ) -> Vec<InstanceId> {
     let table = table(&["cork", "kerry", "limerick"], 10);
     let route = table.route(crate::support::SERVICE).unwrap();
-    let candidates = table.candidates(&route.parts[0]);
+    let candidates = table.candidates(&route.services[0]);
     let of_zone = |candidate: &Candidate| zone_rank(candidate.id.0 / 100);
     let hash = flow(number).hash();
     let copies = (0..3)
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -276,7 +276,7 @@
     pub fn tick(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let (outcome, stalled) = self.coordinator.tick(now);
         if stalled.is_some() {
-            self.forwarder.stalled();
+            self.forwarder.reset_after_stall();
         }
         self.ticks = TickReport {
             last: now,
@@ -284,7 +284,7 @@
         };
         let mut effects = self.publish(outcome);
         self.forwarder.review(now, &self.table);
-        let failed = self.forwarder.take_failed(now);
+        let failed = self.forwarder.take_suspects(now);
         self.coordinator.doubt(now, &failed);
         let unreachable = self.coordinator.unreachable(now);
         let avoided = self.coordinator.avoided(now);
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -199,7 +199,7 @@
         let now = self.shared.clock.now();
         let backlog = self.guard.may_have_waited(now, self.shared.ticks());
         if backlog && !was_draining {
-            self.forwarder.stalled();
+            self.forwarder.reset_after_stall();
         }
         match self.codec.parse(&datagram[Codec::ENCAPSULATION_LENGTH..]) {
             Ok(packet) => self.forward(now, datagram, &packet, backlog),
@@ -292,9 +292,9 @@
         self.next_urgent_review = now.after(URGENT_REVIEW_INTERVAL);
         self.show_link(now);
         let nodes = self.shared.nodes.load(Ordering::Relaxed);
-        self.forwarder.set_nodes(nodes as f64);
+        self.forwarder.set_minimum_node_count(nodes as f64);
         let estimated = self.shared.estimated_nodes.load(Ordering::Relaxed);
-        self.forwarder.set_estimated_nodes(estimated);
+        self.forwarder.set_estimated_node_count(estimated);
         let suspected = self.shared.peer_suspicions.load();
         self.forwarder.set_peer_suspicions(&suspected);
         self.log_health_changes(now, table);
@@ -311,7 +311,7 @@
     /// Says which instances are in question, and hears which can't be reached. While this node's own
     /// link loses data it neither asks nor acts: what it sees may be its own fault.
     fn exchange_doubts(&mut self, now: Timestamp) {
-        let failed = self.forwarder.take_failed(now);
+        let failed = self.forwarder.take_suspects(now);
         let sound = self.forwarder.healthy_instances(now);
         if **self.shared.sound.load() != sound {
             self.shared.sound.store(Arc::new(sound));
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -75,7 +75,7 @@
         let Some(route) = table.route(packet.flow.service) else {
             return;
         };
-        let service = route.parts.first().map(|part| part.service.0 as usize);
+        let service = route.services.first().map(|part| part.service.0 as usize);
         let service = service.and_then(|number| table.services().get(number));
         let class = RequestClass::of(&route.request_policy);
         let service = service.map_or("", String::as_str);
