--- a/crates/bellyoke-core/src/cookie/answers.rs
+++ b/crates/bellyoke-core/src/cookie/answers.rs
@@ -1,13 +1,14 @@
-//! What became of requests, as far as their clients' packets tell.
+//! Infers the outcomes of requests from their clients' packets.
 //!
-//! Backends answer their clients directly, so a node sees no answer. It sees when a client sends a
-//! request, and when and how far the client acknowledges what has come back. Whoever watches that
-//! hands on a sample a request; placement, admission and the choice of zones use them.
+//! Backends answer their clients directly (direct server return), so a node sees no answers. It
+//! sees when a client sends a request, and when and how much answer data the client acknowledges.
+//! From that it derives a sample for each request, which placement, admission and the choice of
+//! zones use.
 //!
-//! [`RequestProgress`] follows the requests of one flow, [`AnswerBaseline`] knows what a route's answers
-//! are usually like, and [`AnswerMonitor`] makes samples of both. Feedback of this kind, taken in band from
-//! traffic that passes anyhow, is what Lim et al. argue for ("Load Balancers Need In-Band Feedback
-//! Control", `HotNets` 2022).
+//! [`RequestProgress`] tracks the requests of one flow, [`AnswerBaseline`] learns the normal
+//! answers of a route, and [`AnswerMonitor`] combines both into samples. Such in-band feedback from
+//! forwarded traffic is what Lim et al. argue for ("Load Balancers Need In-Band Feedback Control",
+//! `HotNets` 2022).
 
 mod baseline;
 mod monitor;
@@ -21,38 +22,39 @@
 use crate::cookie::table::ServiceNumber;
 use std::time::Duration;
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerSample {
-    /// The instance that had it.
+    /// Instance that the request was sent to.
     pub cookie: Cookie,
-    /// The service that the instance belongs to.
+    /// Service that the instance belongs to.
     pub service: ServiceNumber,
-    /// Rank of the request's route; 0 goes first.
+    /// Priority of the request's route; 0 is the highest.
     pub priority: u8,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: AnswerOutcome,
 }
 
-/// How a request ended, as far as its client's packets tell.
+/// How a request ended, as far as its client's packets show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
-    /// An answer of a usual length came.
+    /// An answer of normal length was received.
     Answered {
-        /// From the request to the first acknowledgement of the answer: work and queue.
+        /// Time from the request to the first acknowledgement of the answer: processing and
+        /// queueing.
         after: Duration,
-        /// Bytes of it.
+        /// Length of the answer, bytes.
         bytes: u32,
     },
-    /// An answer much shorter than the route's usual ones came: as a rule an error, or that the instance
-    /// turned the request away.
+    /// An answer much shorter than the route's normal ones was received: usually an error, or the
+    /// instance rejected the request.
     Short {
-        /// From the request to the first acknowledgement of the answer.
+        /// Time from the request to the first acknowledgement of the answer.
         after: Duration,
     },
-    /// None came before the client gave up, or before it was long overdue.
+    /// No answer was received before the client gave up, or before it was long overdue.
     Unanswered {
-        /// How long the client had waited.
+        /// Time that the client had waited.
         waited: Duration,
     },
 }
--- a/crates/bellyoke-core/src/cookie/answers/baseline.rs
+++ b/crates/bellyoke-core/src/cookie/answers/baseline.rs
@@ -1,54 +1,58 @@
-//! What the answers on one route are usually like.
+//! Learns the normal answers of one route.
 
 use std::time::Duration;
 
-/// Answers remembered: enough for a rank near the lowest, few enough that a changed route is learned within
-/// seconds. 8 bytes each.
+/// Answers remembered: enough for a rank near the lowest, few enough to adapt to a changed route
+/// within seconds. 8 bytes each.
 const HISTORY_LENGTH: usize = 64;
 
-/// Answers before anything is judged: a burst may come when a node has seen few on a rare route.
+/// Answers that are needed before any is classified. Few, since a burst may arrive when a node has
+/// seen little of a rarely used route.
 const MINIMUM_ANSWERS: usize = 4;
 
-/// Up to so many answers each is looked at.
+/// Number of answers up to which the thresholds are updated with each answer.
 const EVERY_ANSWER_UNTIL: usize = 16;
 
-/// Answers between two looks at those remembered.
+/// Answers between two updates of the thresholds afterwards.
 const REFRESH_INTERVAL_ANSWERS: usize = 8;
 
-/// The rank from below whose length counts as the shortest usual one; the shortest of all may be a
-/// straggler.
+/// Rank, from below, of the length that counts as the shortest normal one; the shortest of all may
+/// be an outlier.
 const SHORTEST_NORMAL_RANK: usize = 1;
 
-/// What is shorter than this part of the shortest usual answer isn't one. Answers whose lengths are
-/// log-normal with a spread of 0.6 fall below it once in some hundreds.
+/// An answer shorter than this fraction of the shortest normal one is short. Of answers whose
+/// lengths are log-normal with a standard deviation of 0.6, one in some hundreds falls below it.
 const SHORT_FRACTION_OF_SHORTEST: f64 = 0.7;
 
-/// No answer of half the usual length is short.
+/// An answer of at least this fraction of the median length is never short.
 const SHORT_FRACTION_OF_MEDIAN: f64 = 0.5;
 
-/// An answer that takes so many times as long as the median one is slow. Work that varies by half of
-/// its mean reaches three times at its 99th percentile, queues in calm included.
+/// An answer that takes this many times the median is slow. Processing times whose standard
+/// deviation is half of the mean reach three times the median at the 99th percentile, queueing
+/// under normal load included.
 const SLOW_FACTOR: u32 = 4;
 
-/// No answer that comes sooner is slow: a lost packet alone takes 200 ms.
+/// An answer that takes no longer than this is never slow: the loss of one packet alone takes 200
+/// ms.
 const MINIMUM_SLOW_TIME: Duration = Duration::from_millis(150);
 
-/// A request that waits so many times as long as the median one is overdue.
+/// A request that waits this many times the median is overdue.
 const OVERDUE_FACTOR: u32 = 6;
 
-/// No request is overdue sooner: one whose packet was lost is sent again after 200 ms.
+/// A request is never overdue sooner: one whose packet was lost is sent again after 200 ms.
 const MINIMUM_OVERDUE_TIME: Duration = Duration::from_millis(300);
 
-/// No request is overdue sooner while nothing is known of its route.
+/// Time after which a request is overdue while nothing is known about its route.
 const DEFAULT_OVERDUE_TIME: Duration = Duration::from_secs(2);
 
-/// So many odd answers in a row are the usual ones. Instances that bear an eighth of what they get still answer one in
-/// eight as usual, so that what they turn away in overload isn't taken for an answer: 96 others in a row come
-/// once in 400,000 requests then.
+/// Consecutive outlying answers after which such answers are learned as normal. Instances that can
+/// serve an eighth of their requests still answer one in eight normally, so their rejections under
+/// overload must not be learned: with them, 96 outlying answers in a row occur once in 400,000
+/// requests.
 const ADAPTATION_RUN_LENGTH: u32 = 96;
 
-/// What the answers on one route are usually like, learned from them. Few odd answers don't change it: they
-/// aren't learned unless all are odd.
+/// Length and time of the normal answers of one route, learned from its traffic. A few outlying
+/// answers don't change the baseline: they are learned only if all answers are outlying.
 ///
 /// ```
 /// use bellyoke_core::cookie::answers::AnswerBaseline;
@@ -71,9 +75,9 @@
     short_below: u32,
     slow_above: Duration,
     median_time: Duration,
-    /// Short answers since the last one that wasn't.
+    /// Consecutive short answers.
     short_run: u32,
-    /// Slow answers since the last one that wasn't.
+    /// Consecutive slow answers.
     slow_run: u32,
 }
 
@@ -85,7 +89,7 @@
         if is_learned(&mut self.short_run, is_short) {
             self.lengths.push(bytes);
         }
-        // How soon an error comes tells nothing of answers.
+        // The time of an error says nothing about normal answers.
         if !is_short && is_learned(&mut self.slow_run, is_slow) {
             let microseconds = u32::try_from(after.as_micros()).unwrap_or(u32::MAX);
             self.times.push(microseconds);
@@ -95,19 +99,19 @@
         }
     }
 
-    /// Whether an answer of so many bytes is much shorter than usual.
+    /// Returns whether an answer of `bytes` bytes is much shorter than normal.
     #[must_use]
     pub const fn is_short(&self, bytes: u32) -> bool {
         bytes < self.short_below
     }
 
-    /// Whether an answer that took so long is much later than usual.
+    /// Returns whether an answer that took `after` is much slower than normal.
     #[must_use]
     pub fn is_slow(&self, after: Duration) -> bool {
         !self.slow_above.is_zero() && after > self.slow_above
     }
 
-    /// How long a request may wait before it counts as one that is not answered.
+    /// Returns how long a request may wait before it counts as unanswered.
     #[must_use]
     pub fn overdue(&self) -> Duration {
         if self.slow_above.is_zero() {
@@ -135,7 +139,8 @@
     }
 }
 
-/// Whether an answer is learned: it isn't odd, or so many in a row were that they are the usual ones.
+/// Returns whether an answer is learned: it isn't outlying, or so many in a row were outlying that
+/// they are the normal ones.
 const fn is_learned(outlying_run: &mut u32, is_outlying: bool) -> bool {
     *outlying_run = if is_outlying {
         outlying_run.saturating_add(1)
@@ -145,7 +150,7 @@
     !is_outlying || *outlying_run >= ADAPTATION_RUN_LENGTH
 }
 
-/// The last values of a row, the oldest overwritten first.
+/// Ring buffer of the last values.
 #[derive(Clone, Debug, Default)]
 struct RecentValues {
     values: Vec<u32>,
--- a/crates/bellyoke-core/src/cookie/answers/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/answers/monitor.rs
@@ -1,4 +1,4 @@
-//! Samples of what became of requests, from the packets of all flows of one traffic thread.
+//! Derives samples of request outcomes from the packets of all flows of one traffic thread.
 
 use super::baseline::AnswerBaseline;
 use super::progress::RequestStatus;
@@ -11,59 +11,64 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Routes whose usual answers are remembered, about 700 bytes each; requests on others aren't judged.
+/// Most baselines that are stored, about 700 bytes each; requests on further routes get no samples.
 const MAXIMUM_ROUTES: usize = 256;
 
-/// Requests watched at once; of further ones only the end on their flow is seen.
+/// Most flows that are watched for overdue requests at the same time. For others only a packet that
+/// ends the request yields a sample.
 const MAXIMUM_WATCHED_FLOWS: usize = 1_024;
 
-/// An answer of which nothing more came for so long is whole. Packets of one answer follow each other
-/// within milliseconds; those lost come 200 ms later, so that a rare answer passes as short.
+/// Time without further packets after which an answer is complete. Packets of one answer follow
+/// each other within milliseconds; lost ones arrive 200 ms later, so that rarely an incomplete
+/// answer counts as short.
 const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// So many flows that come from other nodes within [`MOVE_TIME`] show that routers spread flows anew: this
-/// node's own ones have gone to others, and their answers with them.
+/// Number of flows that move here from other nodes within [`REDISTRIBUTION_WINDOW`] that shows that
+/// routers have redistributed flows. This node's own flows, and the answers to them, are then seen
+/// by other nodes.
 const REDISTRIBUTED_FLOWS_THRESHOLD: usize = 3;
 
-/// See [`MOVES`]. Resting flows that were forgotten come singly.
+/// Window of [`REDISTRIBUTED_FLOWS_THRESHOLD`]. Idle flows that were forgotten appear one at a
+/// time.
 const REDISTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 
-/// How an answer compares with the usual ones of its route.
+/// How an answer compares with the normal ones of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerQuality {
-    /// About as usual.
+    /// Within the normal range.
     Normal,
-    /// Much later than usual.
+    /// Much slower than normal.
     Slow,
-    /// An error, or none at all.
+    /// An error, or no answer at all.
     Failed,
 }
 
-/// A sample, and how it compares with others.
+/// A sample and its quality.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassifiedSample {
-    /// What became of the request.
+    /// Outcome of the request.
     pub sample: AnswerSample,
-    /// How that compares.
+    /// Quality compared with the route's baseline.
     pub quality: AnswerQuality,
 }
 
-/// Watches the requests on the flows of one traffic thread.
+/// Tracks the requests on the flows of one traffic thread.
 #[derive(Debug, Default)]
 pub struct AnswerMonitor {
-    /// By the address of the route and the instance's service: work and sizes differ by both.
+    /// Baselines by the address of the route and the instance's service: processing times and
+    /// lengths differ by both.
     baselines: BTreeMap<(SocketAddrV4, ServiceNumber), AnswerBaseline>,
-    /// Flow hashes of requests under way.
+    /// Hashes of flows with requests under way.
     watched: Vec<u64>,
-    /// When the last flows came from other nodes, the last one last.
+    /// When flows last moved here from other nodes, in ascending order.
     moved_at: [Timestamp; REDISTRIBUTED_FLOWS_THRESHOLD],
-    /// When routers last spread flows anew.
+    /// When routers last redistributed flows.
     redistributed_at: Timestamp,
 }
 
 impl AnswerMonitor {
-    /// Takes a packet into account, after its flow's record was noted. Returns a sample if the packet shows
-    /// that a request is over.
+    /// Processes a packet after its flow's record was updated. Returns a sample if the packet shows
+    /// that a request is finished.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -85,19 +90,19 @@
         self.classify(table, record, &status?)
     }
 
-    /// A flow has come that opened through another node.
+    /// Records that a flow has moved here that was opened through another node.
     pub fn record_moved_flow(&mut self, now: Timestamp) {
         self.moved_at.rotate_left(1);
         self.moved_at[REDISTRIBUTED_FLOWS_THRESHOLD - 1] = now;
         let is_redistribution = now.since(self.moved_at[0]) < REDISTRIBUTION_WINDOW;
-        // Those that rested come over some seconds; what is asked meanwhile counts.
+        // Flows that were idle arrive over some seconds; requests sent in the meantime count.
         if is_redistribution && now.since(self.redistributed_at) >= REDISTRIBUTION_WINDOW {
             self.redistributed_at = now;
         }
     }
 
-    /// Looks at the requests under way. Returns samples of those that are overdue, and of answers that
-    /// have come to rest.
+    /// Checks the requests under way. Returns samples of those that are overdue, and of answers
+    /// that are complete.
     pub fn review(
         &mut self,
         now: Timestamp,
@@ -128,7 +133,8 @@
         classified
     }
 
-    /// The process stood still: what it missed would count as not answered.
+    /// Discards the requests under way after the process was stalled: answers that it missed would
+    /// count as missing.
     pub fn forget_requests(&mut self, flows: &mut FlowTable) {
         for flow_hash in std::mem::take(&mut self.watched) {
             if let Some(record) = flows.get_mut(flow_hash) {
--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -1,13 +1,13 @@
-//! The request under way on one flow.
+//! Tracks the request under way on one flow.
 
 use crate::cookie::packet::{FlowPacket, PacketRole};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Half of the sequence space: what is further ahead than that is behind.
+/// Half of the sequence space: a number that is further ahead is behind.
 const HALF_SEQUENCE_SPACE: u32 = 1 << 31;
 
-/// The request under way on one flow, as far as its client's packets tell.
+/// The request under way on one flow, as far as its client's packets show.
 ///
 /// ```
 /// use bellyoke_core::cookie::answers::RequestProgress;
@@ -24,44 +24,45 @@
 /// };
 /// let at = Timestamp::from_micros;
 /// let mut request = RequestProgress::default();
-/// assert_eq!(request.observe(at(0), &packet(Some(1), 200, false, 900)), None, "it is asked");
-/// assert_eq!(request.observe(at(40_000), &packet(None, 0, false, 1_700)), None, "an answer begins");
+/// assert_eq!(request.observe(at(0), &packet(Some(1), 200, false, 900)), None, "a request starts");
+/// assert_eq!(request.observe(at(40_000), &packet(None, 0, false, 1_700)), None, "its answer starts");
 /// let status = request.observe(at(41_000), &packet(None, 0, true, 1_900)).unwrap();
 /// assert_eq!(status.after, Some(Duration::from_millis(40)));
 /// assert_eq!(status.bytes, 1_000);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProgress {
-    /// When the request was sent, its last byte if it has several packets; none while the flow rests, or once
-    /// it was told what became of the request.
+    /// When the request was sent, or its last packet if it has several; none while the flow is
+    /// idle, or once the outcome of the request was returned.
     pub sent_at: Option<Timestamp>,
-    /// What the client had acknowledged then.
+    /// Acknowledgement number of the client at that time.
     pub acknowledged_before: u32,
     /// Sequence number after the last byte of data seen.
     data_end: u32,
-    /// Bytes of the answer acknowledged.
+    /// Bytes of the answer that were acknowledged.
     answered_bytes: u32,
-    /// From the request to the first acknowledgement of the answer, microseconds; zero before it.
+    /// Time from the request to the first acknowledgement of the answer, microseconds; zero before
+    /// it.
     first_answer_microseconds: u32,
 }
 
-/// How far a request had come when it was over, or was looked at last.
+/// State of a request when it finished, or when it was last checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestStatus {
-    /// From the request to the first acknowledgement of the answer; none if nothing came.
+    /// Time from the request to the first acknowledgement of the answer; none without an answer.
     pub after: Option<Duration>,
-    /// Bytes of the answer.
+    /// Bytes of the answer that were acknowledged.
     pub bytes: u32,
-    /// From the request until now.
+    /// Time from the request until now.
     pub waited: Duration,
 }
 
 impl RequestProgress {
-    /// Takes a packet of the flow into account. Returns what became of a request if the packet shows that it
-    /// is over: the next one begins, or the flow ends.
+    /// Processes a packet of the flow. Returns the status of a request if the packet shows that it
+    /// is finished: the next request starts, or the flow ends.
     pub fn observe(&mut self, now: Timestamp, packet: &FlowPacket) -> Option<RequestStatus> {
         let begins = self.begins_request(packet);
-        // What a later request acknowledges belongs to the answer before it.
+        // A later request acknowledges data of the answer before it.
         if self.sent_at.is_some() {
             self.acknowledge(now, packet.acknowledged);
         }
@@ -73,7 +74,8 @@
             self.start_request(now, packet);
         }
         if packet.role == PacketRole::Abort && self.answered_bytes == 0 {
-            // Its client may have lost interest. Whoever waited too long for it was noticed before.
+            // The client may have lost interest. A request that waited too long was already
+            // detected as overdue.
             self.sent_at = None;
         }
         let ends = packet.closes || packet.role == PacketRole::Abort;
@@ -83,7 +85,7 @@
         finished
     }
 
-    /// How far the request under way has come; none while there is none.
+    /// Returns the status of the request under way; none if there is none.
     #[must_use]
     pub fn status(&self, now: Timestamp) -> Option<RequestStatus> {
         let sent_at = self.sent_at?;
@@ -96,14 +98,15 @@
         })
     }
 
-    /// The same, and there is none under way after it.
+    /// Returns the status of the request under way and ends it.
     pub fn finish(&mut self, now: Timestamp) -> Option<RequestStatus> {
         let status = self.status(now);
         self.sent_at = None;
         status
     }
 
-    /// Whether a packet brings data that was not seen before. Copies and what was overtaken don't.
+    /// Returns whether a packet carries data that was not seen before. Duplicates and reordered
+    /// packets don't.
     fn begins_request(&self, packet: &FlowPacket) -> bool {
         let Some(sequence) = packet.data_sequence else {
             return false;
@@ -114,7 +117,7 @@
         !knows_end || (ahead != 0 && ahead < HALF_SEQUENCE_SPACE)
     }
 
-    /// A request begins, or goes on if nothing of an answer has come.
+    /// Starts a request, or continues it if no answer data was acknowledged.
     fn start_request(&mut self, now: Timestamp, packet: &FlowPacket) {
         let sequence = packet.data_sequence.unwrap_or_default();
         let acknowledged = self.acknowledged_before.wrapping_add(self.answered_bytes);
--- a/crates/bellyoke-core/src/cookie/cold.rs
+++ b/crates/bellyoke-core/src/cookie/cold.rs
@@ -1,16 +1,18 @@
-//! How many flows this node may open at an instance that is cold.
+//! Limits the flows that this node opens at a cold instance (slow start).
 //!
-//! A cold instance bears few new flows a second, counted over all nodes, and no node sees the sum: nodes
-//! differ in what they know, some are cut off, and their clocks are not in step. So each holds to a
-//! share of its own that keeps the sum below the limit if all nodes use theirs ([`ColdShare`]):
+//! A cold instance can take few new flows a second, counted over all nodes, and no node sees the
+//! sum: nodes have different state, some are partitioned, and their clocks are not synchronized. So
+//! each node keeps to a share of its own, and the sum of the shares stays below the limit
+//! ([`ColdShare`]):
 //!
-//! * A cluster of fewer nodes than the limit allows flows: each node the same whole number a second.
-//! * A larger one: a node takes part for an instance with a probability, drawn once for the pair, and
-//!   opens one flow a second at most. The number of nodes that take part is a Poisson variate, and
-//!   the probability is such that it exceeds the limit once in a million.
+//! * In a cluster of at most as many nodes as the limit allows flows, each node gets the same whole
+//!   number of flows a second.
+//! * In a larger one, a node participates for an instance with a probability, drawn once for the
+//!   pair, and opens one flow a second at most. The number of nodes that participate is a Poisson
+//!   variate, and the probability is chosen such that it exceeds the limit once in a million cases.
 //!
-//! An equal part for each would be less than one flow in a large cluster, and rounded up it breaks the
-//! limit; rounded down nothing could be opened at all.
+//! An equal share for each node would be less than one flow in a large cluster: rounded up it would
+//! exceed the limit, and rounded down no flow could be opened at all.
 
 use crate::cookie::instance::{Cookie, InstanceId};
 use crate::cookie::placement::mix;
@@ -18,25 +20,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How likely it may be that more nodes take part for an instance than its limit allows flows.
+/// Probability with which more nodes may participate for an instance than its limit allows flows.
 const EXCESS_PROBABILITY: f64 = 1e-6;
 
-/// The time in which flows are counted, and what two flows that this node sends further apart may
-/// have come closer on their way, as a packet waits up to 100 ms for the processor.
+/// Time for which an opened flow counts against the limit: one second, and 100 ms for which a
+/// packet may wait for the processor, as two flows may arrive closer together than they were sent.
 const COUNTING_WINDOW: Duration = Duration::from_millis(1_100);
 
-/// What operators allow beyond what cold instances are said to bear.
+/// Tolerance of operators beyond the configured limit of cold instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdAllowance {
-    /// Factor to the flows that an instance bears.
+    /// Factor applied to the flows that an instance can take.
     pub overshoot: f64,
     /// Flows a second beyond that.
     pub slack: u32,
 }
 
 impl ColdAllowance {
-    /// Most flows that all nodes together may open in any second at a cold instance that bears so
-    /// many in a minute.
+    /// Returns the most flows that all nodes together may open in any second at a cold instance
+    /// that can take `flows_per_minute`.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn limit(&self, flows_per_minute: u32) -> u32 {
@@ -46,7 +48,7 @@
     }
 }
 
-/// One node's part in a limit.
+/// One node's share of a limit.
 ///
 /// ```
 /// use bellyoke_core::cookie::cold::ColdShare;
@@ -59,14 +61,14 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdShare {
-    /// How likely it is that a node takes part for an instance.
+    /// Probability that a node participates for an instance.
     pub probability: f64,
-    /// Flows that it may open then in any second.
+    /// Flows that a participating node may open in any second.
     pub flows: u32,
 }
 
 impl ColdShare {
-    /// A node's part in `limit` flows a second, in a cluster of so many nodes.
+    /// Returns a node's share of `limit` flows a second, in a cluster of so many nodes.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn of(limit: u32, nodes: f64) -> Self {
@@ -84,7 +86,8 @@
     }
 }
 
-/// The largest mean of a Poisson variate that exceeds `limit` with no more than [`EXCESS_PROBABILITY`].
+/// Returns the largest mean of a Poisson variate that exceeds `limit` with a probability of at most
+/// [`EXCESS_PROBABILITY`].
 fn safe_mean(limit: u32) -> f64 {
     const BISECTION_STEPS: u32 = 40;
     let (mut safe, mut unsafe_mean) = (0.0, f64::from(limit) + 1.0);
@@ -99,8 +102,9 @@
     safe
 }
 
-/// How likely a Poisson variate of this mean exceeds `limit`. The terms above it are summed up, since
-/// one less those below would lose what is as small.
+/// Returns the probability that a Poisson variate of this mean exceeds `limit`. The terms above the
+/// limit are summed up, since subtracting the sum of the others from one would lose the precision
+/// of a result this small.
 fn probability_above(limit: u32, mean: f64) -> f64 {
     let mut logarithm = -mean;
     for count in 1..=limit + 1 {
@@ -117,22 +121,22 @@
     sum
 }
 
-/// Holds one traffic thread to its node's part.
+/// Enforces a node's share in one traffic thread.
 #[derive(Debug)]
 pub struct ColdLimiter {
-    /// None if cold instances have no limit.
+    /// None if cold instances are not limited.
     allowance: Option<ColdAllowance>,
     nodes: f64,
-    /// Makes this node's draws its own.
+    /// Seed of this node's draws, which makes them independent of other nodes.
     salt: u64,
     shares: BTreeMap<u32, ColdShare>,
-    /// When flows were opened at cold instances within the time counted, the oldest first.
+    /// When flows were opened at cold instances within the counting window, the oldest first.
     opened: BTreeMap<Cookie, VecDeque<Timestamp>>,
 }
 
 impl ColdLimiter {
-    /// A limiter that draws by `salt`, which no other node should have. It takes the cluster for a
-    /// single node until it is told better.
+    /// Creates a limiter that draws by `salt`, which should be unique to the node. It assumes a
+    /// single node until [`Self::set_minimum_node_count`] is called.
     #[must_use]
     pub const fn new(allowance: Option<ColdAllowance>, salt: u64) -> Self {
         Self {
@@ -144,7 +148,7 @@
         }
     }
 
-    /// How many nodes there are, at least.
+    /// Sets a lower bound of the number of nodes.
     #[allow(clippy::float_cmp)]
     pub fn set_minimum_node_count(&mut self, nodes: f64) {
         if self.nodes != nodes {
@@ -153,8 +157,8 @@
         }
     }
 
-    /// This node's part in what cold instances get that bear so many flows in a minute; none if they
-    /// have no limit, or if what they bear isn't told (zero).
+    /// Returns this node's share of the flows to cold instances that can take `flows_per_minute`;
+    /// none if they are not limited, or if that number is unknown (zero).
     pub fn share(&mut self, flows_per_minute: u32) -> Option<ColdShare> {
         if flows_per_minute == 0 {
             return None;
@@ -165,7 +169,7 @@
         Some(*share.or_insert_with(|| ColdShare::of(limit, nodes)))
     }
 
-    /// Whether a flow may be opened now at a cold instance, by this node's part in its limit.
+    /// Returns whether this node's share admits another flow to a cold instance now.
     #[must_use]
     pub fn admits(&self, now: Timestamp, id: InstanceId, share: Option<ColdShare>) -> bool {
         let Some(share) = share else {
@@ -184,7 +188,7 @@
         u32::try_from(recent).is_ok_and(|recent| recent < share.flows)
     }
 
-    /// A flow was opened at a cold instance.
+    /// Records that a flow was opened at a cold instance.
     pub fn record_opening(&mut self, now: Timestamp, id: InstanceId) {
         if self.allowance.is_some() {
             let opened = self.opened.entry(Cookie::of(id)).or_default();
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Forgets what doesn't count any more.
+    /// Removes openings outside the counting window.
     pub fn expire(&mut self, now: Timestamp) {
         self.opened.retain(|_, opened| {
             opened.retain(|at| now.since(*at) < COUNTING_WINDOW);
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -1,8 +1,8 @@
-//! Which resting flows are ended, and when.
+//! Queues and paces the resets of flows whose instance has ended.
 //!
-//! Once an instance is known to have ended, the flows that a node has seen there are reset, resting ones
-//! too: a client that sends next what may not be sent twice would lose it. All flows of an instance end at
-//! once, so their resets are paced.
+//! Once an instance is known to have ended, the flows that a node has seen there are reset, idle
+//! ones included: otherwise a client that sends its next request there would lose it if the request
+//! must not be retried. All flows of an instance end at once, so their resets are paced.
 
 use crate::cookie::flows::FlowTable;
 use crate::cookie::forwarder::ResetReason;
@@ -12,35 +12,35 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Resets of resting flows in one interval, each of some 60 bytes: 1 Mbit/s, a tenth of the thinnest link.
+/// Most resets in one interval, some 60 bytes each: 1 Mbit/s, a tenth of the slowest link.
 pub const RESETS_PER_INTERVAL: usize = 32;
 
 /// Time between two groups of resets.
 pub const RESET_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A resting flow that is to be reset.
+/// A flow that is to be reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowReset {
     /// The flow.
     pub flow: FlowTuple,
-    /// The instance that it was open at.
+    /// Instance that the flow was open at.
     pub cookie: Cookie,
-    /// What its client acknowledged last.
+    /// Last acknowledgement number of its client.
     pub acknowledged: u32,
-    /// Why it is ended.
+    /// Reason of the reset.
     pub reason: ResetReason,
 }
 
-/// What speaks for the end of a flow.
+/// Condition that a reset depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetCause {
-    /// Its instance has ended, whatever the flow does.
+    /// The flow's instance has ended. The reset doesn't depend on the flow's activity.
     Ended,
-    /// Its client repeats what it sent, and its instance can't be reached.
+    /// The flow's client retransmits data, and its instance is unreachable.
     Unanswered,
 }
 
-/// The flows that wait for their resets.
+/// Queue of flows to reset.
 ///
 /// ```
 /// use bellyoke_core::cookie::flow_resets::FlowResetQueue;
@@ -58,19 +58,19 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct FlowResetQueue {
-    /// Instances whose flows were queued already.
+    /// Instances whose flows were already queued.
     already_queued: BTreeSet<Cookie>,
     queue: VecDeque<QueuedReset>,
     interval_started_at: Timestamp,
     sent_in_interval: usize,
 }
 
-/// A flow that waits for its reset.
+/// A queued reset.
 #[derive(Clone, Copy, Debug)]
 struct QueuedReset {
     /// The flow's hash.
     hash: u64,
-    /// What its client had acknowledged when it was queued.
+    /// Acknowledgement number of its client when it was queued.
     acknowledged: u32,
     cause: ResetCause,
 }
@@ -99,8 +99,8 @@
         self.already_queued = ended;
     }
 
-    /// Queues a flow whose client waits for an answer. It goes first: each moment counts against what its client
-    /// allows for an answer.
+    /// Queues a flow whose client waits for an answer. It goes first, since each moment counts
+    /// against the client's timeout.
     pub fn queue_unanswered(&mut self, hash: u64, acknowledged: u32) {
         self.queue.push_front(QueuedReset {
             hash,
@@ -109,8 +109,8 @@
         });
     }
 
-    /// The next flow to reset now. It is left alone, and kept, if its client has acknowledged something
-    /// since it was queued or `reason` tells no reason any more.
+    /// Returns the next flow to reset now. A queued flow is skipped, and stays open, if its client
+    /// has acknowledged data since it was queued or `reason` returns none.
     pub fn next(
         &mut self,
         now: Timestamp,
@@ -146,7 +146,7 @@
         None
     }
 
-    /// When [`Self::next`] has something to do; none if nothing waits.
+    /// Returns when [`Self::next`] has a flow to reset; none if the queue is empty.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
         let is_paced = self.sent_in_interval >= RESETS_PER_INTERVAL;
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -1,12 +1,13 @@
-//! The flows that a node has seen of late.
+//! Table of the flows that a node has seen recently.
 //!
-//! Forwarding needs none of this: the cookie names the instance. A record only says that a flow was there, so
-//! that it can be ended once its instance is known to be dead, and what its client has asked and got. It is
-//! soft state: it goes with the process, and a flow that another node saw isn't in it.
+//! Forwarding doesn't depend on this table, as the cookie names the instance. A record shows that a
+//! flow exists, so that it can be reset once its instance is known to be dead, and the state of its
+//! client's requests. Records are soft state: they are lost with the process, and flows that
+//! another node saw aren't included.
 //!
-//! Records stand in two generations. A record that is used moves to the young one; when that is full, or old,
-//! the old one is dropped and the young one takes its place. So memory is bounded, what was not used for longest
-//! goes first, and nothing is ever searched for expired records.
+//! Records are stored in two generations. A record that is used moves to the young one. When that
+//! is full or old, the old one is dropped and the young one takes its place. So memory is bounded,
+//! the least recently used records are dropped first, and no scan for expired records is needed.
 
 use crate::cookie::answers::RequestProgress;
 use crate::cookie::instance::Cookie;
@@ -15,22 +16,22 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a node remembers of a flow.
+/// Record of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowRecord {
     /// The flow.
     pub flow: FlowTuple,
-    /// The instance that it is open at.
+    /// Instance that the flow is open at.
     pub cookie: Cookie,
-    /// What its client acknowledged last.
+    /// Last acknowledgement number of its client.
     pub acknowledged: u32,
-    /// When its last packet came.
+    /// Time of its last packet.
     pub seen_at: Timestamp,
-    /// The request under way, as far as the client's packets tell.
+    /// Request under way, as far as the client's packets show.
     pub request: RequestProgress,
 }
 
-/// Records of flows, by their hashes.
+/// Records of flows by their hashes.
 ///
 /// ```
 /// use bellyoke_core::cookie::flows::FlowTable;
@@ -62,7 +63,7 @@
 pub struct FlowTable {
     /// Most records of one generation.
     capacity: usize,
-    /// How long a generation lasts: a flow that rests no longer is remembered.
+    /// Longest duration of a generation: a flow that is idle for longer may be dropped.
     idle_timeout: Duration,
     young: HashMap<u64, FlowRecord>,
     old: HashMap<u64, FlowRecord>,
@@ -70,8 +71,8 @@
 }
 
 impl FlowTable {
-    /// An empty table of at most `capacity` flows, which remembers each for at least `rest` after its last
-    /// packet as long as there is room.
+    /// Creates an empty table of at most `capacity` flows. Each is kept for at least `idle_timeout`
+    /// after its last packet as long as there is room.
     #[must_use]
     pub fn new(capacity: usize, idle_timeout: Duration) -> Self {
         Self {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes a packet of a flow that goes to an instance, and returns its record.
+    /// Records a packet of a flow that goes to an instance, and returns the flow's record.
     pub fn record_packet(
         &mut self,
         now: Timestamp,
@@ -113,51 +114,51 @@
         record
     }
 
-    /// The record of a flow; none if it isn't remembered.
+    /// Returns the record of a flow; none if it is unknown.
     #[must_use]
     pub fn get(&self, flow_hash: u64) -> Option<&FlowRecord> {
         let young = self.young.get(&flow_hash);
         young.or_else(|| self.old.get(&flow_hash))
     }
 
-    /// The same, to be changed.
+    /// Returns the mutable record of a flow; none if it is unknown.
     pub fn get_mut(&mut self, flow_hash: u64) -> Option<&mut FlowRecord> {
         let young = self.young.get_mut(&flow_hash);
         young.or_else(|| self.old.get_mut(&flow_hash))
     }
 
-    /// Forgets a flow that has ended, and returns what was remembered of it.
+    /// Removes a flow that has ended, and returns its record.
     pub fn remove(&mut self, flow_hash: u64) -> Option<FlowRecord> {
         let young = self.young.remove(&flow_hash);
         let old = self.old.remove(&flow_hash);
         young.or(old)
     }
 
-    /// The flows that are open at an instance.
+    /// Returns the flows that are open at an instance.
     pub fn of_instance(&self, cookie: Cookie) -> impl Iterator<Item = &FlowRecord> {
         let all = self.young.values().chain(self.old.values());
         all.filter(move |record| record.cookie == cookie)
     }
 
-    /// All flows remembered, with their hashes.
+    /// Returns all records with the hashes of their flows.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &FlowRecord)> {
         let all = self.young.iter().chain(self.old.iter());
         all.map(|(hash, record)| (*hash, record))
     }
 
-    /// Flows remembered.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether no flow is remembered.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Forgets everything.
+    /// Removes all records.
     pub fn clear(&mut self) {
         self.young.clear();
         self.old.clear();
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -1,4 +1,4 @@
-//! The decision for each packet.
+//! Decides where each packet goes.
 
 mod ending;
 mod following;
@@ -23,27 +23,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long after its record went an instance is still better than no instance. Shorter than
-/// the time within which a leaving instance must get no new flow.
+/// How long an instance whose record was deleted still gets new flows if there is no other
+/// instance. Shorter than the time within which a leaving instance must stop getting new flows.
 pub const RECENTLY_GONE_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// Data packets whose first sight is remembered, 16 bytes each: those of some seconds on a machine
-/// that forwards a few hundred a second. What is forgotten sooner leaves its flow to the client.
+/// Capacity of the table of times at which data packets were first seen, 16 bytes each: enough for
+/// some seconds on a machine that forwards a few hundred packets a second. A flow whose entry was
+/// overwritten is not reset; its client has to time out.
 const FIRST_SENT_CAPACITY: usize = 1_024;
 
-/// Flows that are remembered where the settings don't tell.
+/// Capacity of the flow table unless the settings configure another one.
 const DEFAULT_FLOW_CAPACITY: usize = 8_192;
 
-/// How long a resting flow is remembered: users count no flow that has rested for longer.
+/// How long an idle flow is remembered: the users count no flow that has been idle for longer.
 const FLOW_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Instances whose last sign of life is remembered, 16 bytes each.
+/// Instances whose last activity is remembered, 16 bytes each.
 const ALIVE_TABLE_CAPACITY: usize = 1_024;
 
-/// How long the end of an opening speaks for an instance.
+/// How long a completed opening counts as evidence that the instance is healthy.
 const HEALTHY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Most healthy instances that are told: a few are enough for controls.
+/// Most healthy instances that are returned: a few are enough as controls for probes.
 const MAXIMUM_HEALTHY_CONTROLS: usize = 8;
 
 /// What to do with a packet.
@@ -51,71 +52,72 @@
 pub enum Decision {
     /// Open the flow at this instance.
     Place {
-        /// Where the packet goes.
+        /// Instance that the packet is sent to.
         destination: Destination,
-        /// What spoke for the instance.
+        /// Suitability of the instance when it was chosen.
         suitability: Suitability,
     },
-    /// Pass the packet on to the instance that it names.
+    /// Forward the packet to the instance that its cookie names.
     Follow {
-        /// Where the packet goes.
+        /// Instance that the packet is sent to.
         destination: Destination,
-        /// How long the flow took to open, if this is its first packet after the opening.
+        /// Time that the flow took to open, if this is its first packet after the opening.
         opened_after: Option<Duration>,
     },
     /// Answer with a reset.
     Refuse(RefusalReason),
-    /// End an open flow, whose instance has ended, with a reset. What was sent on it may have run.
+    /// Reset an open flow whose instance has ended. Requests that were sent on it may have run.
     Reset(ResetReason),
-    /// Do nothing.
+    /// Drop the packet without an answer.
     Drop(DropReason),
 }
 
-/// Why a flow is refused at once. Nothing of it has run.
+/// Reason why a new flow is refused at once. None of its requests has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// No route has this address and port.
+    /// No route has the packet's address and port.
     NoRoute,
     /// The route's services have no instance that takes new flows.
     NoInstance,
-    /// The service's instances are overloaded, and what is admitted goes to others first.
+    /// The service's instances are overloaded, and other flows are admitted first.
     Overloaded,
 }
 
-/// Why an open flow is ended.
+/// Reason why an open flow is reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResetReason {
-    /// Another instance has taken over the address of the flow's.
+    /// Another instance has taken over the address of the flow's instance.
     Superseded,
-    /// The flow's instance can't be reached, and its client repeats what it sent.
+    /// The flow's instance is unreachable, and its client retransmits data.
     Unreachable,
 }
 
-/// Why a packet is dropped.
+/// Reason why a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// An opening that waited while this process stood still.
+    /// The opening may have been queued while this process was stalled.
     Backlog,
-    /// It names an instance that is not remembered. No reset: the instance may be alive and
-    /// known to others.
+    /// The packet's cookie names an unknown instance. The flow is not reset, because the instance
+    /// may be alive and known to other nodes.
     UnknownCookie,
-    /// It opens nothing and names nobody.
+    /// The packet is no opening and carries no cookie.
     NoCookie,
-    /// This node doesn't know both routes and instances yet.
+    /// This node hasn't received both routes and instances yet.
     NotReady,
 }
 
-/// Decides for the packets of one traffic thread.
+/// Forwards the packets of one traffic thread.
 #[derive(Debug)]
 pub struct Forwarder {
     monitor: OpeningMonitor,
     loads: LoadMeter,
     unreachable: BTreeSet<Cookie>,
-    /// Those whose flows may be ended, resting ones too.
+    /// Instances whose flows may be reset, idle ones included.
     ended: BTreeSet<Cookie>,
-    /// The same and those that were unreachable a while ago, and since when.
+    /// Unreachable instances and those that were unreachable recently, with the time since when
+    /// openings avoid them.
     avoided: BTreeMap<Cookie, Timestamp>,
-    /// When the last packet was decided on.
+    /// Time of the last packet.
     decided_at: Timestamp,
     /// When data of flows was first sent.
     first_sent: LastSeenTable,
@@ -123,27 +125,27 @@
     resets: FlowResetQueue,
     resets_idle_flows: bool,
     cold: ColdLimiter,
-    /// When an instance last showed that it lives.
+    /// When an instance was last known to be alive.
     alive_at: LastSeenTable,
-    /// Instances to which clients have repeated data since they were last asked for.
+    /// Instances to which clients have retransmitted data since the last [`Self::take_suspects`].
     retransmitted_to: BTreeSet<Cookie>,
-    /// Flows whose clients have repeated something, and when.
+    /// Flows whose clients have retransmitted data, with the time of the last retransmission.
     retransmitting_flows: Vec<(u64, Timestamp)>,
-    /// Instances that showed life while probes spoke against them: they only take no connections, so
-    /// that probes tell nothing of them.
+    /// Instances that were active although probes to them failed: they accept no new connections
+    /// but serve their open flows, so the result of probes is ignored for them.
     proven_alive: BTreeSet<Cookie>,
     answers: AnswerMonitor,
     tallies: TallyBook,
-    /// Instances whose answers fail, unlike those of others.
+    /// Instances that are outliers: their answers fail more often than those of others.
     outliers: BTreeSet<Cookie>,
     zones: ZonePreference,
     admission: AdmissionGate,
-    /// The restarts that are taken account of, as the table tells them.
+    /// Restarts of instances that were already handled, as the table lists them.
     known_restarts: Vec<(Cookie, u64)>,
 }
 
 impl Forwarder {
-    /// A forwarder that has seen no packet.
+    /// Creates a forwarder without any state of flows or instances.
     #[must_use]
     pub fn new(settings: HealthSettings) -> Self {
         Self {
@@ -171,14 +173,14 @@
         }
     }
 
-    /// The same, holding to this node's part of what cold instances may get.
+    /// Sets the limiter of flows to cold instances.
     #[must_use]
     pub fn with_cold_limiter(self, cold: ColdLimiter) -> Self {
         Self { cold, ..self }
     }
 
-    /// The same, remembering at most `capacity` flows. `resets_idle_flows` tells whether resting flows of
-    /// instances that have ended are reset.
+    /// Sets how many flows are remembered at most, and whether idle flows of instances that have
+    /// ended are reset.
     #[must_use]
     pub fn with_flows(self, capacity: usize, resets_idle_flows: bool) -> Self {
         Self {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// The same, admitting new flows by these settings.
+    /// Sets the settings of admission.
     #[must_use]
     pub fn with_admission(self, settings: AdmissionSettings) -> Self {
         Self {
@@ -197,25 +199,26 @@
         }
     }
 
-    /// The same, preferring the instances of the zone of this name for new flows; none if it is empty.
+    /// Sets the name of the zone whose instances are preferred for new flows; no zone is preferred
+    /// if it is empty.
     #[must_use]
     pub fn with_zone(self, name: &str) -> Self {
         let zones = ZonePreference::new(name);
         Self { zones, ..self }
     }
 
-    /// How many nodes there are, at least.
+    /// Sets a lower bound of the number of nodes.
     pub fn set_minimum_node_count(&mut self, nodes: f64) {
         self.cold.set_minimum_node_count(nodes);
     }
 
-    /// How many nodes there are about; zero if that isn't known.
+    /// Sets an estimate of the number of nodes; zero if it is unknown.
     pub fn set_estimated_node_count(&mut self, nodes: u64) {
         self.zones.set_nodes(nodes);
     }
 
-    /// What to do with a packet that was read at `now`; `backlog` tells whether it may have
-    /// waited while the process stood still.
+    /// Decides what to do with a packet that was read at `now`. `backlog` is true if the packet may
+    /// have been queued while the process was stalled.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -231,8 +234,8 @@
         }
     }
 
-    /// Looks at what has come of earlier openings, and returns what changed in the belief about
-    /// instances.
+    /// Processes the outcomes of earlier openings and requests. Returns instances whose state has
+    /// changed.
     pub fn review(&mut self, now: Timestamp, table: &ForwardingTable) -> Vec<HealthChange> {
         self.forget_earlier_runs(table);
         self.monitor.expire(now);
@@ -253,7 +256,7 @@
         self.monitor.take_changes()
     }
 
-    /// Forgets what was seen of instances that have started again since.
+    /// Discards the state of instances that have restarted since the last call.
     fn forget_earlier_runs(&mut self, table: &ForwardingTable) {
         if self.known_restarts == table.restarted() {
             return;
@@ -272,19 +275,20 @@
         self.known_restarts = table.restarted().to_vec();
     }
 
-    /// Adapts which zones new flows go to, and returns the shares that changed notably.
+    /// Updates the shares of new flows that go to each zone. Returns shares that changed notably.
     pub fn review_zones(&mut self, now: Timestamp) -> Vec<ShareChange> {
         self.zones.review(now)
     }
 
-    /// Openings so far, by the zone that they went to.
+    /// Returns the number of openings so far, by the zone that they were sent to.
     #[must_use]
     pub const fn zone_placements(&self) -> ZonePlacements {
         self.zones.placements()
     }
 
-    /// How much busier than the mean the busiest of a service's instances in the own zone is, by what this
-    /// node forwards, of the service where that is most. Without an own zone all instances count.
+    /// Returns the load of the busiest instance of a service in this node's own zone relative to
+    /// the mean, as seen by this node, for the service where it is greatest. Without an own zone
+    /// all instances count.
     #[must_use]
     pub fn imbalance(&self, now: Timestamp, table: &ForwardingTable) -> f32 {
         let own = self.zones.own();
@@ -297,29 +301,30 @@
         services.fold(1.0, f32::max)
     }
 
-    /// What changed in the belief about services' load since the last call.
+    /// Returns changes in the admission of services since the last call.
     pub fn review_admission(&mut self, now: Timestamp) -> Vec<AdmissionChange> {
         self.admission.review(now)
     }
 
-    /// How much of what is offered is admitted.
+    /// Returns the admission state of all services.
     #[must_use]
     pub const fn admission(&self) -> &AdmissionGate {
         &self.admission
     }
 
-    /// Instances that fail the openings of this thread.
+    /// Returns instances that fail the openings of this thread.
     pub fn failing_instances(&self) -> impl Iterator<Item = Cookie> {
         self.monitor.failing_instances()
     }
 
-    /// Instances that peers suspect.
+    /// Sets the instances that peers suspect.
     pub fn set_peer_suspicions(&mut self, suspected: &BTreeSet<Cookie>) {
         self.monitor.set_peer_suspicions(suspected);
     }
 
-    /// Instances at which an opening failed, or to which data was repeated on an open flow, since the last
-    /// call: they are in question. One that has shown life since isn't.
+    /// Returns instances at which an opening failed, or to which data was retransmitted on an open
+    /// flow, since the last call. They are to be probed. Instances that were active since are left
+    /// out.
     pub fn take_suspects(&mut self, now: Timestamp) -> Vec<Cookie> {
         let mut failed: BTreeSet<Cookie> = self.monitor.take_failed().into_iter().collect();
         let retransmitted_to = std::mem::take(&mut self.retransmitted_to).into_iter();
@@ -330,14 +335,15 @@
         failed.into_iter().collect()
     }
 
-    /// Whether a client has repeated something a moment ago: its request is late already.
+    /// Returns whether a client has recently retransmitted data: the answer to its request is
+    /// already late.
     #[must_use]
     pub fn has_waiting_clients(&self) -> bool {
         !self.retransmitted_to.is_empty() || !self.retransmitting_flows.is_empty()
     }
 
-    /// Instances at which openings completed a moment ago, the last ones first: controls for probes of
-    /// others.
+    /// Returns instances at which openings completed recently, the latest first. They serve as
+    /// controls for probes of other instances.
     #[must_use]
     pub fn healthy_instances(&self, now: Timestamp) -> Vec<Cookie> {
         let mut healthy = self.monitor.succeeded_within(now, HEALTHY_WINDOW);
@@ -345,7 +351,8 @@
         healthy
     }
 
-    /// Instances that this node can't reach, and those that openings avoid, of which these are some.
+    /// Sets the instances that this node can't reach, and those that openings avoid. The latter
+    /// include the former.
     pub fn set_unreachable(&mut self, unreachable: &BTreeSet<Cookie>, avoided: &BTreeSet<Cookie>) {
         if self.unreachable != *unreachable {
             self.unreachable.clone_from(unreachable);
@@ -359,19 +366,20 @@
         }
     }
 
-    /// Instances whose answers fail, unlike those of others: others are preferred.
+    /// Sets the instances that are outliers: others are preferred to them.
     pub fn set_outliers(&mut self, outliers: &BTreeSet<Cookie>) {
         if self.outliers != *outliers {
             self.outliers.clone_from(outliers);
         }
     }
 
-    /// What became of the requests that this thread saw since the last call.
+    /// Returns the outcomes of the requests that this thread has seen since the last call.
     pub fn take_tallies(&mut self) -> Vec<InstanceTally> {
         self.tallies.take()
     }
 
-    /// The process stood still: openings under way prove nothing.
+    /// Discards openings and requests under way after the process was stalled: their timing proves
+    /// nothing.
     pub fn reset_after_stall(&mut self) {
         self.monitor.forget_pending();
         self.answers.forget_requests(&mut self.flows);
--- a/crates/bellyoke-core/src/cookie/forwarder/ending.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/ending.rs
@@ -1,4 +1,4 @@
-//! Which instances live, and the flows that end since theirs doesn't.
+//! Tracks which instances are alive, and resets the flows of those that aren't.
 
 use super::{Forwarder, ResetReason};
 use crate::cookie::flow_resets::{FlowReset, ResetCause};
@@ -9,29 +9,32 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An instance in question that showed life so lately lives: a question is raised 150 ms after a death at
-/// the soonest, and takes 200 ms more to become one of peers.
+/// A suspected instance that was active this recently is reported alive. Suspicion arises 150 ms
+/// after a death at the earliest, and reaches peers 200 ms later.
 const ALIVE_REPORT_WINDOW: Duration = Duration::from_millis(300);
 
-/// An instance that showed life so lately isn't dead, whatever probes say. Longer than a flow is silent
-/// whose data was lost twice (200 and 400 ms); a verdict takes about as long after a death.
+/// An instance that was active this recently isn't treated as dead, whatever probes show. This is
+/// longer than the silence of a flow whose data was lost twice (200 and 400 ms), and about as long
+/// as it takes to detect a death.
 const ALIVE_WINDOW: Duration = Duration::from_millis(1_000);
 
-/// A client that has repeated something repeats it again within so long, if it still waits.
+/// Time within which a client that has retransmitted data retransmits it again, if it still waits.
 const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(500);
 
-/// Flows that are remembered for it; of further ones the next repetition tells.
+/// Most flows whose retransmissions are tracked. Flows beyond that are detected by their next
+/// retransmission.
 const MAXIMUM_RETRANSMITTING_FLOWS: usize = 256;
 
 impl Forwarder {
-    /// Instances whose death is established, and to which no peer has objected: their flows end.
+    /// Sets the instances that are known to have ended, without objection from a peer: their flows
+    /// are reset.
     pub fn set_ended(&mut self, ended: &BTreeSet<Cookie>) {
         if self.ended != *ended {
             self.ended.clone_from(ended);
         }
     }
 
-    /// The instances among those in question that showed life a moment ago.
+    /// Returns the suspected instances that were active recently.
     #[must_use]
     pub fn alive_instances(&self, now: Timestamp, suspected: &BTreeSet<Cookie>) -> Vec<Cookie> {
         let alive = suspected.iter().copied();
@@ -40,7 +43,7 @@
             .collect()
     }
 
-    /// The next resting flow to reset now; none if none is due.
+    /// Returns the next flow to reset now; none if none is due.
     pub fn next_flow_reset(
         &mut self,
         now: Timestamp,
@@ -58,19 +61,19 @@
         reset
     }
 
-    /// When [`Self::next_flow_reset`] has something to do; none if no flow waits to be reset.
+    /// Returns when [`Self::next_flow_reset`] has a flow to reset; none if no reset is queued.
     #[must_use]
     pub fn next_flow_reset_at(&self) -> Option<Timestamp> {
         self.resets.next_at()
     }
 
-    /// Flows remembered.
+    /// Returns the number of flows remembered.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Queues the flows that end by what is held of instances now.
+    /// Queues resets of the flows of instances that are now known to have ended.
     pub fn review_flow_resets(&mut self, now: Timestamp, table: &ForwardingTable) {
         self.queue_unanswered_flows(now);
         if self.resets_idle_flows {
@@ -79,9 +82,10 @@
         }
     }
 
-    /// Queues the flows whose clients have repeated something to an instance that turns out to be unreachable. They
-    /// would repeat it again only 400 ms after the first time, and a verdict takes 250 to 350 ms: a request that may be
-    /// sent again is answered elsewhere 500 to 600 ms after it was asked, instead of 620 to 650 ms.
+    /// Queues resets of flows whose clients have retransmitted data to an instance that turns out
+    /// to be unreachable. They would retransmit again only 400 ms after the first time, and
+    /// detection takes 250 to 350 ms. With the reset, a request that may be retried is answered
+    /// elsewhere 500 to 600 ms after it was sent, instead of 620 to 650 ms.
     fn queue_unanswered_flows(&mut self, now: Timestamp) {
         let retransmitting_flows = std::mem::take(&mut self.retransmitting_flows);
         for (hash, retransmitted_at) in retransmitting_flows {
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Notes that the client of a flow waits for an answer in vain, so far.
+    /// Records that the client of a flow has retransmitted data and has no answer yet.
     pub(super) fn record_retransmission(&mut self, now: Timestamp, flow_hash: u64) {
         self.retransmitting_flows
             .retain(|(hash, _)| *hash != flow_hash);
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Why a flow of an instance ends; none if it doesn't.
+    /// Returns why a flow of an instance is reset; none if it must not be.
     fn reset_reason(
         &self,
         now: Timestamp,
@@ -132,7 +136,7 @@
         self.unreachable.contains(&cookie) && !self.proven_alive.contains(&cookie)
     }
 
-    /// An instance has lived at `since` or later.
+    /// Records that an instance was alive at `since` or later.
     pub(super) fn record_alive(&mut self, since: Timestamp, cookie: Cookie) {
         let key = instance_key(cookie);
         let known = self.alive_at.seen_at(key);
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -1,4 +1,4 @@
-//! Packets of flows that are open: where they go, and what they tell of requests.
+//! Packets of open flows: where they are forwarded, and what they show about requests.
 
 use super::{Decision, DropReason, Forwarder, ResetReason};
 use crate::cookie::answers::{AnswerOutcome, AnswerSample, ClassifiedSample};
@@ -10,12 +10,13 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Data that comes again sooner is a copy of the network's: clients wait 200 ms for an
-/// acknowledgement.
+/// Data that is seen again sooner is a duplicate made by the network: clients wait 200 ms for an
+/// acknowledgement before they retransmit.
 pub(super) const MINIMUM_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a request that got an error counts as load, in packets: an instance that fails at once looks idle,
-/// and must not be preferred for it. One without an answer may have lost a packet, and counts nothing.
+/// Load that a failed request counts for, in packets. An instance that fails requests at once looks
+/// idle and must not be preferred for it. Requests without an answer count nothing, as a packet may
+/// have been lost.
 const FAILED_REQUEST_WEIGHT: f32 = 16.0;
 
 impl Forwarder {
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Notes that a flow goes on, if this packet shows it. The instance has sent something since the flow's
-    /// last packet; when, isn't known: a client that rests tells what it got last with its next request.
+    /// Records that an instance is alive if this packet acknowledges new data of its flow. The
+    /// instance has sent that data since the flow's last packet. The exact time is unknown: an idle
+    /// client acknowledges the last data only with its next request.
     fn record_flow_progress(&mut self, packet: &FlowPacket, cookie: Cookie) {
         let flow_hash = packet.flow.hash();
         let known = self.flows.get(flow_hash);
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Notes how long a flow took to open.
+    /// Records how long a flow took to open.
     fn record_opened(
         &mut self,
         now: Timestamp,
@@ -84,9 +86,9 @@
         }
     }
 
-    /// Remembers the flow, unless this packet ends it, and sees what became of its requests. `is_opened` tells
-    /// whether this is its first packet after the opening; of another one a request is news only if the flow
-    /// has moved here from another node.
+    /// Records the flow, unless this packet ends it, and updates the state of its requests.
+    /// `is_opened` is true for the first packet after the opening. A request on another flow that
+    /// is unknown here shows that the flow has moved here from another node.
     fn record_flow(
         &mut self,
         now: Timestamp,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// What became of a request, for the choice between zones.
+    /// Records the outcome of a request for the choice between zones.
     pub fn record_sample(
         &mut self,
         now: Timestamp,
@@ -138,9 +140,9 @@
         }
     }
 
-    /// Whether a packet repeats data to an instance that can't be reached and shows no life. That the
-    /// client has to repeat it is the flow's own word that it doesn't go on: an instance that only
-    /// takes no new connections still answers on its flows.
+    /// Returns whether a packet retransmits data to an instance that is unreachable and shows no
+    /// activity. The retransmission shows that this very flow is stuck: an instance that only
+    /// accepts no new connections still answers on its open flows.
     fn is_unanswered_retransmission(
         &mut self,
         now: Timestamp,
@@ -163,8 +165,8 @@
         is_retransmission && self.is_unreachable(cookie) && !self.is_alive(now, cookie)
     }
 
-    /// Whether a packet has_data something of an instance that has ended. Packets without data, and those
-    /// that close their flows, lose nothing.
+    /// Returns whether a packet carries a request to an instance that has ended. Packets without
+    /// data, and those that close their flows, lose nothing.
     fn is_request_to_ended_instance(
         &self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -1,4 +1,4 @@
-//! Where new flows go.
+//! Placement of new flows.
 
 use super::{Decision, DropReason, Forwarder, RECENTLY_GONE_PERIOD, RefusalReason};
 use crate::cookie::cold::ColdShare;
@@ -10,11 +10,11 @@
 use crate::cookie::table::{Candidate, ForwardingTable, RouteService};
 use crate::time::Timestamp;
 
-/// One of so many flows that may be repeated goes to an outlier as if it were none, to try it. With a third of
-/// a service set aside that is an eighth of what they had.
+/// One in this many flows whose requests may be retried treats outliers as healthy instances, to
+/// test them. With a third of a service ejected they get an eighth of their normal load.
 const OUTLIER_TRIAL_INTERVAL: u64 = 32;
 
-/// Keeps the choice of flows that try outliers independent from that of the instance.
+/// Makes the choice of these flows independent of the choice of the instance.
 const OUTLIER_TRIAL_SALT: u64 = 0x6f75_746c_6965_7201;
 
 impl Forwarder {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The instance for copy `attempt` of an opening, and what speaks for it; none if no candidate may
-    /// get the flow.
+    /// Returns the instance for copy `attempt` of an opening, and its suitability; none if no
+    /// candidate may get the flow.
     fn choose<'table>(
         &mut self,
         now: Timestamp,
@@ -78,7 +78,7 @@
         tries_outliers: bool,
     ) -> Option<(&'table Candidate, Suitability)> {
         let candidates = table.candidates(route_service);
-        // All instances of a service bear the same while they are cold.
+        // All cold instances of a service have the same limit.
         let cold_flows = candidates.first()?.cold_flows_per_minute;
         let share = self.cold.share(cold_flows);
         let mut capacity = ZoneCapacity::default();
@@ -94,7 +94,7 @@
         };
         let ranks = self.zones.ranks(route_service.service, flow_hash);
         let load = |candidate: &Candidate| {
-            // A dead instance is idle too, but not therefore to be preferred.
+            // A dead instance has no load either, but must not be preferred for that.
             if self.monitor.is_doubted(candidate.cookie) {
                 f32::INFINITY
             } else {
@@ -109,8 +109,8 @@
         Some((chosen, suitability))
     }
 
-    /// How willing a candidate is to take a flow at `now`; none if it must not get one. `share` is this
-    /// node's part in what cold instances get.
+    /// Returns the suitability of a candidate at `now`; none if it must not get a flow. `share` is
+    /// this node's share of the flows to cold instances.
     fn suitability(
         &self,
         now: Timestamp,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether a flow tries an outlier as if it were none.
+/// Returns whether a flow treats outliers as healthy instances.
 const fn tries_outliers(flow_hash: u64) -> bool {
     mix(flow_hash ^ OUTLIER_TRIAL_SALT).is_multiple_of(OUTLIER_TRIAL_INTERVAL)
 }
--- a/crates/bellyoke-core/src/cookie/instance.rs
+++ b/crates/bellyoke-core/src/cookie/instance.rs
@@ -6,8 +6,9 @@
 use std::net::SocketAddrV4;
 use std::num::NonZeroU32;
 
-/// One backend process. Another one at the same address is another instance, so that it inherits no flow. A
-/// restarted one may keep its id: [`InstanceRecord::started`] tells its runs apart.
+/// Identifies one backend process. Another process at the same address is another instance, so it
+/// inherits no flow. A restarted process may keep its id; [`InstanceRecord::started`] distinguishes
+/// its runs.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
@@ -25,8 +26,8 @@
 pub struct Cookie(NonZeroU32);
 
 impl Cookie {
-    /// The cookie of an instance. Ids of up to 32 bits are their own cookies, so that two of
-    /// them never share one; longer ids are folded and may collide.
+    /// Returns the cookie of an instance. Ids of up to 32 bits are their own cookies and so never
+    /// collide; longer ids are folded and may collide.
     #[must_use]
     pub fn of(id: InstanceId) -> Self {
         const SUBSTITUTE_FOR_ZERO: NonZeroU32 = NonZeroU32::MAX;
@@ -35,13 +36,13 @@
         Self(NonZeroU32::new(folded).unwrap_or(SUBSTITUTE_FOR_ZERO))
     }
 
-    /// The cookie that `bits` of a packet stand for; none for zero.
+    /// Returns the cookie for the `bits` of a packet; none for zero.
     #[must_use]
     pub fn from_bits(bits: u32) -> Option<Self> {
         NonZeroU32::new(bits).map(Self)
     }
 
-    /// The bits for a packet.
+    /// Returns the bits to put into a packet.
     #[must_use]
     pub const fn bits(self) -> u32 {
         self.0.get()
@@ -51,50 +52,50 @@
 /// Whether an instance takes new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It does.
+    /// Takes new flows.
     Ready,
-    /// It keeps its flows and takes no new one.
+    /// Keeps its open flows and takes no new ones.
     Draining,
 }
 
-/// What the store tells of one instance.
+/// Record of an instance in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// Which instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// When the record last changed.
+    /// Revision at which the record last changed.
     pub revision: Revision,
-    /// Name of the service that it belongs to for its whole life.
+    /// Name of the service that the instance belongs to; it never changes.
     pub service: String,
-    /// Where it takes packets.
+    /// Address that packets for it are sent to.
     pub address: SocketAddrV4,
-    /// Name of its zone.
+    /// Name of the zone that it is in.
     pub zone: String,
     /// Whether it takes new flows.
     pub state: InstanceState,
-    /// How much longer it works slowly after its start, milliseconds, when the record was read.
+    /// Remaining time of its slow start when the record was read, milliseconds.
     pub cold_remaining_milliseconds: u32,
-    /// When the record was created, as the store counts; all nodes read the same. A record that lapsed
-    /// and came back was created again. None if the store doesn't tell.
+    /// Revision at which the record was created; the same on all nodes. A record that lapsed and
+    /// was written again was created again. None if the store doesn't provide it.
     pub created: Option<Revision>,
-    /// Requests that it works on at once; zero if that isn't told.
+    /// Requests that it processes concurrently; zero if unknown.
     pub slots: u32,
-    /// When this run of the instance started, milliseconds of the Unix epoch by its own clock; none if it doesn't
-    /// tell. A later run holds nothing of an earlier one.
+    /// When this run of the instance started, milliseconds of the Unix epoch by its own clock; none
+    /// if unknown. A later run has no state of an earlier one.
     pub started: Option<u64>,
 }
 
-/// One change of an instance's record.
+/// A change of an instance's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InstanceEvent {
-    /// The record is new or has changed.
+    /// The record was created or has changed.
     Put(InstanceRecord),
-    /// The record is gone. That is no proof that the instance has ended.
+    /// The record was deleted. That doesn't prove that the instance has ended.
     Gone(InstanceId),
 }
 
 impl InstanceEvent {
-    /// The instance that changed.
+    /// Returns the id of the instance whose record changed.
     #[must_use]
     pub const fn id(&self) -> InstanceId {
         match self {
--- a/crates/bellyoke-core/src/cookie/last_seen.rs
+++ b/crates/bellyoke-core/src/cookie/last_seen.rs
@@ -1,16 +1,16 @@
-//! When things were seen, in a bounded table.
+//! Bounded table of the times at which keys were last recorded.
 
 use crate::time::Timestamp;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
-    /// Zero for none.
+    /// Zero if the entry is empty.
     key: u64,
     at: Timestamp,
 }
 
-/// When things were seen, by uniform keys other than zero. What takes another one's place costs
-/// only the memory of that one. 16 bytes a place, none until something is noted.
+/// Times by uniformly distributed keys other than zero. An entry that collides with another one
+/// overwrites it, so only that time is lost. 16 bytes an entry, allocated with the first record.
 #[derive(Debug)]
 pub(crate) struct LastSeenTable {
     entries: Vec<Entry>,
@@ -44,8 +44,8 @@
     }
 }
 
-/// The key of data in a flow. Flow hashes are uniform; the product spreads the sequence numbers of
-/// one flow.
+/// Returns the key of data in a flow. Flow hashes are uniform; the product spreads the sequence
+/// numbers of one flow.
 pub(crate) fn data_key(flow_hash: u64, sequence: u32) -> u64 {
     const SEQUENCE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     (flow_hash ^ u64::from(sequence).wrapping_mul(SEQUENCE_MULTIPLIER)) | 1
--- a/crates/bellyoke-core/src/cookie/load.rs
+++ b/crates/bellyoke-core/src/cookie/load.rs
@@ -1,23 +1,23 @@
-//! How busy each instance is with flows that this node forwards.
+//! Estimates the load of each instance by the flows that this node forwards.
 //!
-//! The node holds no flows, so it counts packets: an exponentially decaying count for each
-//! cookie, in a bounded table. New flows go to the least busy of a few candidates (the power of
-//! two choices, Mitzenmacher 2001). A node sees only its own share of the traffic; where each spreads
-//! its share evenly, the sum is even.
+//! The node keeps no state of flows for this and counts packets instead: an exponentially decaying
+//! count for each cookie, in a bounded table. New flows go to the least loaded of a few candidates
+//! (the power of two choices, Mitzenmacher 2001). A node sees only its own share of the traffic; if
+//! each node spreads its share evenly, the sum is even.
 
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
 
-/// Cookies told apart; others share a place. A power of two, 16 bytes each.
+/// Entries of the table, 16 bytes each; cookies beyond that share entries. A power of two.
 const ENTRIES: usize = 1_024;
 
 /// Time in which a count halves, seconds. Long flows send a few packets a second.
 const HALF_LIFE_SECONDS: f32 = 2.0;
 
-/// What an opening counts, in packets: about what a short flow sends.
+/// Load that an opening counts for, in packets: about what a short flow sends.
 pub const OPENING_WEIGHT: f32 = 4.0;
 
-/// What a later packet counts.
+/// Load that a later packet counts for.
 pub const PACKET_WEIGHT: f32 = 1.0;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -44,7 +44,7 @@
 /// let mut meter = LoadMeter::default();
 /// meter.count(Timestamp::from_micros(0), cookie, PACKET_WEIGHT);
 /// let later = Timestamp::from_micros(2_000_000);
-/// assert_eq!(meter.load(later, cookie), 0.5, "half of it after two seconds");
+/// assert_eq!(meter.load(later, cookie), 0.5, "the half-life is two seconds");
 /// ```
 #[derive(Debug)]
 pub struct LoadMeter {
@@ -60,26 +60,26 @@
 }
 
 impl LoadMeter {
-    /// A packet for an instance was forwarded.
+    /// Adds a packet that was forwarded to an instance.
     pub fn count(&mut self, now: Timestamp, cookie: Cookie, weight: f32) {
         let entry = &mut self.entries[index_of(cookie)];
         entry.value = entry.value_at(now) + weight;
         entry.counted_at = now;
     }
 
-    /// An instance has started again, with nothing to do.
+    /// Resets the load of an instance that has restarted.
     pub fn forget(&mut self, cookie: Cookie) {
         self.entries[index_of(cookie)] = DecayingCount::default();
     }
 
-    /// How busy an instance is: packets of the last few seconds, the latest most.
+    /// Returns the load of an instance: packets of the last few seconds, recent ones weighted most.
     #[must_use]
     pub fn load(&self, now: Timestamp, cookie: Cookie) -> f32 {
         self.entries[index_of(cookie)].value_at(now)
     }
 }
 
-/// Cookies that are consecutive numbers get places of their own.
+/// Maps cookies that are consecutive numbers to different entries.
 fn index_of(cookie: Cookie) -> usize {
     let bits = cookie.bits();
     let folded = bits ^ (bits >> 10) ^ (bits >> 20);
--- a/crates/bellyoke-core/src/cookie/packet.rs
+++ b/crates/bellyoke-core/src/cookie/packet.rs
@@ -1,23 +1,23 @@
-//! What forwarding by cookie needs to know of a packet.
+//! Packets as forwarding by cookie sees them.
 
 use crate::cookie::instance::Cookie;
 use std::net::SocketAddrV4;
 use twox_hash::XxHash3_64;
 
-/// Keeps flow hashes apart from others over the same bytes.
+/// Makes flow hashes independent of other hashes over the same bytes.
 const FLOW_SEED: u64 = 0x636f_6f6b_6965_0001;
 
-/// The four-tuple of a flow, from client to service.
+/// Addresses and ports of a flow, from client to service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowTuple {
-    /// The client's end.
+    /// Address and port of the client.
     pub client: SocketAddrV4,
-    /// The service's end.
+    /// Address and port of the service.
     pub service: SocketAddrV4,
 }
 
 impl FlowTuple {
-    /// A hash that all nodes agree on.
+    /// Returns a hash that is the same on all nodes.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let mut bytes = [0_u8; 12];
@@ -29,92 +29,92 @@
     }
 }
 
-/// What a packet does to its flow.
+/// Role of a packet in its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketRole {
-    /// It asks for a new flow. `attempt` counts the copies sent before it.
+    /// Requests a new flow (SYN). `attempt` counts the copies sent before it.
     Opening {
-        /// Zero for the first.
+        /// Zero for the first copy.
         attempt: u32,
     },
-    /// It belongs to a flow that was asked for before.
+    /// Belongs to a flow that was requested before.
     Later,
-    /// Its sender has given the flow up: no answer to it is wanted.
+    /// Aborts the flow (RST). Its sender expects no answer.
     Abort,
 }
 
-/// One client packet.
+/// A packet of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowPacket {
-    /// Its flow.
+    /// Flow that the packet belongs to.
     pub flow: FlowTuple,
-    /// What it does.
+    /// Role in the flow.
     pub role: PacketRole,
-    /// The cookie that it carries.
+    /// Cookie that the packet carries.
     pub cookie: Option<Cookie>,
-    /// Sequence number of its first byte of data; none without data.
+    /// Sequence number of the first byte of data; none without data.
     pub data_sequence: Option<u32>,
     /// Bytes of data.
     pub data_length: u16,
-    /// Whether its sender sends nothing after it.
+    /// Whether its sender sends no data after it (FIN).
     pub closes: bool,
-    /// What it acknowledges of the instance's data. Means nothing in an opening.
+    /// Acknowledgement number for the instance's data. Undefined in an opening.
     pub acknowledged: u32,
 }
 
-/// Why bytes are no packet.
+/// Error of parsing a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// Fewer bytes than a head has.
-    #[error("{length} bytes are less than a packet's head")]
+    /// Fewer bytes than a header has.
+    #[error("{length} bytes are less than a packet header")]
     Truncated {
         /// Number of bytes.
         length: usize,
     },
-    /// The head tells another length than came.
+    /// The header declares another length than the data has.
     #[error("the header declares {declared} bytes of data, got {actual}")]
     Length {
-        /// Bytes of data that the head tells.
+        /// Bytes of data that the header declares.
         declared: usize,
-        /// Bytes of data that came.
+        /// Bytes of data in the packet.
         actual: usize,
     },
-    /// Not from a client: a balancer's own reset or an answer of a backend.
-    #[error("not a client's packet")]
+    /// The packet is not from a client, but a balancer's own reset or a backend's answer.
+    #[error("packet is not from a client")]
     NotFromClient,
 }
 
-/// Reads and writes packets of one format. Implementations translate and decide nothing.
+/// Reads and writes packets of one format. Implementations only translate and make no decisions.
 pub trait PacketCodec: Clone + Send + 'static {
-    /// Bytes in front of a packet on its way to a backend.
+    /// Bytes of the encapsulation in front of a packet that is sent to a backend.
     const ENCAPSULATION_LENGTH: usize;
 
-    /// Reads a client's packet.
+    /// Parses a client's packet.
     ///
     /// # Errors
     ///
-    /// [`PacketError`] if the bytes are no client packet.
+    /// Returns [`PacketError`] if the bytes are no client packet.
     fn parse(&self, packet: &[u8]) -> Result<FlowPacket, PacketError>;
 
     /// Writes the encapsulation into the first [`Self::ENCAPSULATION_LENGTH`] bytes of
     /// `datagram`, and the cookie into the packet that follows them.
     fn encapsulate(&self, datagram: &mut [u8], destination: &Destination);
 
-    /// The reset that answers `packet`, a client's packet that [`Self::parse`] has read.
+    /// Returns the reset that answers `packet`, a client's packet that [`Self::parse`] has parsed.
     fn reset(&self, packet: &[u8]) -> Vec<u8>;
 
-    /// The reset that ends an open flow from which nothing has just come. `acknowledged` is what its client
-    /// acknowledged last.
+    /// Returns the reset of an open flow without a packet to answer. `acknowledged` is the last
+    /// acknowledgement number of its client.
     fn reset_flow(&self, flow: &FlowTuple, acknowledged: u32) -> Vec<u8>;
 }
 
-/// The instance that a packet goes to.
+/// Destination of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination {
-    /// Which instance; it ignores packets meant for another.
+    /// Id of the instance. An instance ignores packets that are addressed to another.
     pub instance: crate::cookie::instance::InstanceId,
-    /// Where it takes packets.
+    /// Address that packets for it are sent to.
     pub address: SocketAddrV4,
-    /// What the packet carries from here on.
+    /// Cookie that the forwarded packet carries.
     pub cookie: Cookie,
 }
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -1,44 +1,47 @@
-//! The choice of an instance for a new flow.
+//! Chooses an instance for a new flow.
 //!
 //! The flow's hash picks the service by weight, and ranks the instances by rendezvous hashing. An
-//! opening goes to the least busy of the first few; its copies go to the next two, so that they
-//! reach another one if the first choice is dead, whatever the loads are by then. Among instances that are
-//! alike suitable those of one zone may go first ([`crate::cookie::locality`]); the first copy then reaches
-//! another zone.
+//! opening goes to the least loaded of the first few. Its copies go to the next two, and so reach
+//! another instance if the first choice is dead, even if loads have changed in the meantime. Among
+//! instances of equal suitability, those in one zone may be preferred
+//! ([`crate::cookie::locality`]); the first copy then goes to another zone.
 
 use crate::cookie::instance::InstanceId;
 use crate::cookie::locality::ZoneRank;
 use crate::cookie::table::{Candidate, RouteService};
 
-/// Copies of an opening that are told apart; later ones go where the last goes.
+/// Copies of an opening that get instances of their own; later copies go where the last of these
+/// goes.
 const COPIES: usize = 2;
 
-/// Most instances of which the least busy is chosen. Fewer leave long flows at those that were
-/// there when others went; with all, an instance that has just come would get every new flow.
+/// Most instances among which the least loaded is chosen. With fewer, long flows stay concentrated
+/// on the instances that remained while others were replaced. With all, an instance that has just
+/// started would get every new flow.
 pub const LEAST_LOADED_CANDIDATES: usize = 5;
 
-/// Ranks that are told apart: the choices of an opening, and one for each copy.
+/// Ranks that are computed: the choices of an opening, and one for each copy.
 const RANKS: usize = LEAST_LOADED_CANDIDATES + COPIES;
 
-/// How willing an instance is to take new flows. The order is that of preference.
+/// How suitable an instance is for new flows, in ascending order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suitability {
-    /// Its record went moments ago: better than refusing while nothing else is there.
+    /// Its record was deleted moments ago. Used only while there is no other instance, instead of
+    /// refusing the flow.
     RecentlyGone,
-    /// Openings sent to it don't complete, or it can't be reached.
+    /// Openings sent to it don't complete, or it is unreachable.
     Suspected,
     /// Its answers fail or are late, unlike those of the service's other instances.
     Outlier,
-    /// It has just started and is slow.
+    /// It has just started and is still slow (slow start).
     Cold,
-    /// Nothing speaks against it.
+    /// It has no known problem.
     Full,
 }
 
-/// The part that the flow belongs to; none if all weights are zero.
+/// Returns the service that the flow belongs to; none if all weights are zero.
 #[must_use]
 pub fn choose_service(services: &[RouteService], flow_hash: u64) -> Option<&RouteService> {
-    /// Keeps the choice of the service independent from that of the instance.
+    /// Makes the choice of the service independent of the choice of the instance.
     const SERVICE_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
     let total: u64 = services
         .iter()
@@ -58,10 +61,11 @@
     None
 }
 
-/// The candidate for copy `attempt` of an opening, if all zones are alike; none without candidates.
+/// Returns the candidate for copy `attempt` of an opening, without a preference between zones; none
+/// without candidates.
 ///
-/// `suitability` says how willing each candidate is; those that it refuses are left out. `load`
-/// says how busy one is.
+/// `suitability` returns the suitability of each candidate; those for which it returns none are
+/// left out. `load` returns the load of one.
 pub fn choose_instance(
     candidates: &[Candidate],
     flow_hash: u64,
@@ -73,7 +77,8 @@
     choose_by_zone(candidates, flow_hash, attempt, suitability, alike, load)
 }
 
-/// The same, with those of alike suitability first that stand in the zone that `zone_rank` prefers.
+/// Returns the candidate for copy `attempt` of an opening. Candidates of equal suitability are
+/// ordered by `zone_rank`.
 pub fn choose_by_zone(
     candidates: &[Candidate],
     flow_hash: u64,
@@ -110,8 +115,9 @@
     chosen.map(|ranked| ranked.candidate)
 }
 
-/// Where copy `copy` of an opening goes that had so many choices. If the next instance stands in the zone that
-/// goes first, the first copy goes to another zone and the second one to that instance.
+/// Returns the target of copy `copy` of an opening that had `choices` choices. If the next instance
+/// is in the preferred zone, the first copy goes to another zone and the second one to that
+/// instance.
 fn copy_target<'table>(
     ranked: &[Option<Ranked<'table>>; RANKS],
     choices: usize,
@@ -126,8 +132,8 @@
     Some(if copy == 1 { other_zone } else { next })
 }
 
-/// How many of the first are alike: an opening goes to the least busy of them. Enough are left for its
-/// copies, unless there are too few.
+/// Returns how many of the first ranks are equivalent: an opening goes to the least loaded of them.
+/// Leaves enough instances for the copies, unless there are too few.
 fn choices(ranked: &[Option<Ranked<'_>>; RANKS], best: &Ranked<'_>) -> usize {
     let suitable = ranked.iter().flatten();
     let suitable = suitable.filter(|other| other.suitability == best.suitability);
@@ -141,12 +147,12 @@
         .clamp(1, LEAST_LOADED_CANDIDATES)
 }
 
-/// Later copies go where the last goes.
+/// Later copies go where the last one goes.
 fn copies_before(attempt: u32) -> usize {
     usize::try_from(attempt).unwrap_or(COPIES).min(COPIES)
 }
 
-/// The least busy of several; of equals the first.
+/// Returns the least loaded of several; the first of equals.
 fn least_busy<'table>(
     choices: &[Option<Ranked<'table>>],
     load: impl Fn(&Candidate) -> f32,
@@ -170,7 +176,7 @@
     }
 }
 
-/// Keeps the best candidates in order, the best first.
+/// Inserts a candidate into the best ones, in descending order.
 fn insert<'table>(ranked: &mut [Option<Ranked<'table>>; RANKS], new: Ranked<'table>) {
     let mut carried = new;
     for place in ranked {
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -1,4 +1,4 @@
-//! The immutable table by which traffic threads forward.
+//! The immutable table that traffic threads forward by.
 
 use crate::cookie::directory::{Directory, KnownInstance};
 use crate::cookie::instance::{Cookie, InstanceId, InstanceState};
@@ -15,26 +15,26 @@
 /// An instance that may take new flows of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// The cookie that names it.
+    /// Cookie that names the instance.
     pub cookie: Cookie,
-    /// Where it takes packets.
+    /// Address that packets for it are sent to.
     pub address: SocketAddrV4,
-    /// From when on it works at full speed.
+    /// When its slow start ends.
     pub warm_at: Timestamp,
-    /// When its record went, if it has.
+    /// When its record was deleted, if it was.
     pub gone_at: Option<Timestamp>,
-    /// Flows that it bears in a minute while it is cold; zero if that isn't told.
+    /// Flows that it can take in a minute while it is cold; zero if unknown.
     pub cold_flows_per_minute: u32,
-    /// Requests that it works on at once; zero if that isn't told.
+    /// Requests that it processes concurrently; zero if unknown.
     pub slots: u32,
     /// Its zone.
     pub zone: ZoneNumber,
 }
 
 impl Candidate {
-    /// Where a packet for this instance goes.
+    /// Returns the destination of packets for this instance.
     #[must_use]
     pub const fn destination(&self) -> Destination {
         Destination {
@@ -45,33 +45,34 @@
     }
 }
 
-/// A service, numbered within one table.
+/// Number of a service within one table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceNumber(pub u32);
 
-/// A zone, numbered within one table.
+/// Number of a zone within one table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneNumber(pub u16);
 
-/// A service's part in a route.
+/// A service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteService {
-    /// Weight among the route's parts.
+    /// Weight among the route's services.
     pub weight: u32,
     /// The service.
     pub service: ServiceNumber,
 }
 
-/// Where the new flows to an address go, and what their requests are like.
+/// Services that get the new flows to an address, and the policy for their requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRoute {
-    /// The services and their weights.
+    /// Services and their weights.
     pub services: Vec<RouteService>,
-    /// What the requests are like.
+    /// Policy for the requests.
     pub request_policy: RequestPolicy,
 }
 
-/// What a node's traffic threads forward by: one version of the routes and of the instances.
+/// The forwarding state of a node's traffic threads: one version of the routes and of the
+/// instances.
 #[derive(Debug, Default)]
 pub struct ForwardingTable {
     /// Sorted by address.
@@ -80,25 +81,26 @@
     candidates: Vec<Vec<Candidate>>,
     /// Sorted by cookie.
     destinations: Vec<(Cookie, Destination)>,
-    /// By service number, for each service that a route names.
+    /// Names of the services that routes name, by service number.
     services: Vec<String>,
-    /// By zone number, for each zone that an instance stands in.
+    /// Names of the zones that instances are in, by zone number.
     zones: Vec<String>,
-    /// The services of the instances that belong to one of them, and their zones, sorted by cookie.
+    /// Services and zones of the instances whose services routes name, sorted by cookie.
     service_of: Vec<(Cookie, ServiceNumber, ZoneNumber)>,
     /// Cookies of instances whose address another one has taken over, ascending.
     superseded: Vec<Cookie>,
-    /// Instances of which an earlier run was known, with the start of this one, sorted by cookie.
+    /// Instances that have restarted, with the start of the current run, sorted by cookie.
     restarted: Vec<(Cookie, u64)>,
     configuration_version: u64,
-    /// Whether lists of instances and of drained zones are known, be they empty.
+    /// Whether lists of instances and of drained zones were received, even if they are empty.
     has_lists: bool,
     configuration_revision: Revision,
     directory_revision: Revision,
 }
 
 impl ForwardingTable {
-    /// The table for a configuration and the instances known at the same time.
+    /// Creates the table for a configuration, the instances and the drained zones that are known at
+    /// the same time.
     #[must_use]
     pub fn new(
         configuration: Option<&Configuration>,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The route of an address; none without such a route.
+    /// Returns the route of an address; none without such a route.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&TableRoute> {
         let found = self
@@ -152,25 +154,26 @@
         found.ok().map(|index| &self.routes[index].1)
     }
 
-    /// The instances that may take new flows of a part.
+    /// Returns the instances that may take new flows of a service.
     #[must_use]
     pub fn candidates(&self, service: &RouteService) -> &[Candidate] {
         usize::try_from(service.service.0).map_or(&[], |number| &self.candidates[number])
     }
 
-    /// The instances that may take new flows, service by service.
+    /// Returns the instances that may take new flows, service by service.
     pub fn candidates_by_service(&self) -> impl Iterator<Item = &[Candidate]> {
         self.candidates.iter().map(Vec::as_slice)
     }
 
-    /// The service of an instance; none if no route names it, or the instance isn't remembered.
+    /// Returns the service of an instance; none if no route names the service, or the instance is
+    /// unknown.
     #[must_use]
     pub fn service_of(&self, cookie: Cookie) -> Option<ServiceNumber> {
         self.location_of(cookie).map(|(service, _)| service)
     }
 
-    /// The service and the zone of an instance; none if no route names the service, or the instance isn't
-    /// remembered.
+    /// Returns the service and the zone of an instance; none if no route names the service, or the
+    /// instance is unknown.
     #[must_use]
     pub fn location_of(&self, cookie: Cookie) -> Option<(ServiceNumber, ZoneNumber)> {
         let found = self
@@ -180,19 +183,19 @@
         Some((service, zone))
     }
 
-    /// Names of the services that routes name, by their numbers.
+    /// Returns the names of the services that routes name, by number.
     #[must_use]
     pub fn services(&self) -> &[String] {
         &self.services
     }
 
-    /// Names of the zones that instances stand in, by their numbers.
+    /// Returns the names of the zones that instances are in, by number.
     #[must_use]
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// Where packets with this cookie go; none if no such instance is remembered.
+    /// Returns the destination of packets with this cookie; none if there is no such instance.
     #[must_use]
     pub fn destination(&self, cookie: Cookie) -> Option<&Destination> {
         let found = self
@@ -201,57 +204,59 @@
         found.ok().map(|index| &self.destinations[index].1)
     }
 
-    /// Whether another instance has taken over the address of the one with this cookie, so that it
-    /// has ended.
+    /// Returns whether another instance has taken over the address of the one with this cookie,
+    /// which therefore has ended.
     #[must_use]
     pub fn is_superseded(&self, cookie: Cookie) -> bool {
         self.superseded.binary_search(&cookie).is_ok()
     }
 
-    /// Cookies of the instances whose addresses others have taken over, ascending.
+    /// Returns the cookies of the instances whose addresses others have taken over, ascending.
     #[must_use]
     pub fn superseded(&self) -> &[Cookie] {
         &self.superseded
     }
 
-    /// Instances of which an earlier run was known, with the start of this one, ascending.
+    /// Returns instances that have restarted, with the start of the current run, ascending.
     #[must_use]
     pub fn restarted(&self) -> &[(Cookie, u64)] {
         &self.restarted
     }
 
-    /// Cookies of all instances remembered, ascending.
+    /// Returns the cookies of all known instances, ascending.
     pub fn cookies(&self) -> impl Iterator<Item = Cookie> {
         self.destinations.iter().map(|(cookie, _)| *cookie)
     }
 
-    /// Whether routes, instances and drained zones are known. Until then nothing may be refused.
+    /// Returns whether routes, instances and drained zones were received. Until then no flow may be
+    /// refused.
     #[must_use]
     pub const fn is_initialized(&self) -> bool {
         self.configuration_version != 0 && self.has_lists
     }
 
-    /// The operators' number for the configuration.
+    /// Returns the version number that operators gave to the configuration.
     #[must_use]
     pub const fn configuration_version(&self) -> u64 {
         self.configuration_version
     }
 
-    /// When the configuration entered the store.
+    /// Returns the revision at which the configuration was stored.
     #[must_use]
     pub const fn configuration_revision(&self) -> Revision {
         self.configuration_revision
     }
 
-    /// When the instances last changed.
+    /// Returns the revision at which the instances last changed.
     #[must_use]
     pub const fn directory_revision(&self) -> Revision {
         self.directory_revision
     }
 }
 
-/// Where each cookie leads. Of several instances with one cookie the first created keeps it, as all
-/// nodes tell alike, since its flows are the older; the others take no flow until it is forgotten.
+/// Returns the destination of each cookie. If several instances share a cookie, the first created
+/// keeps it, since its flows are older; all nodes agree on the order of creation. The others take
+/// no flow until the first is forgotten.
 fn destinations(directory: &Directory) -> Vec<(Cookie, Destination)> {
     let mut known: Vec<&KnownInstance> = directory.instances().collect();
     known.sort_unstable_by_key(|known| {
@@ -272,7 +277,7 @@
     entries.collect()
 }
 
-/// Instances of which an earlier run was known, with the start of the last one.
+/// Returns instances that have restarted, with the start of the current run.
 fn restarted(directory: &Directory) -> Vec<(Cookie, u64)> {
     let restarted = directory.instances().filter(|known| known.restarted);
     let restarted = restarted.filter_map(|known| {
@@ -284,8 +289,8 @@
     restarted
 }
 
-/// From when on an instance works at full speed. One whose zone was restored after its record last
-/// changed may be cold though the record doesn't tell.
+/// Returns when an instance's slow start ends. An instance whose zone was restored after its record
+/// last changed may be cold although its record doesn't say so.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
     let restoration = zones.restoration(&known.record.zone);
     let restoration =
@@ -297,7 +302,7 @@
     known.warm_at.max(restoration.at.after(cold))
 }
 
-/// Names of all zones that instances stand in, in their order.
+/// Returns the sorted names of all zones that instances are in.
 fn zone_names(directory: &Directory) -> Vec<String> {
     let zones = directory.instances().map(|known| &known.record.zone);
     let zones: HashSet<&String> = zones.collect();
@@ -311,11 +316,11 @@
     ZoneNumber(u16::try_from(number.unwrap_or_default()).unwrap_or(u16::MAX))
 }
 
-/// Services that routes name, numbered as they come.
+/// Numbers the services that routes name, in order of appearance.
 #[derive(Default)]
 struct ServiceIndexes<'configuration> {
     indexes: HashMap<&'configuration str, ServiceNumber>,
-    /// What they bear, as far as the configuration tells.
+    /// Limits of services, as far as they are configured.
     limits: HashMap<&'configuration str, &'configuration ServiceLimits>,
 }
 
@@ -349,7 +354,7 @@
             .collect()
     }
 
-    /// The services and zones of all instances that a route's service has, by cookie.
+    /// Returns the services and zones of all instances whose service a route names, by cookie.
     fn of_instances(
         &self,
         directory: &Directory,
