--- a/crates/bellyoke-core/benches/cookie.rs
+++ b/crates/bellyoke-core/benches/cookie.rs
@@ -1,7 +1,7 @@
-//! What a packet costs when it is forwarded by its cookie.
+//! Cost of forwarding a packet by its cookie.
 //!
-//! `cargo bench -p bellyoke-core --bench cookie` prints nanoseconds a packet, medians over runs of a
-//! thousand packets, for openings and later packets, beside a plain way: a hash map of instances
+//! `cargo bench -p bellyoke-core --bench cookie` prints nanoseconds per packet, medians over runs
+//! of a thousand packets, for openings and later packets. The baseline is a hash map of instances
 //! behind a lock, and openings placed by sorting all candidates.
 
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder};
@@ -19,45 +19,45 @@
 use std::sync::RwLock;
 use std::time::{Duration, Instant};
 
-/// Instances in all, and services that they are spread over.
+/// Number of instances, and of services that they are spread over.
 const SIZES: [(u32, u32); 2] = [(300, 20), (5_700, 380)];
-/// Packets that are timed together.
+/// Packets in a run, which are timed together.
 const RUN: u32 = 1_000;
-/// Runs; their median counts.
+/// Number of runs, of which the median is printed.
 const RUNS: u32 = 300;
 
 fn main() {
-    println!("{:<44} {:>10} {:>10}", "ns a packet", "cookie", "plain");
+    println!("{:<44} {:>10} {:>10}", "ns a packet", "cookie", "baseline");
     for (instances, services) in SIZES {
         let table = table(instances, services);
-        let plain = Plain::new(instances, services);
+        let baseline = HashMapBaseline::new(instances, services);
         let mut forwarder = Forwarder::new(HealthSettings::default());
         let later_cost = median(|number| {
             let packet = later(number, instances, services);
             let decision = forwarder.decide(time(number), &table, &packet, false);
             assert!(matches!(black_box(decision), Decision::Follow { .. }));
         });
-        let plain_later = median(|number| {
+        let baseline_later_cost = median(|number| {
             let packet = later(number, instances, services);
-            assert!(black_box(plain.follow(&packet)).is_some());
+            assert!(black_box(baseline.follow(&packet)).is_some());
         });
-        print_row("later packet", instances, later_cost, plain_later);
+        print_row("later packet", instances, later_cost, baseline_later_cost);
         let opening_cost = median(|number| {
             let packet = opening(number, services);
             let decision = forwarder.decide(time(number), &table, &packet, false);
             assert!(matches!(black_box(decision), Decision::Place { .. }));
         });
-        let plain_opened = median(|number| {
+        let baseline_opening_cost = median(|number| {
             let packet = opening(number, services);
-            assert!(black_box(plain.place(&packet)).is_some());
+            assert!(black_box(baseline.place(&packet)).is_some());
         });
-        print_row("opening", instances, opening_cost, plain_opened);
+        print_row("opening", instances, opening_cost, baseline_opening_cost);
     }
 }
 
-fn print_row(what: &str, instances: u32, cookie: f64, plain: f64) {
-    let label = format!("{what}, {instances} instances");
-    println!("{label:<44} {cookie:>10.1} {plain:>10.1}");
+fn print_row(operation: &str, instances: u32, cookie: f64, baseline: f64) {
+    let label = format!("{operation}, {instances} instances");
+    println!("{label:<44} {cookie:>10.1} {baseline:>10.1}");
 }
 
 fn median(mut packet: impl FnMut(u32)) -> f64 {
@@ -74,7 +74,7 @@
     runs[runs.len() / 2].as_secs_f64() * 1e9 / f64::from(RUN)
 }
 
-/// A millisecond a packet, so that openings under way expire as on a node.
+/// One millisecond per packet, so that openings under way expire as on a node.
 fn time(number: u32) -> Timestamp {
     Timestamp::from_micros(u64::from(number) * 1_000)
 }
@@ -158,13 +158,13 @@
     replica.table()
 }
 
-/// The plain way.
-struct Plain {
+/// Baseline: a hash map of instances behind a lock.
+struct HashMapBaseline {
     instances: RwLock<HashMap<u32, (u32, SocketAddrV4)>>,
     routes: HashMap<SocketAddrV4, u32>,
 }
 
-impl Plain {
+impl HashMapBaseline {
     fn new(instances: u32, services: u32) -> Self {
         let entry = |instance: u32| {
             let cookie = Cookie::of(instance_id(instance)).bits();
--- a/crates/bellyoke-core/examples/embed_cookie.rs
+++ b/crates/bellyoke-core/examples/embed_cookie.rs
@@ -1,5 +1,5 @@
-//! Embeds forwarding by cookie: a packet is placed, and later packets of its flow follow, whatever
-//! changes meanwhile. `cargo run -p bellyoke-core --example embed_cookie`
+//! Embeds forwarding by cookie: an opening is placed, and later packets of its flow follow it after
+//! all instances were replaced. `cargo run -p bellyoke-core --example embed_cookie`
 
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder};
 use bellyoke_core::cookie::health::HealthSettings;
@@ -32,7 +32,7 @@
 }
 
 fn main() {
-    // What the host has read from its store or from a peer.
+    // Routes and instances as the host has read them from its store or received them from a peer.
     let now = Timestamp::from_micros(1_000_000);
     let mut replica = Replica::new(Duration::from_secs(70));
     replica.adopt_configuration(Configuration {
@@ -51,7 +51,7 @@
     });
     replica.replace_instances(now, Revision::new(2), vec![instance(1), instance(2)]);
 
-    // A client asks for a flow: the host writes the cookie into the packet and sends it on.
+    // A client opens a flow: the host writes the cookie into the packet and forwards it.
     let mut forwarder = Forwarder::new(HealthSettings::default());
     let mut packet = FlowPacket {
         flow: FlowTuple {
@@ -71,7 +71,7 @@
         placed.instance, placed.address
     );
 
-    // All instances are replaced; the flow's packets bring the cookie back.
+    // All instances are replaced; the flow's packets still carry the cookie.
     replica.replace_instances(now, Revision::new(3), vec![instance(3)]);
     packet.role = PacketRole::Later;
     packet.cookie = Some(placed.cookie);
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -49,8 +49,15 @@
         }
         self.zones.adopt(table);
         self.zones.review_outcomes(now);
-        let tries = route.request_policy.kind.may_retry() && tries_outliers(flow_hash);
-        let chosen = self.choose(now, table, route_service, flow_hash, attempt, tries);
+        let tests_outliers = route.request_policy.kind.may_retry() && tests_outliers(flow_hash);
+        let chosen = self.choose(
+            now,
+            table,
+            route_service,
+            flow_hash,
+            attempt,
+            tests_outliers,
+        );
         let Some((chosen, suitability)) = chosen else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
@@ -75,7 +82,7 @@
         route_service: &RouteService,
         flow_hash: u64,
         attempt: u32,
-        tries_outliers: bool,
+        tests_outliers: bool,
     ) -> Option<(&'table Candidate, Suitability)> {
         let candidates = table.candidates(route_service);
         // All cold instances of a service have the same limit.
@@ -85,8 +92,8 @@
         let suitability = |candidate: &Candidate| {
             let suitability = self.suitability(now, candidate, share)?;
             capacity.add(candidate, suitability, self.zones.own());
-            let is_tried = tries_outliers && suitability == Suitability::Outlier;
-            Some(if is_tried {
+            let is_tested = tests_outliers && suitability == Suitability::Outlier;
+            Some(if is_tested {
                 Suitability::Full
             } else {
                 suitability
@@ -145,6 +152,6 @@
 }
 
 /// Returns whether a flow treats outliers as healthy instances.
-const fn tries_outliers(flow_hash: u64) -> bool {
+const fn tests_outliers(flow_hash: u64) -> bool {
     mix(flow_hash ^ OUTLIER_TRIAL_SALT).is_multiple_of(OUTLIER_TRIAL_INTERVAL)
 }
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -73,8 +73,15 @@
     suitability: impl FnMut(&Candidate) -> Option<Suitability>,
     load: impl Fn(&Candidate) -> f32,
 ) -> Option<&Candidate> {
-    let alike = |_: &Candidate| ZoneRank::Second;
-    choose_by_zone(candidates, flow_hash, attempt, suitability, alike, load)
+    let no_preference = |_: &Candidate| ZoneRank::Second;
+    choose_by_zone(
+        candidates,
+        flow_hash,
+        attempt,
+        suitability,
+        no_preference,
+        load,
+    )
 }
 
 /// Returns the candidate for copy `attempt` of an opening. Candidates of equal suitability are
@@ -100,14 +107,14 @@
             candidate,
         };
         let is_fallback = new.zone_rank == ZoneRank::Second;
-        if is_fallback && fallback.is_none_or(|held| new.exceeds(&held)) {
+        if is_fallback && fallback.is_none_or(|current| new.exceeds(&current)) {
             fallback = Some(new);
         }
         insert(&mut ranked, new);
     }
     let best = ranked[0]?;
     let choices = choices(&ranked, &best);
-    let other_zone = fallback.filter(|held| held.suitability == best.suitability);
+    let other_zone = fallback.filter(|current| current.suitability == best.suitability);
     let chosen = match copies_before(attempt) {
         0 => least_busy(&ranked[..choices], load),
         copy => copy_target(&ranked, choices, copy, other_zone),
@@ -185,7 +192,7 @@
                 *place = Some(carried);
                 return;
             }
-            Some(held) if carried.exceeds(held) => std::mem::swap(held, &mut carried),
+            Some(current) if carried.exceeds(current) => std::mem::swap(current, &mut carried),
             Some(_) => {}
         }
     }
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -108,20 +108,20 @@
         zones: &ZoneDrains,
     ) -> Self {
         let destinations = destinations(directory);
-        let ended = directory.superseded();
+        let superseded_ids = directory.superseded();
         let succeeded = directory.succeeded();
         let superseded = destinations
             .iter()
-            .filter(|(_, destination)| ended.contains(&destination.instance))
+            .filter(|(_, destination)| superseded_ids.contains(&destination.instance))
             .map(|(cookie, _)| *cookie)
             .collect();
         let mut services = ServiceIndexes::default();
-        let limits = configuration.map_or(&[][..], |held| &held.limits[..]);
+        let limits = configuration.map_or(&[][..], |configuration| &configuration.limits[..]);
         services.limits = limits
             .iter()
             .map(|limits| (&limits.service[..], limits))
             .collect();
-        let routes = configuration.map_or(&[][..], |held| &held.routes[..]);
+        let routes = configuration.map_or(&[][..], |configuration| &configuration.routes[..]);
         let mut routes: Vec<_> = routes.iter().map(|route| services.resolve(route)).collect();
         routes.sort_unstable_by_key(|(address, _)| *address);
         routes.dedup_by_key(|(address, _)| *address);
@@ -137,10 +137,10 @@
             destinations,
             superseded,
             restarted: restarted(directory),
-            configuration_version: configuration.map_or(0, |held| held.version),
+            configuration_version: configuration.map_or(0, |configuration| configuration.version),
             has_lists: directory.as_of().is_some() && zones.as_of().is_some(),
             configuration_revision: configuration
-                .map_or_else(Revision::default, |held| held.revision),
+                .map_or_else(Revision::default, |configuration| configuration.revision),
             directory_revision: directory.changed_at(),
         }
     }
@@ -380,14 +380,14 @@
         succeeded: &BTreeSet<InstanceId>,
     ) -> Vec<Vec<Candidate>> {
         let mut candidates = vec![Vec::new(); self.indexes.len()];
-        let no_cookie_twice = destinations.len() == directory.len();
-        let holds_cookie = |id: InstanceId| {
-            if no_cookie_twice {
+        let cookies_are_unique = destinations.len() == directory.len();
+        let owns_cookie = |id: InstanceId| {
+            if cookies_are_unique {
                 return true;
             }
             let cookie = Cookie::of(id);
-            let held = destinations.binary_search_by_key(&cookie, |(cookie, _)| *cookie);
-            held.is_ok_and(|index| destinations[index].1.instance == id)
+            let found = destinations.binary_search_by_key(&cookie, |(cookie, _)| *cookie);
+            found.is_ok_and(|index| destinations[index].1.instance == id)
         };
         for known in directory.instances() {
             let record = &known.record;
@@ -395,7 +395,7 @@
                 continue;
             };
             let is_drained = record.state != InstanceState::Ready || zones.is_drained(&record.zone);
-            let takes_flows = holds_cookie(record.id) && !succeeded.contains(&record.id);
+            let takes_flows = owns_cookie(record.id) && !succeeded.contains(&record.id);
             if is_drained || !takes_flows || known.doubted_until.is_some() {
                 continue;
             }
--- a/crates/bellyoke-core/tests/cookie/answers.rs
+++ b/crates/bellyoke-core/tests/cookie/answers.rs
@@ -1,4 +1,4 @@
-//! What became of requests, as far as their clients' packets tell.
+//! Outcomes of requests, inferred from their clients' packets.
 
 use crate::support::{SERVICE, at, configuration, later, node, of_service, record};
 use bellyoke_core::cookie::answers::{
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 /// Bytes of a request.
-const REQUEST: u16 = 200;
+const REQUEST_BYTES: u16 = 200;
 
-/// A node that watches answers, and the packets of its flows.
-struct Watcher {
+/// A node that monitors answers, with the packets of its flows.
+struct MonitoredNode {
     table: ForwardingTable,
     flows: FlowTable,
     monitor: AnswerMonitor,
@@ -23,7 +23,7 @@
     samples: Vec<ClassifiedSample>,
 }
 
-impl Watcher {
+impl MonitoredNode {
     fn new() -> Self {
         let mut replica = node(Vec::new());
         replica.replace_instances(
@@ -48,32 +48,32 @@
         self.samples.extend(sample);
     }
 
-    /// Lets time pass, with a review each 100 ms.
-    fn pass(&mut self, milliseconds: u64) {
+    /// Advances the time, with a review every 100 ms.
+    fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             self.now += 1;
             if self.now.is_multiple_of(100) {
-                let judged = self
+                let classified = self
                     .monitor
                     .review(at(self.now), &self.table, &mut self.flows);
-                self.samples.extend(judged);
+                self.samples.extend(classified);
             }
         }
     }
 
     /// A flow with one request, answered after `after` with packets of these lengths, 1 ms apart.
     fn request(&mut self, number: u32, after: u64, lengths: &[u32]) {
-        self.packet(&asks(number, 1, 500));
-        self.pass(after);
+        self.packet(&request_packet(number, 1, 500));
+        self.advance(after);
         let mut acknowledged = 500;
         for length in lengths {
             acknowledged += length;
-            self.packet(&acknowledges(number, acknowledged));
-            self.pass(1);
+            self.packet(&acknowledgement(number, acknowledged));
+            self.advance(1);
         }
         self.packet(&FlowPacket {
             closes: true,
-            ..acknowledges(number, acknowledged)
+            ..acknowledgement(number, acknowledged)
         });
     }
 
@@ -81,7 +81,7 @@
         std::mem::take(&mut self.samples)
     }
 
-    /// Flows answered after about 50 ms with about 4,000 bytes.
+    /// Flows that are answered after about 50 ms with about 4,000 bytes.
     fn learn(&mut self) {
         for number in 0..64 {
             let scatter = number % 16;
@@ -99,26 +99,26 @@
     Cookie::of(InstanceId(1))
 }
 
-fn acknowledges(number: u32, acknowledged: u32) -> FlowPacket {
+fn acknowledgement(number: u32, acknowledged: u32) -> FlowPacket {
     FlowPacket {
         acknowledged,
         ..later(number, cookie())
     }
 }
 
-fn asks(number: u32, sequence: u32, acknowledged: u32) -> FlowPacket {
+fn request_packet(number: u32, sequence: u32, acknowledged: u32) -> FlowPacket {
     FlowPacket {
         data_sequence: Some(sequence),
-        data_length: REQUEST,
-        ..acknowledges(number, acknowledged)
+        data_length: REQUEST_BYTES,
+        ..acknowledgement(number, acknowledged)
     }
 }
 
 #[test]
-fn an_answer_tells_its_time_and_length() {
-    let mut watcher = Watcher::new();
-    watcher.request(1, 40, &[1_200, 400]);
-    let samples = watcher.take();
+fn a_sample_has_the_time_and_length_of_the_answer() {
+    let mut monitored = MonitoredNode::new();
+    monitored.request(1, 40, &[1_200, 400]);
+    let samples = monitored.take();
     let after = Duration::from_millis(40);
     let expected = AnswerOutcome::Answered {
         after,
@@ -129,25 +129,25 @@
 }
 
 #[test]
-fn a_much_shorter_answer_than_usual_is_a_failure() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.request(900, 5, &[180]);
-    let samples = watcher.take();
+fn a_much_shorter_answer_than_normal_is_a_failure() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.request(900, 5, &[180]);
+    let samples = monitored.take();
     let after = Duration::from_millis(5);
     assert_eq!(samples[0].sample.outcome, AnswerOutcome::Short { after });
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
 }
 
 #[test]
-fn a_request_without_any_answer_is_told_once_it_is_overdue_and_once_only() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.packet(&asks(900, 1, 500));
-    watcher.pass(200);
-    assert_eq!(watcher.take(), []);
-    watcher.pass(400);
-    let samples = watcher.take();
+fn an_overdue_request_is_reported_exactly_once() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.packet(&request_packet(900, 1, 500));
+    monitored.advance(200);
+    assert_eq!(monitored.take(), []);
+    monitored.advance(400);
+    let samples = monitored.take();
     assert_eq!(samples.len(), 1);
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
     assert!(matches!(
@@ -155,33 +155,33 @@
         AnswerOutcome::Unanswered { .. }
     ));
     // The client gives up.
-    watcher.packet(&FlowPacket {
+    monitored.packet(&FlowPacket {
         closes: true,
-        ..acknowledges(900, 500)
+        ..acknowledgement(900, 500)
     });
-    watcher.pass(1_000);
-    assert_eq!(watcher.take(), []);
+    monitored.advance(1_000);
+    assert_eq!(monitored.take(), []);
 }
 
 #[test]
-fn an_answer_far_later_than_usual_is_slow() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.request(900, 300, &[1_200, 1_200, 800]);
-    assert_eq!(watcher.take()[0].quality, AnswerQuality::Slow);
+fn a_much_later_answer_than_normal_is_slow() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.request(900, 300, &[1_200, 1_200, 800]);
+    assert_eq!(monitored.take()[0].quality, AnswerQuality::Slow);
 }
 
 #[test]
-fn copies_and_overtaken_packets_are_no_requests() {
-    let mut watcher = Watcher::new();
-    watcher.packet(&asks(1, 1 + u32::from(REQUEST), 500));
-    watcher.packet(&asks(1, 1, 500));
-    watcher.pass(30);
-    watcher.packet(&acknowledges(1, 2_900));
-    watcher.packet(&acknowledges(1, 1_700));
-    watcher.packet(&asks(1, 1, 500));
-    watcher.pass(500);
-    let samples = watcher.take();
+fn duplicate_and_reordered_packets_are_no_requests() {
+    let mut monitored = MonitoredNode::new();
+    monitored.packet(&request_packet(1, 1 + u32::from(REQUEST_BYTES), 500));
+    monitored.packet(&request_packet(1, 1, 500));
+    monitored.advance(30);
+    monitored.packet(&acknowledgement(1, 2_900));
+    monitored.packet(&acknowledgement(1, 1_700));
+    monitored.packet(&request_packet(1, 1, 500));
+    monitored.advance(500);
+    let samples = monitored.take();
     let after = Duration::from_millis(30);
     assert_eq!(samples.len(), 1);
     assert_eq!(
@@ -194,18 +194,18 @@
 }
 
 #[test]
-fn the_next_request_on_a_flow_acknowledges_what_was_answered_last() {
-    let mut watcher = Watcher::new();
-    watcher.packet(&asks(1, 1, 500));
-    watcher.pass(30);
-    watcher.packet(&asks(1, 201, 1_300));
-    watcher.pass(60);
-    watcher.packet(&acknowledges(1, 1_900));
-    watcher.pass(400);
-    let lengths: Vec<u32> = watcher
+fn the_next_request_on_a_flow_acknowledges_the_last_answer() {
+    let mut monitored = MonitoredNode::new();
+    monitored.packet(&request_packet(1, 1, 500));
+    monitored.advance(30);
+    monitored.packet(&request_packet(1, 201, 1_300));
+    monitored.advance(60);
+    monitored.packet(&acknowledgement(1, 1_900));
+    monitored.advance(400);
+    let lengths: Vec<u32> = monitored
         .take()
         .iter()
-        .filter_map(|judged| match judged.sample.outcome {
+        .filter_map(|classified| match classified.sample.outcome {
             AnswerOutcome::Answered { bytes, .. } => Some(bytes),
             _ => None,
         })
@@ -214,151 +214,162 @@
 }
 
 #[test]
-fn files_of_lengths_that_vary_by_nature_raise_no_alarm() {
-    let mut watcher = Watcher::new();
-    // Log-normal about 80 kB, as far out as 1.8 standard deviations of 0.6.
+fn answers_of_varying_lengths_are_no_failures() {
+    let mut monitored = MonitoredNode::new();
+    // Log-normal with a median of 80 kB, up to 1.8 standard deviations of 0.6.
     for number in 0_u32..400 {
         let deviation = f64::from(number.wrapping_mul(2_654_435_761) % 3_600) / 1_000.0 - 1.8;
         let length = (80_000.0 * (0.6 * deviation).exp()) as u32;
-        watcher.request(number, 8 + u64::from(number % 9), &[2_400, length - 2_400]);
+        monitored.request(number, 8 + u64::from(number % 9), &[2_400, length - 2_400]);
     }
-    let failed = watcher.take();
+    let failed = monitored.take();
     let failed = failed
         .iter()
-        .filter(|judged| judged.quality != AnswerQuality::Normal);
-    assert!(failed.count() <= 4, "one in a hundred at most");
+        .filter(|classified| classified.quality != AnswerQuality::Normal);
+    assert!(failed.count() <= 4, "at most one in a hundred");
 }
 
 #[test]
-fn a_stream_that_goes_on_for_long_raises_no_alarm() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.packet(&asks(900, 1, 500));
-    watcher.pass(50);
+fn a_long_stream_is_no_failure() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.packet(&request_packet(900, 1, 500));
+    monitored.advance(50);
     for event in 1..=100 {
-        watcher.packet(&acknowledges(900, 500 + event * 700));
-        watcher.pass(90);
+        monitored.packet(&acknowledgement(900, 500 + event * 700));
+        monitored.advance(90);
     }
-    watcher.pass(500);
-    let samples = watcher.take();
+    monitored.advance(500);
+    let samples = monitored.take();
     assert_eq!(samples.len(), 1);
     assert_eq!(samples[0].quality, AnswerQuality::Normal);
 }
 
 #[test]
-fn streams_that_rest_between_events_raise_no_alarm() {
-    let mut watcher = Watcher::new();
+fn streams_that_pause_between_events_are_no_failures() {
+    let mut monitored = MonitoredNode::new();
     for number in 0..100 {
-        watcher.packet(&asks(number, 1, 500));
-        watcher.pass(20 + u64::from(number % 10));
+        monitored.packet(&request_packet(number, 1, 500));
+        monitored.advance(20 + u64::from(number % 10));
         for event in 1..=5 {
-            watcher.packet(&acknowledges(number, 500 + event * (500 + number % 7 * 40)));
-            watcher.pass(400);
+            monitored.packet(&acknowledgement(
+                number,
+                500 + event * (500 + number % 7 * 40),
+            ));
+            monitored.advance(400);
         }
     }
-    let samples = watcher.take();
-    let usual = |judged: &&ClassifiedSample| judged.quality == AnswerQuality::Normal;
-    assert_eq!(samples.iter().filter(usual).count(), 100);
+    let samples = monitored.take();
+    let normal = |classified: &&ClassifiedSample| classified.quality == AnswerQuality::Normal;
+    assert_eq!(samples.iter().filter(normal).count(), 100);
     assert_eq!(samples.len(), 100);
 }
 
 #[test]
-fn an_upload_is_not_overdue_while_it_goes_on() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
+fn an_upload_in_progress_is_not_overdue() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
     for part in 0..100 {
-        watcher.packet(&asks(900, 1 + part * u32::from(REQUEST), 500));
-        watcher.pass(20);
+        monitored.packet(&request_packet(
+            900,
+            1 + part * u32::from(REQUEST_BYTES),
+            500,
+        ));
+        monitored.advance(20);
     }
-    watcher.pass(40);
-    watcher.packet(&acknowledges(900, 4_500));
-    watcher.pass(300);
-    let samples = watcher.take();
+    monitored.advance(40);
+    monitored.packet(&acknowledgement(900, 4_500));
+    monitored.advance(300);
+    let samples = monitored.take();
     assert_eq!(samples.len(), 1);
     assert_eq!(samples[0].quality, AnswerQuality::Normal);
 }
 
 #[test]
-fn a_client_that_loses_interest_blames_nobody() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.packet(&asks(900, 1, 500));
-    watcher.pass(100);
-    watcher.packet(&FlowPacket {
+fn an_aborted_request_is_no_failure() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.packet(&request_packet(900, 1, 500));
+    monitored.advance(100);
+    monitored.packet(&FlowPacket {
         role: PacketRole::Abort,
-        ..acknowledges(900, 500)
+        ..acknowledgement(900, 500)
     });
-    watcher.pass(2_000);
-    assert_eq!(watcher.take(), []);
+    monitored.advance(2_000);
+    assert_eq!(monitored.take(), []);
 }
 
 #[test]
-fn flows_that_routers_sent_to_other_nodes_blame_nobody() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.packet(&asks(900, 1, 500));
+fn requests_on_redistributed_flows_are_no_failures() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.packet(&request_packet(900, 1, 500));
     for _ in 0..3 {
-        watcher.pass(60);
-        watcher.monitor.record_moved_flow(at(watcher.now));
+        monitored.advance(60);
+        monitored.monitor.record_moved_flow(at(monitored.now));
     }
-    watcher.pass(1_000);
-    assert_eq!(watcher.take(), []);
-    // What is asked afterwards counts again, and one forgotten flow changes nothing.
-    watcher.packet(&asks(901, 1, 500));
-    watcher.pass(50);
-    watcher.monitor.record_moved_flow(at(watcher.now));
-    watcher.pass(600);
-    assert_eq!(watcher.take().len(), 1);
+    monitored.advance(1_000);
+    assert_eq!(monitored.take(), []);
+    // Later requests count again, and a single forgotten flow changes nothing.
+    monitored.packet(&request_packet(901, 1, 500));
+    monitored.advance(50);
+    monitored.monitor.record_moved_flow(at(monitored.now));
+    monitored.advance(600);
+    assert_eq!(monitored.take().len(), 1);
 }
 
 #[test]
-fn a_node_that_stood_still_blames_nobody() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
-    watcher.packet(&asks(900, 1, 500));
-    watcher.monitor.forget_requests(&mut watcher.flows);
-    watcher.pass(2_000);
-    assert_eq!(watcher.take(), []);
+fn requests_under_way_during_a_stall_are_no_failures() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
+    monitored.packet(&request_packet(900, 1, 500));
+    monitored.monitor.forget_requests(&mut monitored.flows);
+    monitored.advance(2_000);
+    assert_eq!(monitored.take(), []);
 }
 
 #[test]
-fn where_most_answers_change_they_are_the_usual_ones() {
-    let mut watcher = Watcher::new();
-    watcher.learn();
+fn a_lasting_change_of_answers_becomes_normal() {
+    let mut monitored = MonitoredNode::new();
+    monitored.learn();
     for number in 100..300 {
-        watcher.request(number, 50, &[400]);
+        monitored.request(number, 50, &[400]);
     }
-    let samples = watcher.take();
+    let samples = monitored.take();
     assert_eq!(samples[0].quality, AnswerQuality::Failed);
     let last = samples.last().unwrap();
-    assert_eq!(last.quality, AnswerQuality::Normal, "learned by now");
+    assert_eq!(
+        last.quality,
+        AnswerQuality::Normal,
+        "the new lengths are learned"
+    );
 }
 
 #[test]
-fn services_behind_one_route_are_compared_with_themselves() {
+fn each_service_of_a_route_has_its_own_baseline() {
     let mut replica = node(Vec::new());
     replica.adopt_configuration(configuration(2, &[("till", 1), ("stock", 1)]));
     let instances = vec![record(1, 11), of_service("stock", record(2, 11))];
     replica.replace_instances(at(0), Revision::new(11), instances);
-    let mut watcher = Watcher::new();
-    watcher.table = replica.table();
-    assert!(watcher.table.route(SERVICE).is_some());
-    watcher.learn();
+    let mut monitored = MonitoredNode::new();
+    monitored.table = replica.table();
+    assert!(monitored.table.route(SERVICE).is_some());
+    monitored.learn();
     let other = Cookie::of(InstanceId(2));
-    for (sequence, acknowledged, passes) in [(Some(1), 500, 20), (None, 680, 300)] {
-        watcher.packet(&FlowPacket {
+    for (sequence, acknowledged, milliseconds) in [(Some(1), 500, 20), (None, 680, 300)] {
+        monitored.packet(&FlowPacket {
             cookie: Some(other),
             data_sequence: sequence,
-            data_length: REQUEST,
-            ..acknowledges(900, acknowledged)
+            data_length: REQUEST_BYTES,
+            ..acknowledgement(900, acknowledged)
         });
-        watcher.pass(passes);
+        monitored.advance(milliseconds);
     }
-    let samples = watcher.take();
+    let samples = monitored.take();
     assert_eq!(samples[0].sample.cookie, other);
     assert_eq!(
         samples[0].quality,
         AnswerQuality::Normal,
-        "nothing is known of it"
+        "the other service has no baseline"
     );
 }
--- a/crates/bellyoke-core/tests/cookie/cold.rs
+++ b/crates/bellyoke-core/tests/cookie/cold.rs
@@ -1,4 +1,5 @@
-//! The limit of cold instances holds over the sum of all nodes, in every second, however many they are.
+//! The limit of cold instances holds for the sum over all nodes, in every second, for any number of
+//! nodes.
 
 use crate::support::{SERVICE, TOMBSTONE_LIFETIME, at, configuration, opening, record};
 use bellyoke_core::cookie::cold::{ColdAllowance, ColdLimiter, ColdShare};
@@ -13,24 +14,24 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// As on the users' sheet: half more than what they are said to bear, and five.
+/// The users' requirement: half more than the configured limit, plus five.
 const ALLOWANCE: ColdAllowance = ColdAllowance {
     overshoot: 1.5,
     slack: 5,
 };
 
-/// How nodes hold to the limit.
+/// How nodes enforce the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// They don't: what stood before.
+enum Enforcement {
+    /// No limit, as without this module.
     NoLimit,
-    /// Each takes an equal part, rounded up to one flow.
-    EqualParts,
-    /// By [`ColdShare`].
+    /// Each node has an equal share, rounded up to one flow.
+    EqualShares,
+    /// Each node has a [`ColdShare`].
     Shares,
 }
 
-/// A service of which some instances are cold for ten seconds and some aren't.
+/// A service with some instances that are cold for ten seconds and some that are warm.
 fn table(cold: u64, warm: u64, flows_per_minute: u32) -> ForwardingTable {
     let mut replica = Replica::new(TOMBSTONE_LIFETIME);
     let mut configuration = configuration(1, &[("till", 1)]);
@@ -48,13 +49,13 @@
     replica.table()
 }
 
-fn forwarders(nodes: u32, way: Way, seed: u64) -> Vec<Forwarder> {
+fn forwarders(nodes: u32, enforcement: Enforcement, seed: u64) -> Vec<Forwarder> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let allowance = match way {
-        Way::NoLimit => None,
-        Way::Shares => Some(ALLOWANCE),
-        // One flow a node: what a limit of as many flows as there are nodes gives.
-        Way::EqualParts => Some(ColdAllowance {
+    let allowance = match enforcement {
+        Enforcement::NoLimit => None,
+        Enforcement::Shares => Some(ALLOWANCE),
+        // One flow a node: a limit of as many flows as there are nodes results in that.
+        Enforcement::EqualShares => Some(ColdAllowance {
             overshoot: 0.0,
             slack: nodes,
         }),
@@ -69,15 +70,21 @@
 }
 
 struct Counts {
-    /// Most flows that one instance got within a second, wherever it began.
+    /// Most flows that one instance got within any period of one second.
     most: usize,
     placed: usize,
     refused: usize,
 }
 
-/// Five seconds in which so many flows a second reach a cluster, spread over its nodes.
-fn play(table: &ForwardingTable, nodes: u32, per_second: u32, way: Way, seed: u64) -> Counts {
-    let mut forwarders = forwarders(nodes, way, seed);
+/// Opens `per_second` flows a second for five seconds, spread over the nodes of the cluster.
+fn open_flows(
+    table: &ForwardingTable,
+    nodes: u32,
+    per_second: u32,
+    enforcement: Enforcement,
+    seed: u64,
+) -> Counts {
+    let mut forwarders = forwarders(nodes, enforcement, seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed + 1_000);
     let mut opened: BTreeMap<InstanceId, Vec<u64>> = BTreeMap::new();
     let mut refused = 0;
@@ -91,7 +98,7 @@
                 opened.entry(destination.instance).or_default().push(now);
             }
             Decision::Refuse(RefusalReason::NoInstance) => refused += 1,
-            other => panic!("{other:?}"),
+            other => panic!("unexpected decision: {other:?}"),
         }
     }
     let within_a_second = |times: &Vec<u64>| {
@@ -122,55 +129,60 @@
             let limit = ALLOWANCE.limit(flows_per_minute) as usize;
             for seed in 0..3 {
                 let only_cold = table(8, 0, flows_per_minute);
-                let counts = play(&only_cold, nodes, 2_000, Way::Shares, seed);
-                let what = format!("{nodes} nodes, limit {limit}, seed {seed}");
-                assert!(counts.most <= limit, "{what}: {} flows", counts.most);
-                let standing = play(&only_cold, nodes, 2_000, Way::NoLimit, seed);
-                assert!(standing.most > limit, "{what}: holds without");
+                let counts = open_flows(&only_cold, nodes, 2_000, Enforcement::Shares, seed);
+                let case = format!("{nodes} nodes, limit {limit}, seed {seed}");
+                assert!(counts.most <= limit, "{case}: {} flows", counts.most);
+                let unlimited = open_flows(&only_cold, nodes, 2_000, Enforcement::NoLimit, seed);
+                assert!(
+                    unlimited.most > limit,
+                    "{case}: not exceeded without a limit"
+                );
             }
         }
     }
 }
 
-/// Where a limit is less than the nodes, equal parts of at least a flow break it.
+/// If the limit is lower than the number of nodes, equal shares of at least one flow exceed it.
 #[test]
-fn equal_parts_break_the_limit_of_a_large_cluster() {
+fn equal_shares_exceed_the_limit_of_a_large_cluster() {
     for nodes in [90, 300] {
         let limit = ALLOWANCE.limit(600) as usize;
-        let counts = play(&table(8, 0, 600), nodes, 4_000, Way::EqualParts, 1);
+        let counts = open_flows(&table(8, 0, 600), nodes, 4_000, Enforcement::EqualShares, 1);
         assert!(counts.most > limit, "{nodes} nodes: {}", counts.most);
     }
 }
 
-/// What the mechanism costs where only cold instances are left: a good part of the limit is used.
+/// The limit is enforced conservatively. While only cold instances are left, a good part of it must
+/// still be used.
 #[test]
 fn cold_instances_are_used_within_their_limit() {
     for (nodes, least) in [(10, 0.6), (90, 0.3), (300, 0.3)] {
         let limit = ALLOWANCE.limit(1_800);
-        let counts = play(&table(8, 0, 1_800), nodes, 4_000, Way::Shares, 1);
+        let counts = open_flows(&table(8, 0, 1_800), nodes, 4_000, Enforcement::Shares, 1);
         let used = counts.placed as f64 / (f64::from(limit) * 8.0 * 5.0);
         assert!(used >= least, "{nodes} nodes use {used} of the limit");
-        assert!(counts.refused > 0, "the rest is refused at once");
+        assert!(counts.refused > 0, "flows beyond the limit are refused");
     }
 }
 
 #[test]
-fn while_others_are_warm_nothing_is_refused_and_cold_ones_get_nothing() {
+fn nothing_is_refused_while_other_instances_are_warm() {
     let half_cold = table(8, 8, 600);
-    let counts = play(&half_cold, 90, 2_000, Way::Shares, 1);
+    let counts = open_flows(&half_cold, 90, 2_000, Enforcement::Shares, 1);
     assert_eq!(counts.refused, 0);
     assert!(counts.placed > 0);
 }
 
-/// A service that doesn't tell what its cold instances bear has no limit: it bears something.
+/// A service without a configured limit of its cold instances isn't limited. Its cold instances can
+/// take some flows, so refusing all would lose requests for no reason.
 #[test]
-fn without_a_figure_there_is_no_limit() {
-    let counts = play(&table(8, 0, 0), 90, 2_000, Way::Shares, 1);
+fn an_unconfigured_limit_is_not_enforced() {
+    let counts = open_flows(&table(8, 0, 0), 90, 2_000, Enforcement::Shares, 1);
     assert_eq!(counts.refused, 0);
 }
 
 #[test]
-fn a_limit_of_nothing_opens_nothing() {
+fn a_limit_of_zero_opens_no_flow() {
     let share = ColdShare::of(0, 300.0);
     assert!(share.probability < 1e-8, "{share:?}");
     assert_eq!(ColdShare::of(3, 1.0).flows, 3);
--- a/crates/bellyoke-core/tests/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -1,4 +1,4 @@
-//! Which resting flows are ended once their instance is known to have ended.
+//! Resets of idle flows once their instance is known to have ended.
 
 use crate::cluster::address;
 use crate::support::{at, flow, later, node, opening, record};
@@ -32,8 +32,12 @@
     }
 }
 
-/// A forwarder that has seen `flows` flows at instance 1, which rest since second 1.
-fn resting(table: &ForwardingTable, flows: u32, resets_idle_flows: bool) -> Forwarder {
+/// Returns a forwarder that has seen `flows` flows at instance 1, idle since second 1.
+fn forwarder_with_idle_flows(
+    table: &ForwardingTable,
+    flows: u32,
+    resets_idle_flows: bool,
+) -> Forwarder {
     let forwarder = Forwarder::new(HealthSettings::default());
     let mut forwarder = forwarder.with_flows(1_000, resets_idle_flows);
     for number in 0..flows {
@@ -42,57 +46,57 @@
     forwarder
 }
 
-/// Instance 1 is held to have ended.
-fn end(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) {
+/// Sets instance 1 as ended.
+fn set_ended_instance(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) {
     let ended = BTreeSet::from([cookie(1)]);
     forwarder.set_unreachable(&ended, &ended);
     forwarder.set_ended(&ended);
     forwarder.review(at(now), table);
 }
 
-fn ends(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) -> Vec<FlowReset> {
+fn due_resets(forwarder: &mut Forwarder, table: &ForwardingTable, now: u64) -> Vec<FlowReset> {
     std::iter::from_fn(|| forwarder.next_flow_reset(at(now), table)).collect()
 }
 
 #[test]
-fn resting_flows_of_an_ended_instance_are_reset_in_groups() {
+fn idle_flows_of_an_ended_instance_are_reset_in_groups() {
     let table = table();
-    let mut forwarder = resting(&table, 50, true);
+    let mut forwarder = forwarder_with_idle_flows(&table, 50, true);
     assert_eq!(forwarder.next_flow_reset_at(), None);
-    end(&mut forwarder, &table, 5_000);
+    set_ended_instance(&mut forwarder, &table, 5_000);
     assert_eq!(forwarder.next_flow_reset_at(), Some(at(5_000)));
-    let first = ends(&mut forwarder, &table, 5_000);
+    let first = due_resets(&mut forwarder, &table, 5_000);
     assert_eq!(first.len(), RESETS_PER_INTERVAL);
     let expected = (cookie(1), 7, ResetReason::Unreachable);
-    let told = first[0];
-    assert_eq!((told.cookie, told.acknowledged, told.reason), expected);
-    assert_eq!(ends(&mut forwarder, &table, 5_010), []);
+    let reset = first[0];
+    assert_eq!((reset.cookie, reset.acknowledged, reset.reason), expected);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_010), []);
     let next = at(5_000).after(RESET_INTERVAL);
     assert_eq!(forwarder.next_flow_reset_at(), Some(next));
     assert_eq!(
-        ends(&mut forwarder, &table, 5_020).len(),
+        due_resets(&mut forwarder, &table, 5_020).len(),
         50 - RESETS_PER_INTERVAL
     );
     assert_eq!(forwarder.next_flow_reset_at(), None);
-    // Once for each flow.
+    // Each flow is reset once.
     forwarder.review(at(6_000), &table);
-    assert_eq!(ends(&mut forwarder, &table, 6_000), []);
+    assert_eq!(due_resets(&mut forwarder, &table, 6_000), []);
 }
 
 #[test]
-fn resting_flows_are_left_where_that_is_set() {
+fn idle_flows_are_not_reset_if_disabled() {
     let table = table();
-    let mut forwarder = resting(&table, 5, false);
-    end(&mut forwarder, &table, 5_000);
-    assert_eq!(ends(&mut forwarder, &table, 5_000), []);
+    let mut forwarder = forwarder_with_idle_flows(&table, 5, false);
+    set_ended_instance(&mut forwarder, &table, 5_000);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_000), []);
     let decision = forwarder.decide(at(5_010), &table, &packet(1, Some(100), 7), false);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
 }
 
 #[test]
-fn flows_of_a_superseded_instance_are_reset_while_they_rest() {
+fn idle_flows_of_a_superseded_instance_are_reset() {
     let mut replica = node(vec![record(1, 1), record(2, 2)]);
-    let mut forwarder = resting(&replica.table(), 5, true);
+    let mut forwarder = forwarder_with_idle_flows(&replica.table(), 5, true);
     let successor = InstanceRecord {
         address: record(1, 1).address,
         ..record(9, 20)
@@ -104,40 +108,40 @@
     replica.apply_instances(at(4_000), Revision::new(21), events);
     let table = replica.table();
     forwarder.review(at(4_100), &table);
-    let ends = ends(&mut forwarder, &table, 4_100);
-    assert_eq!(ends.len(), 5);
-    assert_eq!(ends[0].reason, ResetReason::Superseded);
+    let resets = due_resets(&mut forwarder, &table, 4_100);
+    assert_eq!(resets.len(), 5);
+    assert_eq!(resets[0].reason, ResetReason::Superseded);
 }
 
-/// Only what an instance did after the verdict counts: a client that rests tells what it got before with its
-/// next request.
+/// An idle client acknowledges with its next request what it received before its instance died.
+/// Taken for new activity of the instance, that would keep its flows open.
 #[test]
-fn what_a_rested_client_acknowledges_is_no_sign_of_life() {
+fn the_acknowledgement_of_an_idle_client_does_not_show_that_its_instance_is_alive() {
     let table = table();
-    let mut forwarder = resting(&table, 2, true);
-    end(&mut forwarder, &table, 5_000);
+    let mut forwarder = forwarder_with_idle_flows(&table, 2, true);
+    set_ended_instance(&mut forwarder, &table, 5_000);
     let decision = forwarder.decide(at(5_010), &table, &packet(0, Some(100), 90), false);
     assert_eq!(decision, Decision::Reset(ResetReason::Unreachable));
-    assert_eq!(ends(&mut forwarder, &table, 5_020).len(), 1);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_020).len(), 1);
 }
 
 #[test]
-fn flows_that_go_on_after_the_verdict_are_left_alone() {
+fn activity_after_detection_keeps_the_flows_of_an_instance() {
     let table = table();
-    let mut forwarder = resting(&table, 5, true);
+    let mut forwarder = forwarder_with_idle_flows(&table, 5, true);
     let unreachable = BTreeSet::from([cookie(1)]);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.decide(at(5_000), &table, &packet(0, Some(100), 7), false);
     forwarder.decide(at(5_040), &table, &packet(0, None, 60), false);
-    end(&mut forwarder, &table, 5_100);
-    assert_eq!(ends(&mut forwarder, &table, 5_100), []);
+    set_ended_instance(&mut forwarder, &table, 5_100);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_100), []);
     let decision = forwarder.decide(at(9_000), &table, &packet(1, Some(100), 7), false);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
 }
 
-/// As at a node that has restarted.
+/// A restarted node has no records of the flows that were opened before.
 #[test]
-fn an_unknown_flow_of_an_ended_instance_is_ended_by_its_first_request() {
+fn an_unknown_flow_of_an_ended_instance_is_reset_by_its_first_request() {
     let table = table();
     let mut forwarder = Forwarder::new(HealthSettings::default());
     let unreachable = BTreeSet::from([cookie(1)]);
@@ -146,13 +150,13 @@
         let decision = forwarder.decide(at(now), &table, &packet, false);
         decision == Decision::Reset(ResetReason::Unreachable)
     };
-    let asks = packet(3, Some(100), 7);
-    assert!(!decide(&mut forwarder, 5_000, asks), "peers may object");
+    let request = packet(3, Some(100), 7);
+    assert!(!decide(&mut forwarder, 5_000, request), "peers may object");
     forwarder.set_ended(&unreachable);
     assert!(decide(&mut forwarder, 5_100, packet(4, Some(100), 7)));
     assert!(
         !decide(&mut forwarder, 5_100, packet(5, None, 7)),
-        "it asks nothing"
+        "it carries no request"
     );
     let closes = FlowPacket {
         closes: true,
@@ -161,12 +165,12 @@
     assert!(!decide(&mut forwarder, 5_100, closes));
 }
 
-/// The cookie in its first packet has come from the instance just now.
+/// The cookie in the flow's first packet has just come from the instance, so it is alive.
 #[test]
-fn a_flow_that_has_just_opened_is_no_flow_of_an_ended_instance() {
+fn a_flow_that_has_just_opened_is_not_reset() {
     let table = node(vec![record(1, 1)]).table();
     let mut forwarder = Forwarder::new(HealthSettings::default());
-    end(&mut forwarder, &table, 5_000);
+    set_ended_instance(&mut forwarder, &table, 5_000);
     forwarder.decide(at(5_000), &table, &opening(3, 0), false);
     let decision = forwarder.decide(at(5_030), &table, &packet(3, Some(100), 7), false);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
@@ -175,16 +179,16 @@
 #[test]
 fn a_closed_flow_is_forgotten() {
     let table = table();
-    let mut forwarder = resting(&table, 3, true);
+    let mut forwarder = forwarder_with_idle_flows(&table, 3, true);
     let closes = FlowPacket {
         closes: true,
         ..packet(1, None, 7)
     };
     forwarder.decide(at(2_000), &table, &closes, false);
     assert_eq!(forwarder.flow_count(), 2);
-    end(&mut forwarder, &table, 5_000);
-    let ended = ends(&mut forwarder, &table, 5_000);
-    assert!(ended.iter().all(|end| end.flow != flow(1)));
+    set_ended_instance(&mut forwarder, &table, 5_000);
+    let resets = due_resets(&mut forwarder, &table, 5_000);
+    assert!(resets.iter().all(|reset| reset.flow != flow(1)));
 }
 
 fn objection_milliseconds() -> u64 {
@@ -203,8 +207,8 @@
 }
 
 #[test]
-fn peers_have_time_to_object_before_resting_flows_end() {
-    // They are asked with the verdict, unless one of them has asked.
+fn peers_have_time_to_object_before_idle_flows_are_reset() {
+    // Peers are asked when the instance is found unreachable, unless one of them has asked before.
     for (doubter, asked_at) in [(Doubter::Node, 1_300), (Doubter::Peer, 1_000)] {
         let monitor = unreachable(doubter);
         let over = asked_at + objection_milliseconds();
@@ -214,15 +218,18 @@
 }
 
 #[test]
-fn an_objection_drops_question_and_verdict() {
+fn an_objection_clears_suspicion_and_unreachability() {
     let mut monitor = unreachable(Doubter::Node);
     assert!(monitor.lives(at(1_400), cookie(1)));
-    assert!(!monitor.lives(at(1_410), cookie(1)), "it is passed on once");
+    assert!(
+        !monitor.lives(at(1_410), cookie(1)),
+        "an objection is forwarded once"
+    );
     assert!(monitor.unreachable(at(1_400)).is_empty());
     assert!(monitor.ended(at(9_000)).is_empty());
     assert!(!monitor.question(at(1_500), cookie(1), Doubter::Peer));
     assert!(monitor.question(at(3_000), cookie(1), Doubter::Node));
-    // A probe that was under way then establishes nothing.
+    // A probe that was under way at the time of the objection proves nothing.
     monitor.questioned(Doubter::Node);
     assert!(monitor.lives(at(3_100), cookie(1)));
     let change = monitor.probed(at(3_200), cookie(1), ProbeOutcome::Unreachable);
@@ -230,28 +237,34 @@
     assert!(monitor.unreachable(at(3_200)).is_empty());
 }
 
-/// Clients repeat data to a dead instance before an opening there has failed.
+/// Clients retransmit data to a dead instance before an opening there has failed. Suspicion that
+/// waits for a failed opening comes later.
 #[test]
-fn repeated_data_on_an_open_flow_raises_the_question() {
+fn retransmissions_on_an_open_flow_raise_suspicion() {
     let table = table();
-    let mut forwarder = resting(&table, 2, true);
-    let asks = packet(0, Some(100), 7);
-    forwarder.decide(at(2_000), &table, &asks, false);
-    forwarder.decide(at(2_010), &table, &asks, false);
-    assert_eq!(forwarder.take_suspects(at(2_020)), [], "the network's copy");
-    forwarder.decide(at(2_200), &table, &asks, false);
+    let mut forwarder = forwarder_with_idle_flows(&table, 2, true);
+    let request = packet(0, Some(100), 7);
+    forwarder.decide(at(2_000), &table, &request, false);
+    forwarder.decide(at(2_010), &table, &request, false);
+    assert_eq!(
+        forwarder.take_suspects(at(2_020)),
+        [],
+        "a duplicate made by the network"
+    );
+    forwarder.decide(at(2_200), &table, &request, false);
     assert_eq!(forwarder.take_suspects(at(2_210)), [cookie(1)]);
-    assert_eq!(forwarder.take_suspects(at(2_220)), [], "told once");
-    // Another flow has gone on in the meantime: a packet was lost.
+    assert_eq!(forwarder.take_suspects(at(2_220)), [], "returned once");
+    // Another flow was active in the meantime, so a packet was lost.
     forwarder.decide(at(2_590), &table, &packet(1, Some(200), 7), false);
-    forwarder.decide(at(2_600), &table, &asks, false);
+    forwarder.decide(at(2_600), &table, &request, false);
     forwarder.decide(at(2_610), &table, &packet(1, None, 60), false);
     assert_eq!(forwarder.take_suspects(at(2_620)), []);
 }
 
-/// Of instances that died at once some are still known to be sound a moment ago.
+/// If several instances die at the same time, some still count as recently healthy. As controls
+/// they would spoil the probes of the others.
 #[test]
-fn those_whose_openings_completed_last_go_first_as_controls() {
+fn controls_are_ordered_by_their_last_completed_opening() {
     let table = table();
     let mut forwarder = Forwarder::new(HealthSettings::default());
     for (now, id) in [(1_000, 1), (1_100, 2), (1_200, 1)] {
@@ -269,24 +282,25 @@
     );
 }
 
-/// As where the node's own link turns out to lose data, or the instance takes connections again.
+/// The instance is reachable again while resets are queued: the node's own link lost data, or the
+/// instance accepts connections again.
 #[test]
-fn flows_that_wait_for_their_resets_are_left_once_the_verdict_has_gone() {
+fn queued_resets_are_discarded_once_the_instance_is_reachable() {
     let table = table();
-    let mut forwarder = resting(&table, 50, true);
-    end(&mut forwarder, &table, 5_000);
+    let mut forwarder = forwarder_with_idle_flows(&table, 50, true);
+    set_ended_instance(&mut forwarder, &table, 5_000);
     assert_eq!(
-        ends(&mut forwarder, &table, 5_000).len(),
+        due_resets(&mut forwarder, &table, 5_000).len(),
         RESETS_PER_INTERVAL
     );
     forwarder.set_unreachable(&BTreeSet::new(), &BTreeSet::new());
-    assert_eq!(ends(&mut forwarder, &table, 5_020), []);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_020), []);
     let decision = forwarder.decide(at(5_030), &table, &packet(49, Some(100), 7), false);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
 }
 
 #[test]
-fn a_node_that_stood_still_ends_no_resting_flow() {
+fn a_node_that_was_stalled_resets_no_idle_flow() {
     let mut monitor = unreachable(Doubter::Peer);
     assert!(!monitor.ended(at(2_000)).is_empty());
     monitor.stalled();
@@ -294,32 +308,32 @@
 }
 
 #[test]
-fn an_instance_that_lived_a_moment_before_the_verdict_keeps_its_flows() {
+fn an_instance_that_was_active_just_before_detection_keeps_its_flows() {
     let table = table();
-    let mut forwarder = resting(&table, 5, true);
+    let mut forwarder = forwarder_with_idle_flows(&table, 5, true);
     forwarder.decide(at(4_900), &table, &packet(0, Some(100), 7), false);
     forwarder.decide(at(4_950), &table, &packet(0, None, 60), false);
-    end(&mut forwarder, &table, 5_000);
-    assert_eq!(ends(&mut forwarder, &table, 5_000), []);
+    set_ended_instance(&mut forwarder, &table, 5_000);
+    assert_eq!(due_resets(&mut forwarder, &table, 5_000), []);
     let decision = forwarder.decide(at(5_010), &table, &packet(1, Some(100), 7), false);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
 }
 
 #[test]
-fn a_flow_that_has_got_something_since_it_was_queued_is_left_alone() {
+fn a_flow_that_was_active_since_it_was_queued_is_not_reset() {
     let table = table();
-    let mut forwarder = resting(&table, 2, true);
-    end(&mut forwarder, &table, 5_000);
+    let mut forwarder = forwarder_with_idle_flows(&table, 2, true);
+    set_ended_instance(&mut forwarder, &table, 5_000);
     forwarder.decide(at(5_005), &table, &packet(0, None, 90), false);
-    let ends = ends(&mut forwarder, &table, 5_010);
-    let ended: Vec<_> = ends.iter().map(|end| end.flow).collect();
+    let resets = due_resets(&mut forwarder, &table, 5_010);
+    let ended: Vec<_> = resets.iter().map(|reset| reset.flow).collect();
     assert_eq!(ended, [flow(1)]);
 }
 
-/// Flow 0 asks instance 1 something at 2,000 ms and repeats it 200 ms later.
-fn repeated() -> (ForwardingTable, Forwarder) {
+/// Flow 0 sends a request to instance 1 at 2,000 ms and retransmits it 200 ms later.
+fn forwarder_with_retransmission() -> (ForwardingTable, Forwarder) {
     let table = table();
-    let mut forwarder = resting(&table, 2, false);
+    let mut forwarder = forwarder_with_idle_flows(&table, 2, false);
     for now in [2_000, 2_200] {
         let decision = forwarder.decide(at(now), &table, &packet(0, Some(50), 7), false);
         assert!(matches!(decision, Decision::Follow { .. }));
@@ -327,34 +341,38 @@
     (table, forwarder)
 }
 
-/// The client would repeat it again at 2,600 ms: later than many allow for an answer.
+/// The client would retransmit again at 2,600 ms, which is later than the timeout of many clients.
+/// A flow that is only reset then is answered too late.
 #[test]
-fn a_flow_whose_client_has_repeated_something_ends_with_the_verdict() {
-    let (table, mut forwarder) = repeated();
+fn a_flow_with_a_retransmission_is_reset_when_its_instance_is_found_unreachable() {
+    let (table, mut forwarder) = forwarder_with_retransmission();
     let unreachable = BTreeSet::from([cookie(1)]);
     forwarder.review(at(2_250), &table);
     assert_eq!(forwarder.next_flow_reset(at(2_250), &table), None);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_400), &table);
-    let end = forwarder.next_flow_reset(at(2_400), &table).unwrap();
-    assert_eq!((end.flow, end.reason), (flow(0), ResetReason::Unreachable));
+    let reset = forwarder.next_flow_reset(at(2_400), &table).unwrap();
+    assert_eq!(
+        (reset.flow, reset.reason),
+        (flow(0), ResetReason::Unreachable)
+    );
     assert_eq!(
         forwarder.next_flow_reset(at(2_400), &table),
         None,
-        "the other one rests"
+        "the other flow is idle"
     );
 }
 
 #[test]
-fn a_flow_that_goes_on_after_a_repetition_does_not_end() {
-    let (table, mut forwarder) = repeated();
+fn a_flow_that_continues_after_a_retransmission_is_not_reset() {
+    let (table, mut forwarder) = forwarder_with_retransmission();
     let unreachable = BTreeSet::from([cookie(1)]);
     forwarder.decide(at(2_300), &table, &packet(0, None, 900), false);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_400), &table);
     assert_eq!(forwarder.next_flow_reset(at(2_400), &table), None);
-    // Nor does one of which nothing was heard again, once a verdict comes much later.
-    let (table, mut forwarder) = repeated();
+    // Nor is one that had no further packet, if the instance is found unreachable much later.
+    let (table, mut forwarder) = forwarder_with_retransmission();
     forwarder.review(at(2_800), &table);
     forwarder.set_unreachable(&unreachable, &unreachable);
     forwarder.review(at(2_900), &table);
--- a/crates/bellyoke-core/tests/cookie/flows.rs
+++ b/crates/bellyoke-core/tests/cookie/flows.rs
@@ -1,4 +1,4 @@
-//! Records of flows seen of late.
+//! The table of recently seen flows.
 
 use crate::support::{at, flow, later};
 use bellyoke_core::cookie::flows::FlowTable;
@@ -6,13 +6,13 @@
 use bellyoke_core::cookie::packet::FlowPacket;
 use std::time::Duration;
 
-const REST: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn cookie(id: u64) -> Cookie {
     Cookie::of(InstanceId(id))
 }
 
-fn note(table: &mut FlowTable, now: u64, number: u32, id: u64) {
+fn record_packet(table: &mut FlowTable, now: u64, number: u32, id: u64) {
     let packet = FlowPacket {
         acknowledged: number,
         ..later(number, cookie(id))
@@ -22,8 +22,8 @@
 
 #[test]
 fn a_flow_is_remembered_with_what_its_client_acknowledged() {
-    let mut table = FlowTable::new(100, REST);
-    note(&mut table, 1_000, 7, 1);
+    let mut table = FlowTable::new(100, IDLE_TIMEOUT);
+    record_packet(&mut table, 1_000, 7, 1);
     let record = table.get(flow(7).hash()).unwrap();
     assert_eq!(record.flow, flow(7));
     assert_eq!((record.cookie, record.acknowledged), (cookie(1), 7));
@@ -34,20 +34,20 @@
 }
 
 #[test]
-fn a_flow_that_opened_elsewhere_is_another_one() {
-    let mut table = FlowTable::new(100, REST);
-    note(&mut table, 1_000, 7, 1);
-    note(&mut table, 2_000, 7, 2);
+fn a_flow_that_opens_at_another_instance_replaces_its_record() {
+    let mut table = FlowTable::new(100, IDLE_TIMEOUT);
+    record_packet(&mut table, 1_000, 7, 1);
+    record_packet(&mut table, 2_000, 7, 2);
     assert!(table.of_instance(cookie(1)).next().is_none());
     assert_eq!(table.of_instance(cookie(2)).count(), 1);
 }
 
 #[test]
-fn memory_is_bounded_and_what_rested_longest_goes_first() {
-    let mut table = FlowTable::new(100, REST);
+fn memory_is_bounded_and_the_least_recently_used_is_dropped_first() {
+    let mut table = FlowTable::new(100, IDLE_TIMEOUT);
     for number in 0..1_000 {
-        note(&mut table, 1_000, number, 1);
-        note(&mut table, 1_000, 0, 1);
+        record_packet(&mut table, 1_000, number, 1);
+        record_packet(&mut table, 1_000, 0, 1);
         assert!(table.len() <= 101, "{} flows", table.len());
     }
     assert!(table.get(flow(0).hash()).is_some(), "it is in use");
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn a_flow_is_remembered_while_it_rests_no_longer_than_it_may() {
-    let mut table = FlowTable::new(100, REST);
-    note(&mut table, 0, 7, 1);
-    note(&mut table, 14_999, 8, 1);
+fn an_idle_flow_is_remembered_until_its_timeout() {
+    let mut table = FlowTable::new(100, IDLE_TIMEOUT);
+    record_packet(&mut table, 0, 7, 1);
+    record_packet(&mut table, 14_999, 8, 1);
     assert!(table.get(flow(7).hash()).is_some());
-    note(&mut table, 30_000, 8, 1);
-    note(&mut table, 46_000, 8, 1);
+    record_packet(&mut table, 30_000, 8, 1);
+    record_packet(&mut table, 46_000, 8, 1);
     assert!(table.get(flow(7).hash()).is_none());
     assert!(table.get(flow(8).hash()).is_some());
 }
--- a/crates/bellyoke-core/tests/cookie/forwarder.rs
+++ b/crates/bellyoke-core/tests/cookie/forwarder.rs
@@ -1,4 +1,4 @@
-//! The decision for each packet.
+//! Decisions of the forwarder for single packets.
 
 use crate::support::{
     TOMBSTONE_LIFETIME, at, configuration, draining, later, node, of_service, opening, record,
@@ -28,19 +28,19 @@
             destination,
             suitability,
         } => (destination.instance, destination.cookie, suitability),
-        other => panic!("not placed: {other:?}"),
+        other => panic!("expected Place, got {other:?}"),
     }
 }
 
 fn followed(decision: Decision) -> InstanceId {
     match decision {
         Decision::Follow { destination, .. } => destination.instance,
-        other => panic!("not followed: {other:?}"),
+        other => panic!("expected Follow, got {other:?}"),
     }
 }
 
 #[test]
-fn a_flow_goes_where_its_cookie_says() {
+fn later_packets_go_to_the_instance_of_their_cookie() {
     let table = node((1..=5).map(|id| record(id, 1)).collect()).table();
     let (instance, cookie, suitability) = placed(decide(&table, &opening(1, 0)));
     assert_eq!(suitability, Suitability::Full);
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn the_first_packet_after_the_opening_tells_how_long_it_took() {
+fn the_first_packet_after_an_opening_returns_the_opening_time() {
     let table = node(vec![record(1, 1)]).table();
     let mut forwarder = forwarder();
     let (_, cookie, _) = placed(forwarder.decide(at(10_000), &table, &opening(1, 0), false));
     let took = |decision| match decision {
         Decision::Follow { opened_after, .. } => opened_after,
-        other => panic!("not followed: {other:?}"),
+        other => panic!("expected Follow, got {other:?}"),
     };
     let first = forwarder.decide(at(10_007), &table, &later(1, cookie), false);
     assert_eq!(took(first), Some(std::time::Duration::from_millis(7)));
@@ -62,7 +62,7 @@
     assert_eq!(took(second), None);
 }
 
-/// A node whose openings at instance 1 fail while those elsewhere succeed.
+/// A node whose openings at instance 1 fail while those at other instances succeed.
 struct DeadInstance {
     forwarder: Forwarder,
     table: ForwardingTable,
@@ -88,7 +88,7 @@
         dead
     }
 
-    /// A client opens a flow, and goes on unless the instance is the dead one.
+    /// A client opens a flow, and sends a further packet unless the instance is the dead one.
     fn open(&mut self, number: u32) {
         let decision = self
             .forwarder
@@ -114,10 +114,11 @@
     }
 }
 
-/// Whatever speaks for its death: this node saw openings fail there, peers did, the client repeats
-/// its data again and again. All of that a full link does, too.
+/// Failed openings, suspicions of peers and retransmissions don't prove that an instance is dead: a
+/// congested link causes all of them. Resetting its flows for that would break requests that still
+/// run.
 #[test]
-fn an_open_flow_is_never_reset_however_dead_its_instance_looks() {
+fn an_open_flow_of_a_suspected_instance_is_never_reset() {
     let mut dead = DeadInstance::new();
     dead.forwarder
         .set_peer_suspicions(&BTreeSet::from([Cookie::of(DEAD)]));
@@ -126,9 +127,10 @@
     }
 }
 
-/// It has the routes from a peer, and the instances are still on their way.
+/// The node has received the routes from a peer, but not the instances. Taking the missing list for
+/// an empty one, it would refuse flows that other nodes can place.
 #[test]
-fn a_node_that_knows_no_instances_yet_refuses_nothing() {
+fn a_node_without_an_instance_list_refuses_nothing() {
     let mut replica = Replica::new(TOMBSTONE_LIFETIME);
     replica.adopt_configuration(configuration(1, &[("till", 1)]));
     let decision = decide(&replica.table(), &opening(1, 0));
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn an_open_flow_follows_its_cookie_whatever_the_route_says_now() {
+fn an_open_flow_follows_its_cookie_after_the_route_has_changed() {
     let mut replica = node(vec![record(1, 1), of_service("listings", record(2, 1))]);
     replica.adopt_configuration(configuration(2, &[("listings", 1)]));
     let table = replica.table();
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn an_instance_whose_record_went_keeps_its_flows() {
+fn an_instance_whose_record_was_deleted_keeps_its_flows() {
     let mut replica = node(vec![record(1, 1), record(2, 1)]);
     replica.replace_instances(at(100), Revision::new(20), vec![record(2, 1)]);
     let table = replica.table();
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn an_instance_whose_record_just_went_is_the_last_resort_for_a_while() {
+fn an_instance_whose_record_was_just_deleted_is_a_temporary_last_resort() {
     let mut replica = node(vec![record(1, 1)]);
     replica.replace_instances(at(9_000), Revision::new(20), Vec::new());
     let table = replica.table();
@@ -180,7 +182,7 @@
 }
 
 #[test]
-fn a_cold_instance_is_left_alone_while_others_are_warm() {
+fn a_cold_instance_gets_no_flow_while_others_are_warm() {
     let cold = InstanceRecord {
         cold_remaining_milliseconds: 20_000,
         ..record(1, 1)
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn without_a_route_the_answer_is_a_reset_at_once() {
+fn an_opening_without_a_route_is_refused_at_once() {
     let table = node(vec![record(1, 1)]).table();
     let mut packet = opening(1, 0);
     packet.flow.service.set_port(8_080);
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn without_an_instance_the_answer_is_a_reset_at_once() {
+fn an_opening_without_an_instance_is_refused_at_once() {
     let table = node(vec![draining(1, 1)]).table();
     assert_eq!(
         decide(&table, &opening(1, 0)),
@@ -223,7 +225,7 @@
 }
 
 #[test]
-fn an_unknown_cookie_is_never_answered() {
+fn packets_with_an_unknown_cookie_are_dropped() {
     let table = node(vec![record(1, 1)]).table();
     let cookie = Cookie::from_bits(99).unwrap();
     assert_eq!(
@@ -233,7 +235,7 @@
 }
 
 #[test]
-fn a_packet_without_cookie_that_opens_nothing_is_dropped() {
+fn a_later_packet_without_a_cookie_is_dropped() {
     let table = node(vec![record(1, 1)]).table();
     let packet = FlowPacket {
         role: PacketRole::Later,
@@ -246,7 +248,7 @@
 }
 
 #[test]
-fn an_opening_that_waited_through_a_stall_is_dropped_and_open_flows_go_on() {
+fn openings_from_a_stall_are_dropped_and_open_flows_continue() {
     let table = node(vec![record(1, 1)]).table();
     let mut forwarder = forwarder();
     assert_eq!(
@@ -259,7 +261,7 @@
 }
 
 #[test]
-fn new_flows_avoid_an_instance_that_does_not_answer_until_it_does() {
+fn new_flows_avoid_an_instance_that_does_not_answer() {
     let table = node(vec![record(1, 1), record(2, 1)]).table();
     let mut forwarder = forwarder();
     let mut to_first = 0;
@@ -273,7 +275,7 @@
             to_first += 1;
         }
     }
-    // About half of those of the first 150 ms, and one for each trial.
+    // About half of the openings of the first 150 ms, and one for each trial.
     assert!(
         (3..20).contains(&to_first),
         "{to_first} openings went to a dead instance"
@@ -281,7 +283,7 @@
 }
 
 proptest! {
-    /// Whatever changes meanwhile, a flow's packets go to its instance or nowhere.
+    /// Whatever changes in the meantime, a flow's packets go to its instance or are dropped.
     #[test]
     fn no_change_moves_an_open_flow(
         before in prop::collection::btree_set(1..40_u64, 1..10),
@@ -296,8 +298,8 @@
     }
 }
 
-/// Long flows, half of whose instances are replaced one after the other: those that stay would
-/// collect the flows of all that go.
+/// Half of the instances are replaced one after the other while all flows are long. With too few
+/// choices, the instances that stay collect the flows of all that were replaced.
 #[test]
 fn long_flows_stay_balanced_while_instances_are_replaced() {
     const FLOWS: u32 = 280;
@@ -345,6 +347,7 @@
     }
     let most = *counts.values().max().unwrap();
     assert_eq!(counts.len(), 14);
-    // By hash alone 40 at the busiest; of two 29, of three 27.
-    assert!(most <= 26, "20 on average, {most} at the busiest");
+    // The busiest instance has 40 by hash alone, 29 with a choice of two and 27 with a choice of
+    // three.
+    assert!(most <= 26, "mean 20, most {most}");
 }
--- a/crates/bellyoke-core/tests/cookie/placement.rs
+++ b/crates/bellyoke-core/tests/cookie/placement.rs
@@ -1,4 +1,5 @@
-//! New flows are spread by weight, alike on all nodes, and copies reach other instances.
+//! New flows are spread by weight, all nodes choose the same instances, and copies reach other
+//! instances.
 
 use crate::support::{at, configuration, flow, node, of_service, record};
 use bellyoke_core::cookie::instance::InstanceId;
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn services_get_their_weights() {
+fn services_get_flows_by_their_weights() {
     let mut replica = node(vec![record(1, 1), of_service("listings", record(2, 1))]);
     replica.adopt_configuration(configuration(
         2,
@@ -84,9 +85,10 @@
     }
 }
 
-/// Loads may change from one copy to the next: they never lead back to an instance that was tried.
+/// Loads may change from one copy to the next. If the choice by load applied to copies, one could
+/// return to an instance that was already tried.
 #[test]
-fn copies_reach_other_instances_whatever_the_loads() {
+fn copies_reach_other_instances_when_loads_change() {
     let all = |_: &Candidate| Some(Suitability::Full);
     for instances in 3..=12 {
         let table = node((1..=instances).map(|id| record(id, 1)).collect()).table();
@@ -100,13 +102,13 @@
                     chosen.unwrap().id
                 })
                 .collect();
-            assert_eq!(chosen.len(), 3, "of {instances}");
+            assert_eq!(chosen.len(), 3, "{instances} instances");
         }
     }
 }
 
 #[test]
-fn of_many_the_least_busy_of_a_few_is_chosen_and_a_better_one_before_all() {
+fn the_least_loaded_choice_wins_and_suitability_goes_before_load() {
     let table = node((1..=7).map(|id| record(id, 1)).collect()).table();
     let load = |candidate: &Candidate| if candidate.id.0 == 2 { 1.0 } else { 5.0 };
     let all = |_: &Candidate| Some(Suitability::Full);
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn of_two_instances_the_copies_reach_both() {
+fn with_two_instances_copies_reach_both() {
     let table = node((1..=2).map(|id| record(id, 1)).collect()).table();
     for number in 0..100 {
         let chosen = [0, 1].map(|attempt| choose(&table, number, attempt).unwrap());
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn a_copy_goes_to_the_last_rank_where_instances_are_few() {
+fn with_one_instance_all_copies_go_there() {
     let table = node(vec![record(1, 1)]).table();
     for attempt in [0, 1, 2, 3, u32::MAX] {
         assert_eq!(choose(&table, 5, attempt), Some(InstanceId(1)));
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn the_more_suitable_go_first() {
+fn more_suitable_instances_are_chosen_first() {
     let table = node((1..=4).map(|id| record(id, 1)).collect()).table();
     let suitability = |candidate: &Candidate| match candidate.id.0 {
         1 => Some(Suitability::RecentlyGone),
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn of_two_instances_with_one_cookie_the_first_known_takes_all_flows() {
+fn the_first_of_two_instances_with_one_cookie_takes_all_flows() {
     // Both fold to the cookie 5.
     let first = record(5, 1);
     let second = record((1 << 32) | 4, 2);
@@ -182,7 +184,7 @@
     for number in 0..100 {
         assert_eq!(choose(&table, number, 0), Some(InstanceId(5)));
     }
-    // Its record goes, but its flows may live on: the cookie stays its own.
+    // Its record is deleted, but its flows may still be open: it keeps the cookie.
     replica.replace_instances(at(200), Revision::new(30), vec![second]);
     let cookie = bellyoke_core::cookie::instance::Cookie::of(InstanceId(5));
     let table = replica.table();
@@ -197,17 +199,18 @@
 }
 
 proptest! {
-    /// Nodes that know the same instances choose alike, in whatever order they heard of them.
+    /// Nodes that know the same instances choose the same one, in whatever order they received
+    /// them.
     #[test]
-    fn nodes_agree(ids in prop::collection::btree_set(1..1_000_000_u64, 1..20), number in 0..FLOWS, attempt in 0..4_u32) {
+    fn nodes_choose_the_same_instance(ids in prop::collection::btree_set(1..1_000_000_u64, 1..20), number in 0..FLOWS, attempt in 0..4_u32) {
         let ascending = node(ids.iter().map(|id| record(*id, 1)).collect()).table();
         let descending = node(ids.iter().rev().map(|id| record(*id, 1)).collect()).table();
         prop_assert_eq!(choose(&ascending, number, attempt), choose(&descending, number, attempt));
     }
 
-    /// An instance that comes takes flows for itself only; one that goes gives up only its own.
+    /// A new instance only takes flows for itself; one that is removed only gives up its own.
     #[test]
-    fn a_change_moves_only_the_flows_it_has_to(ids in prop::collection::btree_set(1..1_000_000_u64, 2..20)) {
+    fn removing_an_instance_moves_only_its_flows(ids in prop::collection::btree_set(1..1_000_000_u64, 2..20)) {
         let all: Vec<u64> = ids.into_iter().collect();
         let changed = all[0];
         let with = node(all.iter().map(|id| record(*id, 1)).collect()).table();
--- a/crates/bellyoke-core/tests/cookie/stall.rs
+++ b/crates/bellyoke-core/tests/cookie/stall.rs
@@ -1,4 +1,4 @@
-//! A process that stood still notices, whichever of its threads runs first.
+//! A stall is detected whichever thread runs first afterwards.
 
 use crate::support::at;
 use bellyoke_core::cookie::stall::{BacklogGuard, StallDetector, TickReport};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_traffic_thread_notices_before_the_control_thread_has_run() {
+fn the_traffic_thread_detects_a_stall_before_the_control_thread_has_run() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(1_000),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_traffic_thread_notices_after_the_control_thread_has_run() {
+fn the_traffic_thread_detects_a_stall_after_the_control_thread_has_run() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(5_000),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn packets_are_old_until_the_socket_was_empty() {
+fn packets_belong_to_the_stall_until_the_socket_is_empty() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(5_000),
--- a/crates/bellyoke-core/tests/cookie/superseded_instances.rs
+++ b/crates/bellyoke-core/tests/cookie/superseded_instances.rs
@@ -1,4 +1,5 @@
-//! Which instances have ended for certain, and what becomes of the flows that are open there.
+//! Instances that have ended because another one took over their address, and the flows that are
+//! open there.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, later, node, opening, record};
 use bellyoke_core::cookie::delta::DirectoryDelta;
@@ -12,9 +13,9 @@
 use bellyoke_core::cookie::revision::Revision;
 use std::collections::BTreeSet;
 
-const NOBODY: [u64; 0] = [];
+const NO_INSTANCES: [u64; 0] = [];
 
-/// The record of an instance at the address of another one.
+/// Returns the record of an instance at the address of another one.
 fn at_address_of(other: u64, record: InstanceRecord) -> InstanceRecord {
     let address = crate::support::record(other, 1).address;
     InstanceRecord { address, ..record }
@@ -24,37 +25,37 @@
     vec![InstanceEvent::Put(record)]
 }
 
-fn gone(id: u64) -> Vec<InstanceEvent> {
+fn deleted(id: u64) -> Vec<InstanceEvent> {
     vec![InstanceEvent::Gone(InstanceId(id))]
 }
 
-/// The record of instance 9, which came to the address of instance 1 at revision 20.
+/// The record of instance 9, which got the address of instance 1 at revision 20.
 fn successor() -> InstanceRecord {
     at_address_of(1, record(9, 20))
 }
 
-/// The record of instance 1, written again at a revision: it was created anew if it had gone.
-fn written_late(revision: u64) -> InstanceRecord {
+/// The record of instance 1, written again at a revision: created anew if it was deleted.
+fn late_write(revision: u64) -> InstanceRecord {
     record(1, revision)
 }
 
-/// Instances 1 and 2, and then 9 at the address of the first, whose record goes later.
+/// Instances 1 and 2, and then 9 at the address of the first, whose record is still there.
 fn both_present() -> Replica {
     let mut replica = node(vec![record(1, 1), record(2, 2)]);
     replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
     replica
 }
 
-/// The same after the record of instance 1 has gone.
-fn passed_on() -> Replica {
+/// The same after the record of instance 1 was deleted.
+fn superseded_by_successor() -> Replica {
     let mut replica = both_present();
-    replica.apply_instances(at(5_200), Revision::new(21), gone(1));
+    replica.apply_instances(at(5_200), Revision::new(21), deleted(1));
     replica
 }
 
-fn ended(replica: &Replica) -> Vec<u64> {
-    let ended = replica.directory().superseded();
-    ended.into_iter().map(|id| id.0).collect()
+fn superseded(replica: &Replica) -> Vec<u64> {
+    let superseded = replica.directory().superseded();
+    superseded.into_iter().map(|id| id.0).collect()
 }
 
 fn tombstone(record: InstanceRecord, age_milliseconds: u32, revision: u64) -> Tombstone {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Where openings of 100 flows and their copies are placed.
+/// Returns the instances at which openings of 100 flows and their copies are placed.
 fn placed(replica: &Replica) -> BTreeSet<u64> {
     let table = replica.table();
     let mut placed = BTreeSet::new();
@@ -88,110 +89,119 @@
 }
 
 #[test]
-fn flows_of_an_instance_whose_address_passed_on_are_ended() {
-    let replica = passed_on();
-    let ended = Decision::Reset(ResetReason::Superseded);
-    assert_eq!(decide(&replica, 1, PacketRole::Later), ended);
+fn flows_of_a_superseded_instance_are_reset() {
+    let replica = superseded_by_successor();
+    let superseded = Decision::Reset(ResetReason::Superseded);
+    assert_eq!(decide(&replica, 1, PacketRole::Later), superseded);
     for alive in [2, 9] {
         let decision = decide(&replica, alive, PacketRole::Later);
         assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
     }
-    // Who has given up itself wants no answer.
+    // A client that has aborted its flow expects no answer.
     let decision = decide(&replica, 1, PacketRole::Abort);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
 }
 
 #[test]
-fn no_opening_goes_to_an_instance_whose_address_passed_on() {
+fn no_opening_goes_to_a_superseded_instance() {
     assert_eq!(placed(&both_present()), BTreeSet::from([2, 9]));
-    assert_eq!(placed(&passed_on()), BTreeSet::from([2, 9]));
+    assert_eq!(placed(&superseded_by_successor()), BTreeSet::from([2, 9]));
 }
 
-/// A record that is there may be that of an instance that lives: only what the store says of both ends flows.
+/// While its record is there, an instance may be alive: its flows are only reset once the store
+/// shows that it was deleted and its address reused.
 #[test]
-fn no_flow_is_ended_while_the_record_of_its_instance_is_there() {
+fn no_flow_is_reset_while_the_record_of_its_instance_exists() {
     let mut replica = both_present();
-    assert_eq!(ended(&replica), NOBODY);
+    assert_eq!(superseded(&replica), NO_INSTANCES);
     let decision = decide(&replica, 1, PacketRole::Later);
     assert!(matches!(decision, Decision::Follow { .. }), "{decision:?}");
-    replica.apply_instances(at(9_000), Revision::new(30), gone(1));
-    assert_eq!(ended(&replica), [1]);
+    replica.apply_instances(at(9_000), Revision::new(30), deleted(1));
+    assert_eq!(superseded(&replica), [1]);
 }
 
 #[test]
-fn a_late_write_of_the_ended_instance_turns_nothing_round() {
-    let mut replica = passed_on();
-    replica.apply_instances(at(5_500), Revision::new(30), put(written_late(30)));
-    assert_eq!(ended(&replica), NOBODY);
+fn a_late_write_of_the_superseded_instance_does_not_reverse_the_order() {
+    let mut replica = superseded_by_successor();
+    replica.apply_instances(at(5_500), Revision::new(30), put(late_write(30)));
+    assert_eq!(superseded(&replica), NO_INSTANCES);
     assert_eq!(placed(&replica), BTreeSet::from([2, 9]));
-    replica.apply_instances(at(9_100), Revision::new(31), gone(1));
-    assert_eq!(ended(&replica), [1]);
+    replica.apply_instances(at(9_100), Revision::new(31), deleted(1));
+    assert_eq!(superseded(&replica), [1]);
 }
 
-/// A late write and the lapse that follows it, as a node meets them that started in between.
+/// A node that started after the instance was superseded sees only a late write of its record, and
+/// the lapse that follows. The late write looks like the creation of a later instance; resetting
+/// the flows of either would break live ones.
 #[test]
-fn a_late_write_of_an_unknown_instance_ends_nobody() {
+fn a_late_write_of_an_unknown_instance_supersedes_none() {
     let restarted = || {
         let mut replica = node(vec![record(2, 2)]);
         replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
         replica
     };
     let mut replica = restarted();
-    replica.apply_instances(at(8_000), Revision::new(30), put(written_late(30)));
-    assert_eq!(ended(&replica), NOBODY);
-    replica.apply_instances(at(12_000), Revision::new(31), gone(1));
-    assert_eq!(ended(&replica), NOBODY);
-    // Both in one answer.
+    replica.apply_instances(at(8_000), Revision::new(30), put(late_write(30)));
+    assert_eq!(superseded(&replica), NO_INSTANCES);
+    replica.apply_instances(at(12_000), Revision::new(31), deleted(1));
+    assert_eq!(superseded(&replica), NO_INSTANCES);
+    // Both in one answer of the store.
     let mut replica = restarted();
-    let mut events = put(written_late(30));
-    events.extend(gone(1));
+    let mut events = put(late_write(30));
+    events.extend(deleted(1));
     replica.apply_instances(at(12_000), Revision::new(31), events);
-    assert_eq!(ended(&replica), NOBODY);
+    assert_eq!(superseded(&replica), NO_INSTANCES);
 }
 
-/// A restarted node sees the later instance at once, and learns of the earlier one, whose record went last.
+/// A restarted node reads the later instance first, and receives the tombstone of the earlier one
+/// afterwards, because that record was deleted last. By the order of arrival the wrong instance
+/// would count as ended.
 #[test]
-fn a_tombstone_that_went_after_its_successor_came_is_of_the_earlier_instance() {
+fn a_tombstone_received_after_the_successor_is_of_the_earlier_instance() {
     let mut replica = node(vec![record(2, 2), successor()]);
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(at(0), Revision::new(20), vec![record(2, 2), successor()]);
-    let went_last = tombstone(record(1, 1), 200, 25);
-    directory.learn_tombstones(at(3_000), vec![went_last.clone()]);
+    let deleted_last = tombstone(record(1, 1), 200, 25);
+    directory.learn_tombstones(at(3_000), vec![deleted_last.clone()]);
     assert_eq!(directory.superseded(), BTreeSet::from([InstanceId(1)]));
     let snapshot = Snapshot {
-        tombstones: vec![went_last],
-        ..passed_on().snapshot_for(at(3_000), replica.versions(), Revision::new(0))
+        tombstones: vec![deleted_last],
+        ..superseded_by_successor().snapshot_for(at(3_000), replica.versions(), Revision::new(0))
     };
     replica.merge(at(3_000), snapshot);
-    assert_eq!(ended(&replica), [1]);
+    assert_eq!(superseded(&replica), [1]);
 }
 
-/// A node that knows of a late write only hears from peers that the instance was there before.
+/// A node that has seen only a late write learns from peers that the instance was created before.
+/// Without that it would take the ended instance for the later one.
 #[test]
-fn peers_tell_of_creations_before_a_late_write() {
+fn peers_report_creations_before_a_late_write() {
     let mut replica = node(vec![record(2, 2)]);
     replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
-    replica.apply_instances(at(8_000), Revision::new(30), put(written_late(30)));
+    replica.apply_instances(at(8_000), Revision::new(30), put(late_write(30)));
     assert_eq!(placed(&replica), BTreeSet::from([1, 2]));
 
-    let mut peer = passed_on();
-    peer.apply_instances(at(8_000), Revision::new(30), put(written_late(30)));
+    let mut peer = superseded_by_successor();
+    peer.apply_instances(at(8_000), Revision::new(30), put(late_write(30)));
     let snapshot = peer.snapshot_for(at(8_500), replica.versions(), Revision::new(0));
-    assert_eq!(snapshot.directory, None, "both know all up to revision 30");
+    assert_eq!(
+        snapshot.directory, None,
+        "both have all changes up to revision 30"
+    );
     let bytes = encode_snapshot(&snapshot, &PeerKey::default()).unwrap();
     let snapshot = decode_snapshot(&bytes, &PeerKey::default()).unwrap();
     assert!(replica.merge(at(8_500), snapshot).directory);
     assert_eq!(placed(&replica), BTreeSet::from([2, 9]));
-    replica.apply_instances(at(12_000), Revision::new(31), gone(1));
-    assert_eq!(ended(&replica), [1]);
+    replica.apply_instances(at(12_000), Revision::new(31), deleted(1));
+    assert_eq!(superseded(&replica), [1]);
 }
 
 #[test]
-fn the_smaller_creation_counts_whoever_tells_it() {
+fn the_smallest_creation_revision_counts_from_any_source() {
     let created = |directory: &Directory| directory.instances().next().unwrap().record.created;
     let late = || {
         let mut directory = Directory::new(TOMBSTONE_LIFETIME);
-        directory.replace(at(0), Revision::new(30), vec![written_late(30)]);
+        directory.replace(at(0), Revision::new(30), vec![late_write(30)]);
         directory
     };
     let mut by_tombstone = late();
@@ -210,27 +220,27 @@
     };
     assert!(by_delta.apply_delta(at(10), delta));
     assert_eq!(created(&by_delta), Some(Revision::new(2)));
-    // It stays when the record is created anew, and is what peers are told.
-    by_delta.apply(at(20), Revision::new(40), put(written_late(40)));
+    // It is kept when the record is created anew, and is sent to peers.
+    by_delta.apply(at(20), Revision::new(40), put(late_write(40)));
     assert_eq!(by_delta.records(at(20))[0].created, Some(Revision::new(2)));
 }
 
 #[test]
-fn a_successor_that_lapses_ends_nobody_until_it_is_back() {
-    let mut replica = passed_on();
-    replica.apply_instances(at(6_000), Revision::new(30), gone(9));
-    assert_eq!(ended(&replica), NOBODY);
+fn a_lapsed_successor_supersedes_none_until_it_is_back() {
+    let mut replica = superseded_by_successor();
+    replica.apply_instances(at(6_000), Revision::new(30), deleted(9));
+    assert_eq!(superseded(&replica), NO_INSTANCES);
     let back = at_address_of(1, record(9, 40));
     replica.apply_instances(at(8_000), Revision::new(40), put(back));
-    assert_eq!(ended(&replica), [1]);
-    // It was created first at 20: a late write in between was no later instance.
-    replica.apply_instances(at(8_100), Revision::new(41), gone(9));
-    replica.apply_instances(at(8_200), Revision::new(42), put(written_late(35)));
-    assert_eq!(ended(&replica), NOBODY);
+    assert_eq!(superseded(&replica), [1]);
+    // It was first created at revision 20: a late write in between is no later instance.
+    replica.apply_instances(at(8_100), Revision::new(41), deleted(9));
+    replica.apply_instances(at(8_200), Revision::new(42), put(late_write(35)));
+    assert_eq!(superseded(&replica), NO_INSTANCES);
 }
 
 #[test]
-fn where_a_creation_is_not_known_nobody_has_ended() {
+fn without_a_creation_revision_no_instance_is_superseded() {
     let unknown = |record: InstanceRecord| InstanceRecord {
         created: None,
         ..record
@@ -241,21 +251,22 @@
     ] {
         let mut replica = node(vec![earlier, record(2, 2)]);
         replica.apply_instances(at(5_000), Revision::new(20), put(later));
-        replica.apply_instances(at(6_000), Revision::new(21), gone(1));
-        assert_eq!(ended(&replica), NOBODY);
+        replica.apply_instances(at(6_000), Revision::new(21), deleted(1));
+        assert_eq!(superseded(&replica), NO_INSTANCES);
     }
 }
 
 #[test]
-fn records_that_came_together_tell_their_order() {
+fn records_read_together_are_ordered_by_creation() {
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
     directory.replace(at(0), Revision::new(20), vec![record(1, 1), successor()]);
     assert_eq!(directory.superseded(), BTreeSet::new());
-    directory.apply(at(10), Revision::new(21), gone(1));
+    directory.apply(at(10), Revision::new(21), deleted(1));
     assert_eq!(directory.superseded(), BTreeSet::from([InstanceId(1)]));
 }
 
-/// Ids that fold to one cookie: the earlier created one has it at all nodes, whichever they met first.
+/// Two ids fold to one cookie. If the order of arrival decided, nodes would send packets with this
+/// cookie to different instances; the earlier created instance has it at all nodes.
 #[test]
 fn a_shared_cookie_names_the_instance_that_was_created_first() {
     let folded = record((5 << 32) | 6, 4);
@@ -264,14 +275,14 @@
         ..record(3, 5)
     };
     assert_eq!(Cookie::of(folded.id), Cookie::of(first.id));
-    for (met_first, met_last) in [(folded.clone(), first.clone()), (first, folded)] {
+    for (received_first, received_last) in [(folded.clone(), first.clone()), (first, folded)] {
         let mut replica = node(vec![record(2, 2)]);
         replica.apply_instances(
             at(1_000),
             Revision::new(11),
             put(InstanceRecord {
                 revision: Revision::new(11),
-                ..met_first
+                ..received_first
             }),
         );
         replica.apply_instances(
@@ -279,7 +290,7 @@
             Revision::new(12),
             put(InstanceRecord {
                 revision: Revision::new(12),
-                ..met_last
+                ..received_last
             }),
         );
         let table = replica.table();
@@ -289,11 +300,11 @@
 }
 
 #[test]
-fn a_record_that_lapsed_and_came_back_is_of_the_same_instance() {
+fn a_record_that_lapsed_and_was_written_again_is_of_the_same_instance() {
     let mut replica = node(vec![record(1, 1)]);
     replica.adopt_configuration(configuration(2, &[("till", 1)]));
-    let gone = vec![InstanceEvent::Gone(InstanceId(1))];
-    replica.apply_instances(at(5_000), Revision::new(20), gone);
+    let deleted = vec![InstanceEvent::Gone(InstanceId(1))];
+    replica.apply_instances(at(5_000), Revision::new(20), deleted);
     replica.apply_instances(at(9_000), Revision::new(21), put(record(1, 21)));
     assert_eq!(replica.directory().superseded(), BTreeSet::new());
 }
