--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -64,7 +64,7 @@
     /// Most records of one generation.
     capacity: usize,
     /// Longest duration of a generation: a flow that is idle for longer may be dropped.
-    idle_timeout: Duration,
+    generation_duration: Duration,
     young: HashMap<u64, FlowRecord>,
     old: HashMap<u64, FlowRecord>,
     generation_started_at: Timestamp,
@@ -77,7 +77,7 @@
     pub fn new(capacity: usize, idle_timeout: Duration) -> Self {
         Self {
             capacity: (capacity / 2).max(1),
-            idle_timeout: idle_timeout,
+            generation_duration: idle_timeout,
             young: HashMap::new(),
             old: HashMap::new(),
             generation_started_at: Timestamp::ZERO,
@@ -165,7 +165,7 @@
     }
 
     fn rotate_generations(&mut self, now: Timestamp) {
-        let is_over = now.since(self.generation_started_at) >= self.idle_timeout;
+        let is_over = now.since(self.generation_started_at) >= self.generation_duration;
         if is_over || self.young.len() >= self.capacity {
             std::mem::swap(&mut self.old, &mut self.young);
             self.young.clear();
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -87,8 +87,8 @@
     }
 
     /// Records the flow, unless this packet ends it, and updates the state of its requests.
-    /// `is_opened` is true for the first packet after the opening. A request on another flow that
-    /// is unknown here shows that the flow has moved here from another node.
+    /// `is_opened` is true for the first packet after the opening. A request on any other flow
+    /// without a record shows that the flow has moved here from another node.
     fn record_flow(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/route.rs
+++ b/crates/bellyoke-core/src/cookie/route.rs
@@ -65,7 +65,7 @@
 }
 
 /// Limits of a service's instances while they are cold (slow start): for some seconds after their
-/// start, or after their zone was restored.
+/// start, or after their zone was undrained.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ServiceLimits {
     /// Name of the service.
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -289,7 +289,7 @@
     restarted
 }
 
-/// Returns when an instance's slow start ends. An instance whose zone was restored after its record
+/// Returns when an instance's slow start ends. An instance whose zone was undrained after its record
 /// last changed may be cold although its record doesn't say so.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
     let restoration = zones.restoration(&known.record.zone);
