--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -89,10 +89,9 @@
     #[must_use]
     pub fn status(&self, now: Timestamp) -> Option<RequestStatus> {
         let sent_at = self.sent_at?;
-        let first_answer_microseconds =
-            Duration::from_micros(u64::from(self.first_answer_microseconds));
+        let first_answer = Duration::from_micros(u64::from(self.first_answer_microseconds));
         Some(RequestStatus {
-            after: (self.answered_bytes > 0).then_some(first_answer_microseconds),
+            after: (self.answered_bytes > 0).then_some(first_answer),
             bytes: self.answered_bytes,
             waited: now.since(sent_at),
         })
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -88,12 +88,12 @@
             |cookie: &Cookie| ended.contains(cookie) && !self.already_queued.contains(cookie);
         if ended.iter().any(is_new) {
             let new_flows = flows.iter().filter(|(_, record)| is_new(&record.cookie));
-            let queue = new_flows.map(|(hash, record)| QueuedReset {
+            let resets = new_flows.map(|(hash, record)| QueuedReset {
                 hash,
                 acknowledged: record.acknowledged,
                 cause: ResetCause::Ended,
             });
-            self.queue.extend(queue);
+            self.queue.extend(resets);
             self.interval_started_at = self.interval_started_at.max(now);
         }
         self.already_queued = ended;
