--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -18,11 +18,11 @@
 pub mod queueing;
 pub mod service;
 
-use crate::cookie::answers::{AnswerFate, AnswerSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample};
 use crate::cookie::instance::Cookie;
+use crate::cookie::last_seen::LastSeenTable;
 use crate::cookie::packet::FlowPacket;
-use crate::cookie::route::RouteTerms;
-use crate::cookie::seen::SeenTable;
+use crate::cookie::route::RequestPolicy;
 use crate::cookie::table::{ForwardingTable, ServiceNumber};
 use crate::time::Timestamp;
 use queueing::QueueingCount;
@@ -61,9 +61,9 @@
 ///
 /// ```
 /// use bellyoke_core::cookie::admission::RequestClass;
-/// use bellyoke_core::cookie::route::{RequestKind, RouteTerms};
+/// use bellyoke_core::cookie::route::{RequestKind, RequestPolicy};
 ///
-/// let class = |priority, kind| RequestClass::of(&RouteTerms { priority, kind, ..RouteTerms::default() });
+/// let class = |priority, kind| RequestClass::of(&RequestPolicy { priority, kind, ..RequestPolicy::default() });
 /// let order = class(1, RequestKind::NonIdempotent);
 /// let lookup = class(1, RequestKind::Idempotent);
 /// assert!(order < lookup, "requests that can't be retried are admitted first");
@@ -80,10 +80,10 @@
 impl RequestClass {
     /// Returns the class of a route's requests.
     #[must_use]
-    pub const fn of(terms: &RouteTerms) -> Self {
+    pub const fn of(request_policy: &RequestPolicy) -> Self {
         Self {
-            priority: terms.priority,
-            may_retry: terms.kind.may_repeat(),
+            priority: request_policy.priority,
+            may_retry: request_policy.kind.may_retry(),
         }
     }
 }
@@ -121,8 +121,8 @@
     /// Indexed by service number, with the name of the service.
     services: Vec<(String, ServiceAdmission)>,
     configuration_version: u64,
-    refused: SeenTable,
-    admitted: SeenTable,
+    refused: LastSeenTable,
+    admitted: LastSeenTable,
 }
 
 impl AdmissionController {
@@ -133,8 +133,8 @@
             settings,
             services: Vec::new(),
             configuration_version: 0,
-            refused: SeenTable::new(DECISION_CACHE_SIZE),
-            admitted: SeenTable::new(DECISION_CACHE_SIZE),
+            refused: LastSeenTable::new(DECISION_CACHE_SIZE),
+            admitted: LastSeenTable::new(DECISION_CACHE_SIZE),
         }
     }
 
@@ -147,7 +147,7 @@
         packet: &FlowPacket,
         attempt: u32,
         service: ServiceNumber,
-        terms: &RouteTerms,
+        request_policy: &RequestPolicy,
     ) -> bool {
         if !self.settings.enabled {
             return true;
@@ -160,14 +160,14 @@
         let Some(service) = self.service_mut(table, service) else {
             return true;
         };
-        let class = RequestClass::of(terms);
+        let class = RequestClass::of(request_policy);
         let admitted = service.admit(now, &settings, packet.flow.service, class);
         let decisions = if admitted {
             &mut self.admitted
         } else {
             &mut self.refused
         };
-        decisions.note(now, key);
+        decisions.record(now, key);
         admitted
     }
 
@@ -203,7 +203,7 @@
                 cookie,
                 service,
                 priority: 0,
-                fate: AnswerFate::Unanswered { waited },
+                outcome: AnswerOutcome::Unanswered { waited },
             };
             self.record_answer(now, table, &sample);
         }
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -1,6 +1,6 @@
 //! The rate of openings that is admitted while a service is overloaded.
 
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -60,10 +60,10 @@
     /// Returns whether the outcome of a request reflects the current budget. Answers do once queues
     /// had time to drain after the last decrease; an unanswered request does if it was sent after it.
     #[must_use]
-    pub fn is_reflected_in(&self, now: Timestamp, fate: &AnswerFate) -> bool {
+    pub fn is_reflected_in(&self, now: Timestamp, fate: &AnswerOutcome) -> bool {
         match *fate {
-            AnswerFate::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
-            AnswerFate::Answered { .. } | AnswerFate::Short { .. } => {
+            AnswerOutcome::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
+            AnswerOutcome::Answered { .. } | AnswerOutcome::Short { .. } => {
                 now.since(self.shrunk_at) >= SETTLE_TIME
             }
         }
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -14,7 +14,7 @@
 use super::budget::OpeningBudget;
 use super::queueing::{QueueDetector, QueueingCount};
 use super::{AdmissionChange, AdmissionSettings, RequestClass};
-use crate::cookie::answers::{AnswerFate, AnswerSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample};
 use crate::time::Timestamp;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -125,8 +125,8 @@
         sample: &AnswerSample,
     ) {
         self.roll_window(now, settings);
-        let queues = match sample.fate {
-            AnswerFate::Answered { after, .. } => {
+        let queues = match sample.outcome {
+            AnswerOutcome::Answered { after, .. } => {
                 let queues = self.queue_detector.indicates_queue(sample.priority, after);
                 if self.budget.is_none() {
                     self.queue_detector.learn_baseline(sample.priority, after);
@@ -135,7 +135,7 @@
             }
             // An instance that rejects requests because its queue is full also has slow answers. A fast
             // short answer of another instance is an error and no sign of load.
-            AnswerFate::Short { after } => {
+            AnswerOutcome::Short { after } => {
                 let queues = self.queue_detector.indicates_queue(sample.priority, after);
                 if !queues && !self.queue_detector.has_queued(now, sample.cookie) {
                     return;
@@ -144,22 +144,24 @@
             }
             // A request that waits for long at an instance with a queue waits in that queue. An instance
             // without a queue may have died.
-            AnswerFate::Unanswered { .. } if self.queue_detector.has_queued(now, sample.cookie) => {
+            AnswerOutcome::Unanswered { .. }
+                if self.queue_detector.has_queued(now, sample.cookie) =>
+            {
                 Some(true)
             }
-            AnswerFate::Unanswered { .. } => return,
+            AnswerOutcome::Unanswered { .. } => return,
         };
-        self.count_answer(now, &sample.fate, queues == Some(true));
+        self.count_answer(now, &sample.outcome, queues == Some(true));
         if let Some(queues) = queues {
             self.queue_detector.record(now, sample.cookie, queues);
         }
     }
 
-    fn count_answer(&mut self, now: Timestamp, fate: &AnswerFate, is_queued: bool) {
-        let is_served = matches!(fate, AnswerFate::Answered { .. });
+    fn count_answer(&mut self, now: Timestamp, outcome: &AnswerOutcome, is_queued: bool) {
+        let is_served = matches!(outcome, AnswerOutcome::Answered { .. });
         self.served += u32::from(is_served);
         let budget = self.budget.as_ref();
-        if budget.is_some_and(|budget| !budget.is_reflected_in(now, fate)) {
+        if budget.is_some_and(|budget| !budget.is_reflected_in(now, outcome)) {
             return;
         }
         self.queued += u32::from(is_queued);
--- a/crates/bellyoke-core/src/cookie/answers/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/answers/monitor.rs
@@ -1,8 +1,8 @@
-//! Samples of what became of requests, from the packets of all flows of one traffic thread.
+//! Derives samples of request outcomes from the packets of all flows of one traffic thread.
 
 use super::baseline::AnswerBaseline;
-use super::progress::RequestOutcome;
-use super::{AnswerFate, AnswerSample};
+use super::progress::RequestStatus;
+use super::{AnswerOutcome, AnswerSample};
 use crate::cookie::flows::{FlowRecord, FlowTable};
 use crate::cookie::packet::{FlowPacket, FlowTuple};
 use crate::cookie::table::{ForwardingTable, ServiceNumber};
@@ -11,59 +11,64 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Routes whose usual answers are remembered, about 700 bytes each; requests on others aren't judged.
+/// Most baselines that are stored, about 700 bytes each; requests on further routes get no samples.
 const MAXIMUM_ROUTES: usize = 256;
 
-/// Requests watched at once; of further ones only the end on their flow is seen.
-const MAXIMUM_WATCHED: usize = 1_024;
+/// Most flows that are watched for overdue requests at the same time. For others only a packet that
+/// ends the request yields a sample.
+const MAXIMUM_WATCHED_FLOWS: usize = 1_024;
 
-/// An answer of which nothing more came for so long is whole. Packets of one answer follow each other
-/// within milliseconds; those lost come 200 ms later, so that a rare answer passes as short.
-const REST: Duration = Duration::from_millis(100);
+/// Time without further packets after which an answer is complete. Packets of one answer follow
+/// each other within milliseconds; lost ones arrive 200 ms later, so that rarely an incomplete
+/// answer counts as short.
+const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// So many flows that come from other nodes within [`MOVE_TIME`] show that routers spread flows anew: this
-/// node's own ones have gone to others, and their answers with them.
-const MOVES: usize = 3;
+/// Number of flows that move here from other nodes within [`REDISTRIBUTION_WINDOW`] that shows that
+/// routers have redistributed flows. This node's own flows, and the answers to them, are then seen
+/// by other nodes.
+const REDISTRIBUTED_FLOWS_THRESHOLD: usize = 3;
 
-/// See [`MOVES`]. Resting flows that were forgotten come singly.
-const MOVE_TIME: Duration = Duration::from_secs(1);
+/// Window of [`REDISTRIBUTED_FLOWS_THRESHOLD`]. Idle flows that were forgotten appear one at a
+/// time.
+const REDISTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 
-/// How an answer compares with the usual ones of its route.
+/// How an answer compares with the normal ones of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerQuality {
-    /// About as usual.
-    Usual,
-    /// Much later than usual.
+    /// Within the normal range.
+    Normal,
+    /// Much slower than normal.
     Slow,
-    /// An error, or none at all.
+    /// An error, or no answer at all.
     Failed,
 }
 
-/// A sample, and how it compares with others.
+/// A sample and its quality.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct JudgedSample {
-    /// What became of the request.
+pub struct ClassifiedSample {
+    /// Outcome of the request.
     pub sample: AnswerSample,
-    /// How that compares.
+    /// Quality compared with the route's baseline.
     pub quality: AnswerQuality,
 }
 
-/// Watches the requests on the flows of one traffic thread.
+/// Tracks the requests on the flows of one traffic thread.
 #[derive(Debug, Default)]
 pub struct AnswerMonitor {
-    /// By the address of the route and the instance's service: work and sizes differ by both.
+    /// Baselines by the address of the route and the instance's service: processing times and
+    /// lengths differ by both.
     baselines: BTreeMap<(SocketAddrV4, ServiceNumber), AnswerBaseline>,
-    /// Flow hashes of requests under way.
+    /// Hashes of flows with requests under way.
     watched: Vec<u64>,
-    /// When the last flows came from other nodes, the last one last.
-    moved_at: [Timestamp; MOVES],
-    /// When routers last spread flows anew.
-    respread_at: Timestamp,
+    /// When flows last moved here from other nodes, in ascending order.
+    moved_at: [Timestamp; REDISTRIBUTED_FLOWS_THRESHOLD],
+    /// When routers last redistributed flows.
+    redistributed_at: Timestamp,
 }
 
 impl AnswerMonitor {
-    /// Takes a packet into account, after its flow's record was noted. Returns a sample if the packet shows
-    /// that a request is over.
+    /// Processes a packet after its flow's record was updated. Returns a sample if the packet shows
+    /// that a request is finished.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -71,65 +76,69 @@
         flow_hash: u64,
         packet: &FlowPacket,
         record: &mut FlowRecord,
-    ) -> Option<JudgedSample> {
-        let was_asked = record.request.asked_at.is_some();
-        let outcome = record.request.observe(now, packet);
-        let is_asked = record.request.asked_at.is_some();
-        let begins = is_asked && (!was_asked || outcome.is_some());
-        if begins && self.watched.len() < MAXIMUM_WATCHED && !self.watched.contains(&flow_hash) {
+    ) -> Option<ClassifiedSample> {
+        let was_pending = record.request.sent_at.is_some();
+        let status = record.request.observe(now, packet);
+        let is_pending = record.request.sent_at.is_some();
+        let is_new = is_pending && (!was_pending || status.is_some());
+        if is_new
+            && self.watched.len() < MAXIMUM_WATCHED_FLOWS
+            && !self.watched.contains(&flow_hash)
+        {
             self.watched.push(flow_hash);
         }
-        self.judge(table, record, &outcome?)
+        self.classify(table, record, &status?)
     }
 
-    /// A flow has come that opened through another node.
-    pub fn note_moved(&mut self, now: Timestamp) {
+    /// Records that a flow has moved here that was opened through another node.
+    pub fn record_moved_flow(&mut self, now: Timestamp) {
         self.moved_at.rotate_left(1);
-        self.moved_at[MOVES - 1] = now;
-        let is_wave = now.since(self.moved_at[0]) < MOVE_TIME;
-        // Those that rested come over some seconds; what is asked meanwhile counts.
-        if is_wave && now.since(self.respread_at) >= MOVE_TIME {
-            self.respread_at = now;
+        self.moved_at[REDISTRIBUTED_FLOWS_THRESHOLD - 1] = now;
+        let is_redistribution = now.since(self.moved_at[0]) < REDISTRIBUTION_WINDOW;
+        // Flows that were idle arrive over some seconds; requests sent in the meantime count.
+        if is_redistribution && now.since(self.redistributed_at) >= REDISTRIBUTION_WINDOW {
+            self.redistributed_at = now;
         }
     }
 
-    /// Looks at the requests under way. Returns samples of those that are overdue, and of answers that
-    /// have come to rest.
+    /// Checks the requests under way. Returns samples of those that are overdue, and of answers
+    /// that are complete.
     pub fn review(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
         flows: &mut FlowTable,
-    ) -> Vec<JudgedSample> {
-        let mut judged = Vec::new();
+    ) -> Vec<ClassifiedSample> {
+        let mut classified = Vec::new();
         let watched = std::mem::take(&mut self.watched);
         for flow_hash in watched {
             let Some(record) = flows.get_mut(flow_hash) else {
                 continue;
             };
-            let Some(outcome) = record.request.outcome(now) else {
+            let Some(status) = record.request.status(now) else {
                 continue;
             };
-            if self.is_over(now, table, record, &outcome) {
-                let asked_at = record.request.asked_at;
+            if self.is_over(now, table, record, &status) {
+                let sent_at = record.request.sent_at;
                 record.request.finish(now);
-                let has_moved = asked_at.is_some_and(|asked_at| asked_at <= self.respread_at);
-                if outcome.after.is_none() && has_moved {
+                let has_moved = sent_at.is_some_and(|sent_at| sent_at <= self.redistributed_at);
+                if status.after.is_none() && has_moved {
                     continue;
                 }
-                judged.extend(self.judge(table, record, &outcome));
+                classified.extend(self.classify(table, record, &status));
             } else {
                 self.watched.push(flow_hash);
             }
         }
-        judged
+        classified
     }
 
-    /// The process stood still: what it missed would count as not answered.
+    /// Discards the requests under way after the process was stalled: answers that it missed would
+    /// count as missing.
     pub fn forget_requests(&mut self, flows: &mut FlowTable) {
         for flow_hash in std::mem::take(&mut self.watched) {
             if let Some(record) = flows.get_mut(flow_hash) {
-                record.request.asked_at = None;
+                record.request.sent_at = None;
             }
         }
     }
@@ -139,60 +148,63 @@
         now: Timestamp,
         table: &ForwardingTable,
         record: &FlowRecord,
-        outcome: &RequestOutcome,
+        status: &RequestStatus,
     ) -> bool {
-        if outcome.after.is_some() {
-            return now.since(record.seen_at) >= REST;
+        if status.after.is_some() {
+            return now.since(record.seen_at) >= ANSWER_IDLE_TIMEOUT;
         }
-        let baseline = key(table, record).and_then(|key| self.baselines.get(&key));
-        baseline.is_some_and(|baseline| outcome.waited >= baseline.overdue())
+        let baseline = baseline_key(table, record).and_then(|key| self.baselines.get(&key));
+        baseline.is_some_and(|baseline| status.waited >= baseline.overdue())
     }
 
-    fn judge(
+    fn classify(
         &mut self,
         table: &ForwardingTable,
         record: &FlowRecord,
-        outcome: &RequestOutcome,
-    ) -> Option<JudgedSample> {
-        let (address, service) = key(table, record)?;
-        let priority = table.route(address)?.terms.priority;
+        status: &RequestStatus,
+    ) -> Option<ClassifiedSample> {
+        let (address, service) = baseline_key(table, record)?;
+        let priority = table.route(address)?.request_policy.priority;
         let is_known = self.baselines.contains_key(&(address, service));
         if !is_known && self.baselines.len() >= MAXIMUM_ROUTES {
             return None;
         }
         let baseline = self.baselines.entry((address, service)).or_default();
-        let (fate, quality) = compare(baseline, outcome);
-        if let Some(after) = outcome.after {
-            baseline.learn(after, outcome.bytes);
+        let (outcome, quality) = compare(baseline, status);
+        if let Some(after) = status.after {
+            baseline.learn(after, status.bytes);
         }
         let sample = AnswerSample {
             cookie: record.cookie,
             service,
             priority,
-            fate,
+            outcome,
         };
-        Some(JudgedSample { sample, quality })
+        Some(ClassifiedSample { sample, quality })
     }
 }
 
-fn compare(baseline: &AnswerBaseline, outcome: &RequestOutcome) -> (AnswerFate, AnswerQuality) {
-    let bytes = outcome.bytes;
-    let Some(after) = outcome.after else {
-        let waited = outcome.waited;
-        return (AnswerFate::Unanswered { waited }, AnswerQuality::Failed);
+fn compare(baseline: &AnswerBaseline, status: &RequestStatus) -> (AnswerOutcome, AnswerQuality) {
+    let bytes = status.bytes;
+    let Some(after) = status.after else {
+        let waited = status.waited;
+        return (AnswerOutcome::Unanswered { waited }, AnswerQuality::Failed);
     };
     if baseline.is_short(bytes) {
-        return (AnswerFate::Short { after }, AnswerQuality::Failed);
+        return (AnswerOutcome::Short { after }, AnswerQuality::Failed);
     }
     let quality = if baseline.is_slow(after) {
         AnswerQuality::Slow
     } else {
-        AnswerQuality::Usual
+        AnswerQuality::Normal
     };
-    (AnswerFate::Answered { after, bytes }, quality)
+    (AnswerOutcome::Answered { after, bytes }, quality)
 }
 
-fn key(table: &ForwardingTable, record: &FlowRecord) -> Option<(SocketAddrV4, ServiceNumber)> {
+fn baseline_key(
+    table: &ForwardingTable,
+    record: &FlowRecord,
+) -> Option<(SocketAddrV4, ServiceNumber)> {
     let FlowTuple { service, .. } = record.flow;
     Some((service, table.service_of(record.cookie)?))
 }
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -12,7 +12,7 @@
 use crate::cookie::instance::{InstanceId, InstanceRecord, InstanceState};
 use crate::cookie::replica::{DirectoryPart, DirectorySnapshot, Snapshot, Versions};
 use crate::cookie::revision::Revision;
-use crate::cookie::route::{Configuration, Route, RouteTerms, ServiceLimits, WeightedService};
+use crate::cookie::route::{Configuration, RequestPolicy, Route, ServiceLimits, WeightedService};
 use crate::cookie::zones::ZoneSnapshot;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 struct PackedRouteGroup {
     services: Vec<PackedWeight>,
-    terms: RouteTerms,
+    request_policy: RequestPolicy,
 }
 
 #[derive(Debug, Archive, Serialize, Deserialize)]
@@ -269,7 +269,7 @@
             port: route.address.port(),
             group: groups.insert(PackedRouteGroup {
                 services: shares,
-                terms: route.terms,
+                request_policy: route.request_policy,
             })?,
         });
     }
@@ -291,15 +291,15 @@
     for group in packed.groups {
         let shares = group.services.into_iter();
         let shares = shares.map(|share| unpack_share(names, share));
-        groups.push((shares.collect::<Result<Vec<_>, _>>()?, group.terms));
+        groups.push((shares.collect::<Result<Vec<_>, _>>()?, group.request_policy));
     }
     let mut routes = Vec::with_capacity(packed.routes.len());
     for route in packed.routes {
-        let (services, terms) = resolve(&groups, route.group)?;
+        let (services, request_policy) = resolve(&groups, route.group)?;
         routes.push(Route {
             address: SocketAddrV4::new(Ipv4Addr::from(route.ip), route.port),
             services,
-            terms,
+            request_policy,
         });
     }
     Ok(Configuration {
--- a/crates/bellyoke-core/src/cookie/forwarder/following.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/following.rs
@@ -1,22 +1,23 @@
-//! Packets of flows that are open: where they go, and what they tell of requests.
+//! Packets of open flows: where they are forwarded, and what they show about requests.
 
 use super::{Decision, DropReason, Forwarder, ResetReason};
-use crate::cookie::answers::{AnswerFate, AnswerSample, JudgedSample};
+use crate::cookie::answers::{AnswerOutcome, AnswerSample, ClassifiedSample};
 use crate::cookie::instance::Cookie;
+use crate::cookie::last_seen::data_key;
 use crate::cookie::load::PACKET_WEIGHT;
 use crate::cookie::packet::{FlowPacket, PacketRole};
-use crate::cookie::seen::data_key;
 use crate::cookie::table::ForwardingTable;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Data that comes again sooner is a copy of the network's: clients wait 200 ms for an
-/// acknowledgement.
-pub(super) const SHORTEST_REPEAT: Duration = Duration::from_millis(150);
+/// Data that is seen again sooner is a duplicate made by the network: clients wait 200 ms for an
+/// acknowledgement before they retransmit.
+pub(super) const MINIMUM_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a request that got an error counts as load, in packets: an instance that fails at once looks idle,
-/// and must not be preferred for it. One without an answer may have lost a packet, and counts nothing.
-const FAILURE_WEIGHT: f32 = 16.0;
+/// Load that a failed request counts for, in packets. An instance that fails requests at once looks
+/// idle and must not be preferred for it. Requests without an answer count nothing, as a packet may
+/// have been lost.
+const FAILED_REQUEST_WEIGHT: f32 = 16.0;
 
 impl Forwarder {
     pub(super) fn follow(
@@ -36,21 +37,22 @@
             self.flows.remove(packet.flow.hash());
             return Decision::Reset(ResetReason::Superseded);
         }
-        self.note_life(packet, cookie);
+        self.record_flow_progress(packet, cookie);
         let opened_after = self
             .monitor
             .record_progress(now, packet.flow.hash(), cookie);
         if let Some(after) = opened_after {
-            self.lives(now.before(after), cookie);
-            self.note_opened(now, table, packet.flow.hash(), cookie, after);
+            self.record_alive(now.before(after), cookie);
+            self.record_opened(now, table, packet.flow.hash(), cookie, after);
         }
         if packet.role == PacketRole::Later
-            && (self.is_unanswered(now, packet, cookie) || self.asks_in_vain(now, packet, cookie))
+            && (self.is_unanswered_retransmission(now, packet, cookie)
+                || self.is_request_to_ended_instance(now, packet, cookie))
         {
             self.flows.remove(packet.flow.hash());
             return Decision::Reset(ResetReason::Unreachable);
         }
-        self.note_flow(now, table, packet, cookie, opened_after.is_some());
+        self.record_flow(now, table, packet, cookie, opened_after.is_some());
         self.loads.count(now, cookie, PACKET_WEIGHT);
         Decision::Follow {
             destination,
@@ -58,20 +60,21 @@
         }
     }
 
-    /// Notes that a flow goes on, if this packet shows it. The instance has sent something since the flow's
-    /// last packet; when, isn't known: a client that rests tells what it got last with its next request.
-    fn note_life(&mut self, packet: &FlowPacket, cookie: Cookie) {
+    /// Records that an instance is alive if this packet acknowledges new data of its flow. The
+    /// instance has sent that data since the flow's last packet. The exact time is unknown: an idle
+    /// client acknowledges the last data only with its next request.
+    fn record_flow_progress(&mut self, packet: &FlowPacket, cookie: Cookie) {
         let flow_hash = packet.flow.hash();
-        let held = self.flows.get(flow_hash);
-        let held = held.filter(|held| held.flow == packet.flow && held.cookie == cookie);
-        let advanced = held.filter(|held| held.acknowledged != packet.acknowledged);
-        if let Some(seen_at) = advanced.map(|held| held.seen_at) {
-            self.lives(seen_at, cookie);
+        let known = self.flows.get(flow_hash);
+        let known = known.filter(|known| known.flow == packet.flow && known.cookie == cookie);
+        let advanced = known.filter(|known| known.acknowledged != packet.acknowledged);
+        if let Some(seen_at) = advanced.map(|known| known.seen_at) {
+            self.record_alive(seen_at, cookie);
         }
     }
 
-    /// Notes how long a flow took to open.
-    fn note_opened(
+    /// Records how long a flow took to open.
+    fn record_opened(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
@@ -79,16 +82,16 @@
         cookie: Cookie,
         after: Duration,
     ) {
-        if let Some((_, zone)) = table.place_of(cookie) {
+        if let Some((_, zone)) = table.location_of(cookie) {
             self.zones.adopt(table);
             self.zones.record_opened(now, flow_hash, zone, after);
         }
     }
 
-    /// Remembers the flow, unless this packet ends it, and sees what became of its requests. `is_opened` tells
-    /// whether this is its first packet after the opening; of another one a request is news only if the flow
-    /// has moved here from another node.
-    fn note_flow(
+    /// Records the flow, unless this packet ends it, and updates the state of its requests.
+    /// `is_opened` is true for the first packet after the opening. A request on any other flow
+    /// without a record shows that the flow has moved here from another node.
+    fn record_flow(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
@@ -97,66 +100,82 @@
         is_opened: bool,
     ) {
         let flow_hash = packet.flow.hash();
-        let asks = packet.data_sequence.is_some();
-        if asks && !is_opened && self.flows.get(flow_hash).is_none() {
-            self.answers.note_moved(now);
+        let has_data = packet.data_sequence.is_some();
+        if has_data && !is_opened && self.flows.get(flow_hash).is_none() {
+            self.answers.record_moved_flow(now);
         }
-        let record = self.flows.note(now, flow_hash, packet, cookie);
-        let judged = self.answers.observe(now, table, flow_hash, packet, record);
-        if let Some(judged) = judged {
-            self.note_answer(now, table, &judged);
+        let record = self.flows.record_packet(now, flow_hash, packet, cookie);
+        let classified = self.answers.observe(now, table, flow_hash, packet, record);
+        if let Some(classified) = classified {
+            self.record_answer(now, table, &classified);
         }
         if packet.closes || packet.role == PacketRole::Abort {
             self.flows.remove(flow_hash);
         }
     }
 
-    /// What became of a request, for the choice between zones.
-    pub fn note_sample(&mut self, now: Timestamp, table: &ForwardingTable, sample: &AnswerSample) {
-        if let Some((_, zone)) = table.place_of(sample.cookie) {
+    /// Records the outcome of a request for the choice between zones.
+    pub fn record_sample(
+        &mut self,
+        now: Timestamp,
+        table: &ForwardingTable,
+        sample: &AnswerSample,
+    ) {
+        if let Some((_, zone)) = table.location_of(sample.cookie) {
             self.zones.adopt(table);
             self.zones.record_sample(now, zone, sample);
         }
     }
 
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         now: Timestamp,
         table: &ForwardingTable,
-        judged: &JudgedSample,
+        classified: &ClassifiedSample,
     ) {
-        self.tallies.record(judged);
-        self.note_sample(now, table, &judged.sample);
-        self.admission.record_answer(now, table, &judged.sample);
-        if matches!(judged.sample.fate, AnswerFate::Short { .. }) {
-            self.loads.count(now, judged.sample.cookie, FAILURE_WEIGHT);
+        self.tallies.record(classified);
+        self.record_sample(now, table, &classified.sample);
+        self.admission.record_answer(now, table, &classified.sample);
+        if matches!(classified.sample.outcome, AnswerOutcome::Short { .. }) {
+            self.loads
+                .count(now, classified.sample.cookie, FAILED_REQUEST_WEIGHT);
         }
     }
 
-    /// Whether a packet repeats data to an instance that can't be reached and shows no life. That the
-    /// client has to repeat it is the flow's own word that it doesn't go on: an instance that only
-    /// takes no new connections still answers on its flows.
-    fn is_unanswered(&mut self, now: Timestamp, packet: &FlowPacket, cookie: Cookie) -> bool {
+    /// Returns whether a packet retransmits data to an instance that is unreachable and shows no
+    /// activity. The retransmission shows that this very flow is stuck: an instance that only
+    /// accepts no new connections still answers on its open flows.
+    fn is_unanswered_retransmission(
+        &mut self,
+        now: Timestamp,
+        packet: &FlowPacket,
+        cookie: Cookie,
+    ) -> bool {
         let Some(sequence) = packet.data_sequence else {
             return false;
         };
         let key = data_key(packet.flow.hash(), sequence);
         let Some(first_sent) = self.first_sent.seen_at(key) else {
-            self.first_sent.note(now, key);
+            self.first_sent.record(now, key);
             return false;
         };
-        let is_repeat = now.since(first_sent) >= SHORTEST_REPEAT;
-        if is_repeat {
-            self.repeated.insert(cookie);
-            self.note_repeating(now, packet.flow.hash());
+        let is_retransmission = now.since(first_sent) >= MINIMUM_RETRANSMISSION_INTERVAL;
+        if is_retransmission {
+            self.retransmitted_to.insert(cookie);
+            self.record_retransmission(now, packet.flow.hash());
         }
-        is_repeat && self.is_unreachable(cookie) && !self.is_alive(now, cookie)
+        is_retransmission && self.is_unreachable(cookie) && !self.is_alive(now, cookie)
     }
 
-    /// Whether a packet asks something of an instance that has ended. Packets without data, and those
-    /// that close their flows, lose nothing.
-    fn asks_in_vain(&self, now: Timestamp, packet: &FlowPacket, cookie: Cookie) -> bool {
-        let asks = packet.data_sequence.is_some() && !packet.closes;
-        self.ends_resting && asks && self.has_ended(now, cookie)
+    /// Returns whether a packet carries a request to an instance that has ended. Packets without
+    /// data, and those that close their flows, lose nothing.
+    fn is_request_to_ended_instance(
+        &self,
+        now: Timestamp,
+        packet: &FlowPacket,
+        cookie: Cookie,
+    ) -> bool {
+        let has_data = packet.data_sequence.is_some() && !packet.closes;
+        self.resets_idle_flows && has_data && self.has_ended(now, cookie)
     }
 }
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/placing.rs
@@ -1,21 +1,21 @@
-//! Where new flows go.
+//! Placement of new flows.
 
-use super::{Decision, DropReason, Forwarder, RECENTLY_GONE, RefusalReason};
+use super::{Decision, DropReason, Forwarder, RECENTLY_GONE_PERIOD, RefusalReason};
 use crate::cookie::cold::ColdShare;
 use crate::cookie::instance::Cookie;
 use crate::cookie::load::OPENING_WEIGHT;
 use crate::cookie::locality::ZoneCapacity;
 use crate::cookie::packet::FlowPacket;
-use crate::cookie::placement::{Suitability, choose_by_zone, choose_part, mix};
-use crate::cookie::table::{Candidate, ForwardingTable, ServicePart};
+use crate::cookie::placement::{Suitability, choose_by_zone, choose_service, mix};
+use crate::cookie::table::{Candidate, ForwardingTable, RouteService};
 use crate::time::Timestamp;
 
-/// One of so many flows that may be repeated goes to an outlier as if it were none, to try it. With a third of
-/// a service set aside that is an eighth of what they had.
-const TRIAL_INTERVAL: u64 = 32;
+/// One in this many flows whose requests may be retried treats outliers as healthy instances, to
+/// test them. With a third of a service ejected they get an eighth of their normal load.
+const OUTLIER_TRIAL_INTERVAL: u64 = 32;
 
-/// Keeps the choice of flows that try outliers independent from that of the instance.
-const TRIAL_SALT: u64 = 0x6f75_746c_6965_7201;
+/// Makes the choice of these flows independent of the choice of the instance.
+const OUTLIER_TRIAL_SALT: u64 = 0x6f75_746c_6965_7201;
 
 impl Forwarder {
     pub(super) fn open(
@@ -25,31 +25,45 @@
         packet: &FlowPacket,
         attempt: u32,
     ) -> Decision {
-        if !table.is_informed() {
+        if !table.is_initialized() {
             return Decision::Drop(DropReason::NotReady);
         }
         let flow_hash = packet.flow.hash();
         let Some(route) = table.route(packet.flow.service) else {
             return Decision::Refuse(RefusalReason::NoRoute);
         };
-        let Some(part) = choose_part(&route.parts, flow_hash) else {
+        let Some(route_service) = choose_service(&route.services, flow_hash) else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
-        let terms = &route.terms;
+        let request_policy = &route.request_policy;
         let admission = &mut self.admission;
-        if !admission.admits(now, table, packet, attempt, part.service, terms) {
+        if !admission.admits(
+            now,
+            table,
+            packet,
+            attempt,
+            route_service.service,
+            request_policy,
+        ) {
             return Decision::Refuse(RefusalReason::Overloaded);
         }
         self.zones.adopt(table);
         self.zones.review_failing_zones(now);
-        let tries = route.terms.kind.may_repeat() && tries_outliers(flow_hash);
-        let chosen = self.choose(now, table, part, flow_hash, attempt, tries);
+        let tests_outliers = route.request_policy.kind.may_retry() && tests_outliers(flow_hash);
+        let chosen = self.choose(
+            now,
+            table,
+            route_service,
+            flow_hash,
+            attempt,
+            tests_outliers,
+        );
         let Some((chosen, suitability)) = chosen else {
             return Decision::Refuse(RefusalReason::NoInstance);
         };
         let destination = chosen.destination();
         if now < chosen.warm_at {
-            self.cold.opened(now, chosen.id);
+            self.cold.record_opening(now, chosen.id);
         }
         self.monitor
             .record_opening(now, flow_hash, destination.cookie);
@@ -60,35 +74,35 @@
         }
     }
 
-    /// The instance for copy `attempt` of an opening, and what speaks for it; none if no candidate may
-    /// get the flow.
+    /// Returns the instance for copy `attempt` of an opening, and its suitability; none if no
+    /// candidate may get the flow.
     fn choose<'table>(
         &mut self,
         now: Timestamp,
         table: &'table ForwardingTable,
-        part: &ServicePart,
+        route_service: &RouteService,
         flow_hash: u64,
         attempt: u32,
-        tries_outliers: bool,
+        tests_outliers: bool,
     ) -> Option<(&'table Candidate, Suitability)> {
-        let candidates = table.candidates(part);
-        // All instances of a service bear the same while they are cold.
+        let candidates = table.candidates(route_service);
+        // All cold instances of a service have the same limit.
         let cold_flows = candidates.first()?.cold_flows_per_minute;
         let share = self.cold.share(cold_flows);
         let mut capacity = ZoneCapacity::default();
         let suitability = |candidate: &Candidate| {
             let suitability = self.suitability(now, candidate, share)?;
             capacity.add(candidate, suitability, self.zones.own());
-            let is_tried = tries_outliers && suitability == Suitability::Outlier;
-            Some(if is_tried {
+            let is_tested = tests_outliers && suitability == Suitability::Outlier;
+            Some(if is_tested {
                 Suitability::Full
             } else {
                 suitability
             })
         };
-        let ranks = self.zones.ranks(part.service, flow_hash);
+        let ranks = self.zones.ranks(route_service.service, flow_hash);
         let load = |candidate: &Candidate| {
-            // A dead instance is idle too, but not therefore to be preferred.
+            // A dead instance has no load either, but must not be preferred for that.
             if self.monitor.loses_idle_preference(candidate.cookie) {
                 f32::INFINITY
             } else {
@@ -99,12 +113,12 @@
         let chosen = choose_by_zone(candidates, flow_hash, attempt, suitability, zone_rank, load)?;
         let suitability = self.suitability(now, chosen, share)?;
         self.zones
-            .record_placement(now, part.service, flow_hash, chosen.zone, capacity);
+            .record_placement(now, route_service.service, flow_hash, chosen.zone, capacity);
         Some((chosen, suitability))
     }
 
-    /// How willing a candidate is to take a flow at `now`; none if it must not get one. `share` is this
-    /// node's part in what cold instances get.
+    /// Returns the suitability of a candidate at `now`; none if it must not get a flow. `share` is
+    /// this node's share of the flows to cold instances.
     fn suitability(
         &self,
         now: Timestamp,
@@ -115,8 +129,9 @@
         if is_cold && !self.cold.admits(now, candidate.id, share) {
             return None;
         }
-        if let Some(removed_at) = candidate.removed_at {
-            return (now.since(removed_at) < RECENTLY_GONE).then_some(Suitability::RecentlyGone);
+        if let Some(gone_at) = candidate.removed_at {
+            return (now.since(gone_at) < RECENTLY_GONE_PERIOD)
+                .then_some(Suitability::RecentlyGone);
         }
         let cookie = candidate.cookie;
         if self.is_avoided(cookie) || self.monitor.is_suspected(now, cookie) {
@@ -133,11 +148,11 @@
     }
 
     fn is_avoided(&self, cookie: Cookie) -> bool {
-        self.avoided.contains_key(&cookie) && !self.proven.contains(&cookie)
+        self.avoided.contains_key(&cookie) && !self.proven_alive.contains(&cookie)
     }
 }
 
-/// Whether a flow tries an outlier as if it were none.
-const fn tries_outliers(flow_hash: u64) -> bool {
-    mix(flow_hash ^ TRIAL_SALT).is_multiple_of(TRIAL_INTERVAL)
+/// Returns whether a flow treats outliers as healthy instances.
+const fn tests_outliers(flow_hash: u64) -> bool {
+    mix(flow_hash ^ OUTLIER_TRIAL_SALT).is_multiple_of(OUTLIER_TRIAL_INTERVAL)
 }
--- a/crates/bellyoke-core/src/cookie/link/losses.rs
+++ b/crates/bellyoke-core/src/cookie/link/losses.rs
@@ -6,7 +6,7 @@
 //! its flow* counts as lost.
 
 use super::OutgoingPacket;
-use crate::cookie::seen::{SeenTable, data_key};
+use crate::cookie::last_seen::{LastSeenTable, data_key};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -26,15 +26,15 @@
 /// Recently sent data, and flows from which packets were recently received.
 #[derive(Debug)]
 pub struct LossDetector {
-    data: SeenTable,
-    flows: SeenTable,
+    data: LastSeenTable,
+    flows: LastSeenTable,
 }
 
 impl Default for LossDetector {
     fn default() -> Self {
         Self {
-            data: SeenTable::new(DATA_TABLE_SIZE),
-            flows: SeenTable::new(FLOW_TABLE_SIZE),
+            data: LastSeenTable::new(DATA_TABLE_SIZE),
+            flows: LastSeenTable::new(FLOW_TABLE_SIZE),
         }
     }
 }
@@ -45,7 +45,7 @@
     pub fn record_received(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
         let last_received_at = self.flows.seen_at(flow);
-        self.flows.note(now, flow);
+        self.flows.record(now, flow);
         let last_sent_at = self.data.seen_at(key_of(packet));
         let has_passed =
             |since: Option<Timestamp>, minimum| since.is_some_and(|at| now.since(at) >= minimum);
@@ -57,7 +57,7 @@
     pub fn record_sent(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let key = key_of(packet);
         let is_new = self.data.seen_at(key).is_none();
-        self.data.note(now, key);
+        self.data.record(now, key);
         is_new
     }
 }
--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -239,7 +239,7 @@
     pub fn record_sample(&mut self, now: Timestamp, zone: ZoneNumber, sample: &AnswerSample) {
         let is_own = self.own == Some(zone);
         if let Some(service) = self.services.get_mut(sample.service.0 as usize) {
-            service.record_sample(now, is_own, &sample.fate);
+            service.record_sample(now, is_own, &sample.outcome);
         }
     }
 
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -1,6 +1,6 @@
 //! Response times and failed requests in the own zone and in others, as observed from client packets.
 
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -117,10 +117,12 @@
 impl AnswerStatistics {
     /// Records an outcome. `maximum_delay` bounds the response time that is counted: lost packets don't
     /// indicate a queue.
-    fn add(&mut self, now: Timestamp, fate: &AnswerFate, maximum_delay: Duration) {
+    fn add(&mut self, now: Timestamp, fate: &AnswerOutcome, maximum_delay: Duration) {
         match fate {
-            AnswerFate::Answered { after, .. } => self.delay.add(now, (*after).min(maximum_delay)),
-            AnswerFate::Short { .. } | AnswerFate::Unanswered { .. } => {
+            AnswerOutcome::Answered { after, .. } => {
+                self.delay.add(now, (*after).min(maximum_delay))
+            }
+            AnswerOutcome::Short { .. } | AnswerOutcome::Unanswered { .. } => {
                 self.failed = self.failed * remaining(now, self.failed_at) + 1.0;
                 self.failed_at = now;
             }
@@ -153,7 +155,7 @@
 }
 
 impl ServiceDelays {
-    pub(super) fn add(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
+    pub(super) fn add(&mut self, now: Timestamp, is_own: bool, outcome: &AnswerOutcome) {
         let answers = if is_own {
             &mut self.own
         } else {
@@ -162,7 +164,7 @@
         let maximum_delay = self.baseline.map_or(Duration::MAX, |baseline| {
             Duration::from_secs_f32(baseline * MAXIMUM_DELAY_FACTOR)
         });
-        answers.add(now, fate, maximum_delay);
+        answers.add(now, outcome, maximum_delay);
     }
 
     /// Returns the mean time from request to answer in the own zone, if there are enough recent samples.
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -3,7 +3,7 @@
 use super::ZoneCapacity;
 use super::delays::ServiceDelays;
 use super::utilization::{Demand, TrafficEstimate};
-use crate::cookie::answers::AnswerFate;
+use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -98,7 +98,7 @@
         self.shares
     }
 
-    pub(super) fn record_sample(&mut self, now: Timestamp, is_own: bool, fate: &AnswerFate) {
+    pub(super) fn record_sample(&mut self, now: Timestamp, is_own: bool, fate: &AnswerOutcome) {
         self.delays.add(now, is_own, fate);
     }
 
--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -1,6 +1,6 @@
 //! Counts of request outcomes by instance.
 
-use crate::cookie::answers::{AnswerQuality, JudgedSample};
+use crate::cookie::answers::{AnswerQuality, ClassifiedSample};
 use crate::cookie::instance::Cookie;
 use crate::cookie::table::ServiceNumber;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 /// Sums the samples of a traffic thread between two reports.
 ///
 /// ```
-/// use bellyoke_core::cookie::answers::{AnswerFate, AnswerQuality, AnswerSample, JudgedSample};
+/// use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerQuality, AnswerSample, ClassifiedSample};
 /// use bellyoke_core::cookie::instance::{Cookie, InstanceId};
 /// use bellyoke_core::cookie::outliers::TallyAccumulator;
 /// use bellyoke_core::cookie::table::ServiceNumber;
@@ -43,7 +43,7 @@
 ///     cookie: Cookie::of(InstanceId(7)),
 ///     service: ServiceNumber(0),
 ///     priority: 0,
-///     fate: AnswerFate::Short { after: Duration::from_millis(2) },
+///     outcome: AnswerOutcome::Short { after: Duration::from_millis(2) },
 /// };
 /// let mut accumulator = TallyAccumulator::default();
 /// accumulator.record(&JudgedSample { sample, quality: AnswerQuality::Failed });
@@ -58,7 +58,7 @@
 
 impl TallyAccumulator {
     /// Counts a sample.
-    pub fn record(&mut self, judged: &JudgedSample) {
+    pub fn record(&mut self, judged: &ClassifiedSample) {
         let cookie = judged.sample.cookie;
         let is_full = self.tallies.len() >= MAXIMUM_INSTANCES;
         if is_full && !self.tallies.contains_key(&cookie) {
@@ -72,7 +72,7 @@
         });
         tally.requests = tally.requests.saturating_add(1);
         match judged.quality {
-            AnswerQuality::Usual => {}
+            AnswerQuality::Normal => {}
             AnswerQuality::Slow => tally.slow = tally.slow.saturating_add(1),
             AnswerQuality::Failed => tally.failed = tally.failed.saturating_add(1),
         }
--- a/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
@@ -1,7 +1,7 @@
 //! The verdicts received from collectors.
 
 use crate::cookie::instance::Cookie;
-use crate::cookie::table::{ForwardingTable, ServicePart};
+use crate::cookie::table::{ForwardingTable, RouteService};
 use crate::time::Timestamp;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,7 +68,7 @@
                 break;
             };
             let service = crate::cookie::table::ServiceNumber(number);
-            let part = ServicePart { weight: 1, service };
+            let part = RouteService { weight: 1, service };
             let candidates = table.candidates(&part);
             let maximum = (candidates.len() as f64 * largest_share) as usize;
             let ranked = candidates.iter();
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -5,7 +5,7 @@
 //! between zones are compared with nodes that don't know their zone.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
-use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
+use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerSample};
 use bellyoke_core::cookie::forwarder::{Decision, Forwarder};
 use bellyoke_core::cookie::health::HealthSettings;
 use bellyoke_core::cookie::instance::{Cookie, InstanceId, InstanceRecord, InstanceState};
@@ -142,7 +142,7 @@
             (0..load.nodes[zone]).map(move |_| {
                 let forwarder = Forwarder::new(HealthSettings::default());
                 let mut forwarder = forwarder.with_zone(names[zone]);
-                forwarder.set_estimated_nodes(u64::from(all_nodes));
+                forwarder.set_estimated_node_count(u64::from(all_nodes));
                 (zone, forwarder)
             })
         });
@@ -311,13 +311,13 @@
             cookie,
             service: ServiceNumber(0),
             priority: 0,
-            fate: AnswerFate::Short {
+            outcome: AnswerOutcome::Short {
                 after: Duration::from_millis(3),
             },
         };
         let node = self.callers[number].node;
         let time = bellyoke_core::time::Timestamp::from_micros(now);
-        self.nodes[node].1.note_sample(time, &self.table, &sample);
+        self.nodes[node].1.record_sample(time, &self.table, &sample);
     }
 
     fn outcome(self, start: u64) -> Outcome {
--- a/crates/bellyoke-core/tests/cookie/stall.rs
+++ b/crates/bellyoke-core/tests/cookie/stall.rs
@@ -1,4 +1,4 @@
-//! A process that stood still notices, whichever of its threads runs first.
+//! A stall is detected whichever thread runs first afterwards.
 
 use crate::support::at;
 use bellyoke_core::cookie::stall::{BacklogGuard, StallDetector, TickReport};
@@ -15,35 +15,35 @@
 }
 
 #[test]
-fn the_traffic_thread_notices_before_the_control_thread_has_run() {
+fn the_traffic_thread_detects_a_stall_before_the_control_thread_has_run() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(1_000),
         stalls: 0,
     };
-    assert!(!guard.packet(at(1_050), ticks));
-    assert!(guard.packet(at(5_000), ticks));
+    assert!(!guard.may_have_waited(at(1_050), ticks));
+    assert!(guard.may_have_waited(at(5_000), ticks));
 }
 
 #[test]
-fn the_traffic_thread_notices_after_the_control_thread_has_run() {
+fn the_traffic_thread_detects_a_stall_after_the_control_thread_has_run() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(5_000),
         stalls: 1,
     };
-    assert!(guard.packet(at(5_001), ticks));
+    assert!(guard.may_have_waited(at(5_001), ticks));
 }
 
 #[test]
-fn packets_are_old_until_the_socket_was_empty() {
+fn packets_belong_to_the_stall_until_the_socket_is_empty() {
     let mut guard = BacklogGuard::default();
     let ticks = TickReport {
         last: at(5_000),
         stalls: 1,
     };
-    assert!(guard.packet(at(5_001), ticks));
-    assert!(guard.packet(at(5_002), ticks));
+    assert!(guard.may_have_waited(at(5_001), ticks));
+    assert!(guard.may_have_waited(at(5_002), ticks));
     guard.emptied();
-    assert!(!guard.packet(at(5_003), ticks));
+    assert!(!guard.may_have_waited(at(5_003), ticks));
 }
--- a/crates/bellyoke-core/tests/cookie/zone_choice.rs
+++ b/crates/bellyoke-core/tests/cookie/zone_choice.rs
@@ -1,7 +1,7 @@
 //! Ranking of zones in the choice of an instance, and detection of failing zones.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, flow, record};
-use bellyoke_core::cookie::answers::{AnswerFate, AnswerSample};
+use bellyoke_core::cookie::answers::{AnswerOutcome, AnswerSample};
 use bellyoke_core::cookie::instance::{Cookie, InstanceId, InstanceRecord};
 use bellyoke_core::cookie::locality::{ZoneCapacity, ZonePreference, ZoneRank};
 use bellyoke_core::cookie::placement::{Suitability, choose_by_zone};
@@ -36,7 +36,7 @@
 ) -> Vec<InstanceId> {
     let table = table(&["cork", "kerry", "limerick"], 10);
     let route = table.route(crate::support::SERVICE).unwrap();
-    let candidates = table.candidates(&route.parts[0]);
+    let candidates = table.candidates(&route.services[0]);
     let of_zone = |candidate: &Candidate| zone_rank(candidate.id.0 / 100);
     let hash = flow(number).hash();
     let copies = (0..3)
@@ -199,7 +199,7 @@
                 cookie: Cookie::of(InstanceId(1)),
                 service: SERVICE,
                 priority: 0,
-                fate: AnswerFate::Short {
+                outcome: AnswerOutcome::Short {
                     after: Duration::from_millis(2),
                 },
             };
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -404,7 +404,7 @@
     fn note_change(&mut self, now: Timestamp, change: StateChange) {
         self.tables.record_change(now, change);
         let says_nothing =
-            self.tables.has_unpublished_changes() && !self.shared.table.load().is_informed();
+            self.tables.has_unpublished_changes() && !self.shared.table.load().is_initialized();
         if self.tables.is_due(now) || says_nothing {
             let table = self.coordinator.replica().table();
             self.shared.table.store(Arc::new(table));
