--- a/crates/bellyoke-balancer/src/generation/publisher.rs
+++ b/crates/bellyoke-balancer/src/generation/publisher.rs
@@ -135,7 +135,7 @@
             PublisherInput::Objects(objects) => self.objects = Some(objects),
             PublisherInput::Proposal { proposal, known } => match proposal {
                 Proposal::Members(items) => self.members = Some(Wanted { known, items }),
-                Proposal::Clean {
+                Proposal::MarkClean {
                     generation,
                     buckets,
                 } => {
--- a/crates/bellyoke-core/src/node/barrier.rs
+++ b/crates/bellyoke-core/src/node/barrier.rs
@@ -7,7 +7,7 @@
 
 use crate::generation::{Generation, Member};
 use crate::identity::{GenerationNumber, NodeId};
-use crate::node::lineage::{DepartedMember, Lineage, MAXIMUM_MEMBER_SETS, MemberSet};
+use crate::node::member_history::{FormerMember, MAXIMUM_MEMBER_SETS, MemberHistory, MemberSet};
 use crate::node::rendezvous::majority;
 use crate::node::settings::NodeSettings;
 use crate::time::Timestamp;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// Children of a node in its zone's branch.
-const CHILDREN: usize = 8;
+const MAXIMUM_CHILDREN: usize = 8;
 
 /// Reporters that are remembered.
 const MAXIMUM_REPORTS: usize = 8192;
@@ -29,7 +29,7 @@
         /// The generation.
         generation: GenerationNumber,
         /// Member sets that they know of, by the generation in which each begins.
-        lineage: Vec<GenerationNumber>,
+        member_sets: Vec<GenerationNumber>,
     },
     /// A barrier has passed; its number is in the message's header.
     Passed,
@@ -46,9 +46,9 @@
         message: BarrierMessage,
     },
     /// Send a message to some members, whichever.
-    SendToSome(BarrierMessage),
+    SendToRandomPeers(BarrierMessage),
     /// Fetch the member sets that a peer has and this node lacks.
-    FetchLineage {
+    FetchMemberSets {
         /// The peer.
         from: NodeId,
     },
@@ -62,11 +62,11 @@
     /// Nothing: it has passed, or there is no generation.
     Nothing,
     /// This node itself has not acknowledged.
-    Own,
+    OwnAcknowledgement,
     /// These nodes have not reported that they and all below them have.
     Reports(Vec<NodeId>),
     /// A reporter knows former members that this node doesn't know.
-    Lineage(NodeId),
+    MemberSets(NodeId),
     /// These former members may still open flows by an older generation.
     FormerMembers(Vec<NodeId>),
     /// The parent has been told; it, or the news that the barrier has passed, is awaited.
@@ -99,7 +99,7 @@
         for (index, member) in branch.iter().enumerate() {
             let parent = match index {
                 0 => (member.node != root).then_some(root),
-                _ => Some(branch[(index - 1) / CHILDREN].node),
+                _ => Some(branch[(index - 1) / MAXIMUM_CHILDREN].node),
             };
             if member.node == node {
                 position.parent = parent;
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug)]
 struct Report {
     generation: GenerationNumber,
-    lineage: Vec<GenerationNumber>,
+    member_sets: Vec<GenerationNumber>,
 }
 
 /// Tracks the acknowledgements of the newest generation.
@@ -125,7 +125,7 @@
     settings: NodeSettings,
     generation: Option<Arc<Generation>>,
     position: TreePosition,
-    lineage: Lineage,
+    history: MemberHistory,
     reports: BTreeMap<NodeId, Report>,
     acknowledged: GenerationNumber,
     passed: GenerationNumber,
@@ -143,7 +143,7 @@
             settings,
             generation: None,
             position: TreePosition::default(),
-            lineage: Lineage::default(),
+            history: MemberHistory::default(),
             reports: BTreeMap::new(),
             acknowledged: GenerationNumber(0),
             passed: GenerationNumber(0),
@@ -167,15 +167,20 @@
     /// Member sets of generations that may still be in force somewhere.
     #[must_use]
     pub fn older_sets(&self) -> Vec<MemberSet> {
-        self.lineage.older_sets(self.number())
+        self.history.older_sets(self.number())
     }
 
     /// A newer generation is known, and what the sender knew of those before.
-    pub fn learn(&mut self, now: Timestamp, generation: &Arc<Generation>, sets: &[MemberSet]) {
+    pub fn set_generation(
+        &mut self,
+        now: Timestamp,
+        generation: &Arc<Generation>,
+        sets: &[MemberSet],
+    ) {
         let number = generation.number;
-        self.lineage.merge(sets);
-        self.lineage.add(number, &generation.members);
-        self.lineage.trim(self.passed);
+        self.history.merge(sets);
+        self.history.add(number, &generation.members);
+        self.history.trim(self.passed);
         self.position = tree_position(&generation.members, self.node);
         self.reports.retain(|_, report| report.generation >= number);
         self.generation = Some(Arc::clone(generation));
@@ -184,9 +189,9 @@
     }
 
     /// Adds member sets that were fetched from a peer.
-    pub fn merge_lineage(&mut self, now: Timestamp, sets: &[MemberSet]) {
-        self.lineage.merge(sets);
-        self.lineage.trim(self.passed);
+    pub fn merge_member_sets(&mut self, now: Timestamp, sets: &[MemberSet]) {
+        self.history.merge(sets);
+        self.history.trim(self.passed);
         self.next_action = Some(now);
     }
 
@@ -199,15 +204,15 @@
 
     /// `from` and all members below it have acknowledged `generation`, and know the member
     /// sets that begin with the generations of `lineage`.
-    pub fn reported(
+    pub fn record_report(
         &mut self,
         now: Timestamp,
         from: NodeId,
         generation: GenerationNumber,
-        lineage: Vec<GenerationNumber>,
+        member_sets: Vec<GenerationNumber>,
     ) {
         let full = self.reports.len() >= MAXIMUM_REPORTS && !self.reports.contains_key(&from);
-        if generation < self.number() || full || lineage.len() > MAXIMUM_MEMBER_SETS {
+        if generation < self.number() || full || member_sets.len() > MAXIMUM_MEMBER_SETS {
             return;
         }
         if self.has_reported(from) {
@@ -215,7 +220,7 @@
         }
         let report = Report {
             generation,
-            lineage,
+            member_sets,
         };
         self.reports.insert(from, report);
         self.newest_report = now;
@@ -223,12 +228,12 @@
     }
 
     /// A message's header says that the barrier of `passed` has passed.
-    pub fn learn_passed(&mut self, passed: GenerationNumber) -> Vec<BarrierEffect> {
+    pub fn record_passed(&mut self, passed: GenerationNumber) -> Vec<BarrierEffect> {
         if passed <= self.passed {
             return Vec::new();
         }
         self.passed = passed;
-        self.lineage.trim(passed);
+        self.history.trim(passed);
         if passed >= self.number() {
             self.next_action = None;
         }
@@ -238,7 +243,7 @@
             to: *child,
             message: BarrierMessage::Passed,
         }));
-        effects.push(BarrierEffect::SendToSome(BarrierMessage::Passed));
+        effects.push(BarrierEffect::SendToRandomPeers(BarrierMessage::Passed));
         effects
     }
 
@@ -255,14 +260,14 @@
         if !self.is_complete() {
             return Vec::new();
         }
-        let again = now.after(self.settings.resend_interval);
-        self.next_action = Some(again);
-        if let Some(from) = self.knows_more() {
-            return vec![BarrierEffect::FetchLineage { from }];
+        let retry_at = now.after(self.settings.resend_interval);
+        self.next_action = Some(retry_at);
+        if let Some(from) = self.reporter_with_unknown_sets() {
+            return vec![BarrierEffect::FetchMemberSets { from }];
         }
         match self.position.parent {
-            Some(parent) => vec![self.report_to(parent)],
-            None => self.pass_as_root(now, is_live),
+            Some(parent) => vec![self.report_to_parent(parent)],
+            None => self.try_pass_as_root(now, is_live),
         }
     }
 
@@ -292,7 +297,7 @@
             return BarrierWait::Nothing;
         }
         if self.acknowledged != generation.number {
-            return BarrierWait::Own;
+            return BarrierWait::OwnAcknowledgement;
         }
         let children = self.position.children.iter().copied();
         let missing: Vec<NodeId> = children
@@ -301,26 +306,26 @@
         if !missing.is_empty() {
             return BarrierWait::Reports(missing);
         }
-        if let Some(from) = self.knows_more() {
-            return BarrierWait::Lineage(from);
+        if let Some(from) = self.reporter_with_unknown_sets() {
+            return BarrierWait::MemberSets(from);
         }
         match self.position.parent {
             Some(parent) => BarrierWait::Parent(parent),
-            None => BarrierWait::FormerMembers(self.silent_nodes(generation)),
+            None => BarrierWait::FormerMembers(self.pending_former_nodes(generation)),
         }
     }
 
-    fn silent_nodes(&self, generation: &Generation) -> Vec<NodeId> {
-        let silent = self.silent(generation).into_iter();
-        let nodes: BTreeSet<NodeId> = silent.map(|departed| departed.node).collect();
+    fn pending_former_nodes(&self, generation: &Generation) -> Vec<NodeId> {
+        let pending = self.pending_former_members(generation).into_iter();
+        let nodes: BTreeSet<NodeId> = pending.map(|former| former.node).collect();
         nodes.into_iter().collect()
     }
 
     /// Former members that have not acknowledged the newest generation.
-    fn silent(&self, generation: &Generation) -> Vec<DepartedMember> {
-        let mut silent = self.lineage.departed(&generation.members);
-        silent.retain(|departed| !self.has_reported(departed.node));
-        silent
+    fn pending_former_members(&self, generation: &Generation) -> Vec<FormerMember> {
+        let mut pending = self.history.former_members(&generation.members);
+        pending.retain(|former| !self.has_reported(former.node));
+        pending
     }
 
     /// Whether this node and all members below it have acknowledged, and nobody knows yet
@@ -332,10 +337,10 @@
         pending && self.acknowledged == number && children.all(|child| self.has_reported(*child))
     }
 
-    fn report_to(&self, parent: NodeId) -> BarrierEffect {
+    fn report_to_parent(&self, parent: NodeId) -> BarrierEffect {
         let message = BarrierMessage::Acknowledged {
             generation: self.number(),
-            lineage: self.lineage.numbers(),
+            member_sets: self.history.set_starts(),
         };
         BarrierEffect::Send {
             to: parent,
@@ -343,23 +348,23 @@
         }
     }
 
-    /// A reporter that knows a member set which this node lacks and which still matters.
-    fn knows_more(&self) -> Option<NodeId> {
-        let known: BTreeSet<GenerationNumber> = self.lineage.numbers().into_iter().collect();
+    /// A reporter that knows a member set which this node lacks and which still is_relevant.
+    fn reporter_with_unknown_sets(&self) -> Option<NodeId> {
+        let known: BTreeSet<GenerationNumber> = self.history.set_starts().into_iter().collect();
         let number = self.number();
         let reports = self.reports.iter();
-        let mut current = reports.filter(|(_, report)| report.generation == number);
-        let matters = |since: &&GenerationNumber| **since >= self.passed && **since < number;
-        let lacking = |report: &Report| {
-            let mut older = report.lineage.iter().filter(matters);
+        let mut current_reports = reports.filter(|(_, report)| report.generation == number);
+        let is_relevant = |since: &&GenerationNumber| **since >= self.passed && **since < number;
+        let has_unknown_set = |report: &Report| {
+            let mut older = report.member_sets.iter().filter(is_relevant);
             older.any(|since| !known.contains(since))
         };
-        current
-            .find(|(_, report)| lacking(report))
+        current_reports
+            .find(|(_, report)| has_unknown_set(report))
             .map(|(node, _)| *node)
     }
 
-    fn pass_as_root(
+    fn try_pass_as_root(
         &mut self,
         now: Timestamp,
         is_live: impl Fn(NodeId) -> bool,
@@ -367,24 +372,24 @@
         let Some(generation) = self.generation.clone() else {
             return Vec::new();
         };
-        if self.lineage.is_overflowed() {
+        if self.history.is_overflowed() {
             return Vec::new();
         }
-        let silent = self.silent(&generation);
-        if silent.is_empty() {
-            return self.learn_passed(generation.number);
+        let pending = self.pending_former_members(&generation);
+        if pending.is_empty() {
+            return self.record_passed(generation.number);
         }
         let members: BTreeSet<NodeId> = generation.members.iter().map(|one| one.node).collect();
-        let all_fenced = silent
+        let all_fenced = pending
             .iter()
-            .all(|departed| !is_live(departed.node) && self.cannot_renew(departed, &members));
+            .all(|former| !is_live(former.node) && self.cannot_renew(former, &members));
         if !all_fenced {
             return Vec::new();
         }
         let wait = self.settings.lease_time + self.settings.delay_horizon;
         let fenced_at = self.newest_report.after(wait);
         if now >= fenced_at {
-            return self.learn_passed(generation.number);
+            return self.record_passed(generation.number);
         }
         self.next_action = self.next_action.min(Some(fenced_at));
         Vec::new()
@@ -392,11 +397,11 @@
 
     /// Those of its quorum that have not acknowledged the generation that lacks the former
     /// member are too few to renew its lease. All `members` have acknowledged.
-    fn cannot_renew(&self, departed: &DepartedMember, members: &BTreeSet<NodeId>) -> bool {
-        let may_grant = departed
+    fn cannot_renew(&self, former: &FormerMember, members: &BTreeSet<NodeId>) -> bool {
+        let may_grant = former
             .quorum
             .iter()
             .filter(|node| !members.contains(node) && !self.has_reported(**node));
-        may_grant.count() < majority(departed.quorum.len())
+        may_grant.count() < majority(former.quorum.len())
     }
 }
--- a/crates/bellyoke-core/src/node/budget.rs
+++ b/crates/bellyoke-core/src/node/budget.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 /// Messages that may wait in each priority.
-const QUEUE_LENGTH: usize = 256;
+const MAXIMUM_QUEUED_MESSAGES: usize = 256;
 
 /// After this many messages of agreement, one of bulk may go.
-const AGREEMENT_BURST: u32 = 3;
+const AGREEMENT_MESSAGES_PER_BULK: u32 = 3;
 
-const MICROSECONDS: u64 = 1_000_000;
+const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
 /// What is sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
     Bulk,
 }
 
-const PRIORITIES: usize = 5;
+const PRIORITY_COUNT: usize = 5;
 
 /// A message that is to be sent.
 #[derive(Clone, Debug, PartialEq)]
@@ -76,8 +76,8 @@
     capacity: u64,
     tokens: u64,
     refilled: Timestamp,
-    queues: [VecDeque<Queued>; PRIORITIES],
-    agreement_run: u32,
+    queues: [VecDeque<Queued>; PRIORITY_COUNT],
+    messages_since_bulk: u32,
     counters: BudgetCounters,
 }
 
@@ -96,7 +96,7 @@
             tokens: capacity,
             refilled: Timestamp::ZERO,
             queues: Default::default(),
-            agreement_run: 0,
+            messages_since_bulk: 0,
             counters: BudgetCounters::default(),
         }
     }
@@ -117,7 +117,7 @@
         {
             return;
         }
-        if queue.len() >= QUEUE_LENGTH {
+        if queue.len() >= MAXIMUM_QUEUED_MESSAGES {
             queue.pop_front();
             self.counters.overflowed += 1;
         }
@@ -144,7 +144,7 @@
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let head = self.queues[self.next_queue()?].front()?;
-        let missing = (head.cost * MICROSECONDS).saturating_sub(self.tokens);
+        let missing = (head.cost * MICROSECONDS_PER_SECOND).saturating_sub(self.tokens);
         let wait = missing.div_ceil(self.rate);
         Some(self.refilled.after(Duration::from_micros(wait)))
     }
@@ -161,7 +161,8 @@
     fn next_queue(&self) -> Option<usize> {
         let (agreement, bulk) = (Priority::Agreement as usize, Priority::Bulk as usize);
         let first = self.queues.iter().position(|queue| !queue.is_empty())?;
-        let bulk_is_due = self.agreement_run >= AGREEMENT_BURST && !self.queues[bulk].is_empty();
+        let bulk_is_due = self.messages_since_bulk >= AGREEMENT_MESSAGES_PER_BULK
+            && !self.queues[bulk].is_empty();
         Some(if first >= agreement && bulk_is_due {
             bulk
         } else {
@@ -172,13 +173,13 @@
     fn pop_affordable(&mut self) -> Option<Queued> {
         let index = self.next_queue()?;
         let cost = self.queues[index].front()?.cost;
-        self.tokens = self.tokens.checked_sub(cost * MICROSECONDS)?;
+        self.tokens = self.tokens.checked_sub(cost * MICROSECONDS_PER_SECOND)?;
         self.counters.sent_bytes += cost;
         self.counters.sent_messages += 1;
         if index == Priority::Bulk as usize {
-            self.agreement_run = 0;
+            self.messages_since_bulk = 0;
         } else if index >= Priority::Agreement as usize {
-            self.agreement_run += 1;
+            self.messages_since_bulk += 1;
         }
         self.queues[index].pop_front()
     }
--- a/crates/bellyoke-core/src/node/dissemination/fetch.rs
+++ b/crates/bellyoke-core/src/node/dissemination/fetch.rs
@@ -1,22 +1,22 @@
 //! A transfer that this node is receiving.
 
 use crate::identity::{GenerationNumber, NodeId};
-use crate::node::dissemination::message::{CHUNK_LENGTH, Chunk, DisseminationMessage};
-use crate::node::dissemination::transfer::MAXIMUM_TRANSFER_LENGTH;
+use crate::node::dissemination::message::{Chunk, DisseminationMessage, MAXIMUM_CHUNK_BYTES};
+use crate::node::dissemination::transfer::MAXIMUM_TRANSFER_BYTES;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// Chunks that are asked for at once.
-const WINDOW: u32 = 4;
+const WINDOW_CHUNKS: u32 = 4;
 
 /// Requests that may stay without effect before the peer is given up.
-pub const MAXIMUM_ATTEMPTS: u32 = 3;
+pub const MAXIMUM_FETCH_ATTEMPTS: u32 = 3;
 
 /// What a chunk has brought about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum FetchProgress {
     /// The chunk is of no use.
-    None,
+    Ignored,
     /// More chunks of the window are to come.
     Waiting,
     /// All chunks of the window are there: ask for the next.
@@ -70,9 +70,9 @@
     }
 
     /// The request for the next chunks that are missing.
-    pub fn request(&mut self, holds: GenerationNumber) -> DisseminationMessage {
+    pub fn request(&mut self, newest_known: GenerationNumber) -> DisseminationMessage {
         let first = self.first_missing();
-        let mut end = first + WINDOW;
+        let mut end = first + WINDOW_CHUNKS;
         if let Some((_, total)) = self.identity {
             end = end.min(total);
         }
@@ -80,32 +80,32 @@
         self.attempts += 1;
         DisseminationMessage::Fetch {
             generation: self.generation,
-            holds,
+            newest_known,
             first,
             count: end - first,
         }
     }
 
     /// Takes in a chunk.
-    pub fn receive(&mut self, chunk: Chunk) -> Progress {
+    pub fn receive(&mut self, chunk: Chunk) -> FetchProgress {
         if !is_plausible(&chunk) || chunk.generation < self.generation {
-            return Progress::None;
+            return FetchProgress::Ignored;
         }
         let identity = (chunk.digest, chunk.total);
         if chunk.generation > self.generation || self.identity != Some(identity) {
             self.restart(chunk.generation, identity);
         }
         if self.chunks.insert(chunk.index, chunk.bytes).is_some() {
-            return Progress::None;
+            return FetchProgress::Ignored;
         }
         self.attempts = 0;
         if self.chunks.len() == chunk.total as usize {
             return self.complete(chunk.digest);
         }
         if self.first_missing() >= self.window_end.min(chunk.total) {
-            return Progress::NextWindow;
+            return FetchProgress::NextWindow;
         }
-        Progress::Waiting
+        FetchProgress::Waiting
     }
 
     fn restart(&mut self, generation: GenerationNumber, identity: (u128, u32)) {
@@ -114,9 +114,9 @@
         self.chunks.clear();
     }
 
-    fn complete(&mut self, digest: u128) -> Progress {
+    fn complete(&mut self, digest: u128) -> FetchProgress {
         let chunks = std::mem::take(&mut self.chunks);
-        Progress::Complete {
+        FetchProgress::Complete {
             generation: self.generation,
             digest,
             bytes: chunks.into_values().flatten().collect(),
@@ -134,7 +134,9 @@
 }
 
 fn is_plausible(chunk: &Chunk) -> bool {
-    let longest = (MAXIMUM_TRANSFER_LENGTH / CHUNK_LENGTH) as u32;
+    let longest = (MAXIMUM_TRANSFER_BYTES / MAXIMUM_CHUNK_BYTES) as u32;
     let length = chunk.bytes.len();
-    chunk.total <= longest && chunk.index < chunk.total && (1..=CHUNK_LENGTH).contains(&length)
+    chunk.total <= longest
+        && chunk.index < chunk.total
+        && (1..=MAXIMUM_CHUNK_BYTES).contains(&length)
 }
--- a/crates/bellyoke-core/src/node/dissemination/message.rs
+++ b/crates/bellyoke-core/src/node/dissemination/message.rs
@@ -4,19 +4,19 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// Longest content of one chunk, bytes.
-pub const CHUNK_LENGTH: usize = 1000;
+pub const MAXIMUM_CHUNK_BYTES: usize = 1000;
 
 /// Messages by which generations reach all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DisseminationMessage {
-    /// The sender holds the generation that the message's header names.
+    /// The sender newest_known the generation that the message's header names.
     Announce,
     /// Asks for a part of a generation that the sender lacks.
     Fetch {
         /// The generation wanted; the newest will do as well.
         generation: GenerationNumber,
-        /// The newest that the sender holds: it can apply a difference to it.
-        holds: GenerationNumber,
+        /// The newest that the sender newest_known: it can apply a difference to it.
+        newest_known: GenerationNumber,
         /// Index of the first chunk wanted.
         first: u32,
         /// Number of chunks wanted.
--- a/crates/bellyoke-core/src/node/dissemination/mod.rs
+++ b/crates/bellyoke-core/src/node/dissemination/mod.rs
@@ -1,30 +1,30 @@
 //! How generations reach all nodes: pushed to some peers, pulled by the rest.
 //!
-//! Every message names the newest generation of its sender. Whoever holds an older one fetches
+//! Every message names the newest generation of its sender. Whoever newest_known an older one fetches
 //! it from that sender, in chunks that fit a datagram each.
 
 mod fetch;
 mod message;
 mod transfer;
 
-pub use message::{CHUNK_LENGTH, Chunk, DisseminationMessage};
+pub use message::{Chunk, DisseminationMessage, MAXIMUM_CHUNK_BYTES};
 pub use transfer::{TransferError, decode_generation, encode_generation};
 
 use crate::generation::Generation;
 use crate::identity::{GenerationNumber, NodeId};
-use crate::node::lineage::MemberSet;
+use crate::node::member_history::MemberSet;
 use crate::node::settings::NodeSettings;
 use crate::time::Timestamp;
-use fetch::{Fetch, MAXIMUM_ATTEMPTS, Progress};
+use fetch::{Fetch, FetchProgress, MAXIMUM_FETCH_ATTEMPTS};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use transfer::{EncodedTransfer, Transfer, TransferContent};
 
-/// Encoded transfers that are kept for peers that are still fetching them.
-const KEPT_TRANSFERS: usize = 8;
+/// Encoded transfers that are cached for peers that are still fetching them.
+const MAXIMUM_CACHED_TRANSFERS: usize = 8;
 
 /// Most chunks that one request is answered with.
-const MAXIMUM_CHUNKS_A_REQUEST: u32 = 16;
+const MAXIMUM_CHUNKS_PER_REQUEST: u32 = 16;
 
 /// What dissemination wants done.
 #[derive(Clone, Debug)]
@@ -39,13 +39,13 @@
     /// A newer generation is here, with older member sets.
     Received(Arc<Generation>, Vec<MemberSet>),
     /// Member sets of older generations are here.
-    ReceivedSets(Vec<MemberSet>),
+    ReceivedMemberSets(Vec<MemberSet>),
     /// A transfer was of no use.
     Rejected(NodeId, TransferError),
 }
 
 #[derive(Debug)]
-struct KeptTransfer {
+struct CachedTransfer {
     generation: GenerationNumber,
     content_needed: bool,
     encoded: EncodedTransfer,
@@ -57,26 +57,26 @@
     settings: NodeSettings,
     newest: Option<Arc<Generation>>,
     fetch: Option<Fetch>,
-    kept: VecDeque<KeptTransfer>,
+    cached: VecDeque<CachedTransfer>,
     /// Peers that are being served, and until when they are taken to be.
     serving: BTreeMap<NodeId, Timestamp>,
 }
 
 impl Dissemination {
-    /// A node that holds no generation.
+    /// A node that newest_known no generation.
     #[must_use]
     pub fn new(settings: NodeSettings) -> Self {
         Self {
             settings,
             newest: None,
             fetch: None,
-            kept: VecDeque::new(),
+            cached: VecDeque::new(),
             serving: BTreeMap::new(),
         }
     }
 
-    /// This node holds `generation` now.
-    pub fn hold(&mut self, generation: &Arc<Generation>) {
+    /// This node newest_known `generation` now.
+    pub fn set_newest(&mut self, generation: &Arc<Generation>) {
         self.newest = Some(Arc::clone(generation));
         let number = generation.number;
         if self
@@ -88,8 +88,8 @@
         }
     }
 
-    /// A message's header says that `from` holds `generation`.
-    pub fn notice(
+    /// A message's header says that `from` newest_known `generation`.
+    pub fn record_peer_generation(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -104,7 +104,7 @@
     }
 
     /// Fetches the older member sets that `from` has.
-    pub fn fetch_sets(&mut self, now: Timestamp, from: NodeId) -> Vec<DisseminationEffect> {
+    pub fn fetch_member_sets(&mut self, now: Timestamp, from: NodeId) -> Vec<DisseminationEffect> {
         if self.fetch.is_some() {
             return Vec::new();
         }
@@ -124,14 +124,14 @@
             DisseminationMessage::Announce => Vec::new(),
             DisseminationMessage::Fetch {
                 generation,
-                holds,
+                newest_known,
                 first,
                 count,
             } => {
-                if !self.admit(now, from) {
+                if !self.admit_peer(now, from) {
                     return Vec::new();
                 }
-                self.serve(from, generation, holds, first, count, older_sets)
+                self.serve(from, generation, newest_known, first, count, older_sets)
             }
             DisseminationMessage::Chunk(chunk) => self.receive(now, from, *chunk),
         }
@@ -145,7 +145,7 @@
         if now < fetch.deadline {
             return Vec::new();
         }
-        if fetch.attempts >= MAXIMUM_ATTEMPTS {
+        if fetch.attempts >= MAXIMUM_FETCH_ATTEMPTS {
             self.fetch = None;
             return Vec::new();
         }
@@ -164,11 +164,11 @@
     }
 
     fn request(&mut self, now: Timestamp) -> Vec<DisseminationEffect> {
-        let holds = self.number();
+        let newest_known = self.number();
         let Some(fetch) = &mut self.fetch else {
             return Vec::new();
         };
-        let message = fetch.request(holds);
+        let message = fetch.request(newest_known);
         fetch.deadline = now.after(self.settings.resend_interval * fetch.attempts);
         vec![DisseminationEffect::Send {
             to: fetch.from,
@@ -184,13 +184,13 @@
             return Vec::new();
         }
         match fetch.receive(chunk) {
-            Progress::None => Vec::new(),
-            Progress::Waiting => {
+            FetchProgress::Ignored => Vec::new(),
+            FetchProgress::Waiting => {
                 fetch.deadline = now.after(self.settings.resend_interval);
                 Vec::new()
             }
-            Progress::NextWindow => self.request(now),
-            Progress::Complete {
+            FetchProgress::NextWindow => self.request(now),
+            FetchProgress::Complete {
                 generation,
                 digest,
                 bytes,
@@ -223,9 +223,9 @@
         let transfer = Transfer::decode(generation, digest, bytes)?;
         let content = match transfer.content {
             TransferContent::None => {
-                return Ok(DisseminationEffect::ReceivedSets(transfer.older_sets));
+                return Ok(DisseminationEffect::ReceivedMemberSets(transfer.older_sets));
             }
-            TransferContent::Whole(bytes) => decode_generation(&bytes)?,
+            TransferContent::Full(bytes) => decode_generation(&bytes)?,
         };
         if content.number != generation {
             return Err(TransferError::Damaged { generation });
@@ -235,7 +235,7 @@
     }
 
     /// Only a few peers are served at a time, so that some are soon done and serve others.
-    fn admit(&mut self, now: Timestamp, peer: NodeId) -> bool {
+    fn admit_peer(&mut self, now: Timestamp, peer: NodeId) -> bool {
         self.serving.retain(|_, until| *until > now);
         let admitted = self.serving.contains_key(&peer);
         if !admitted && self.serving.len() >= self.settings.fan_out {
@@ -250,18 +250,19 @@
         &mut self,
         to: NodeId,
         generation: GenerationNumber,
-        holds: GenerationNumber,
+        newest_known: GenerationNumber,
         first: u32,
         count: u32,
         older_sets: impl FnOnce() -> Vec<MemberSet>,
     ) -> Vec<DisseminationEffect> {
-        let content_needed = holds < generation;
-        let Some(kept) = self.kept(generation, content_needed, first, older_sets) else {
+        let content_needed = newest_known < generation;
+        let Some(cached) = self.cached_transfer(generation, content_needed, first, older_sets)
+        else {
             return Vec::new();
         };
-        let count = count.min(MAXIMUM_CHUNKS_A_REQUEST);
+        let count = count.min(MAXIMUM_CHUNKS_PER_REQUEST);
         let indexes = first..first.saturating_add(count);
-        let chunks = indexes.filter_map(|index| kept.encoded.chunk(index));
+        let chunks = indexes.filter_map(|index| cached.encoded.chunk(index));
         chunks
             .map(|chunk| DisseminationEffect::Send {
                 to,
@@ -271,24 +272,29 @@
     }
 
     /// The transfer that a peer is fetching, or a new one of the newest generation.
-    fn kept(
+    fn cached_transfer(
         &mut self,
         generation: GenerationNumber,
         content_needed: bool,
         first: u32,
         older_sets: impl FnOnce() -> Vec<MemberSet>,
-    ) -> Option<&KeptTransfer> {
-        let matches = |kept: &KeptTransfer| {
-            kept.generation == generation && kept.content_needed == content_needed
+    ) -> Option<&CachedTransfer> {
+        let matches = |cached: &CachedTransfer| {
+            cached.generation == generation && cached.content_needed == content_needed
         };
         // The beginning of a transfer of member sets is made anew, since those change.
-        let fresh = !content_needed && first == 0;
-        if let Some(index) = self.kept.iter().position(matches).filter(|_| !fresh) {
-            return self.kept.get(index);
+        let must_rebuild = !content_needed && first == 0;
+        if let Some(index) = self
+            .cached
+            .iter()
+            .position(matches)
+            .filter(|_| !must_rebuild)
+        {
+            return self.cached.get(index);
         }
         let newest = self.newest.as_ref()?;
         let content = if content_needed {
-            TransferContent::Whole(encode_generation(newest))
+            TransferContent::Full(encode_generation(newest))
         } else {
             TransferContent::None
         };
@@ -297,18 +303,18 @@
             content,
             older_sets: older_sets(),
         };
-        let kept = KeptTransfer {
+        let cached = CachedTransfer {
             generation: newest.number,
             content_needed,
             encoded: EncodedTransfer::new(&transfer),
         };
-        self.kept.retain(|other| {
-            other.generation != kept.generation || other.content_needed != kept.content_needed
+        self.cached.retain(|other| {
+            other.generation != cached.generation || other.content_needed != cached.content_needed
         });
-        if self.kept.len() >= KEPT_TRANSFERS {
-            self.kept.pop_front();
+        if self.cached.len() >= MAXIMUM_CACHED_TRANSFERS {
+            self.cached.pop_front();
         }
-        self.kept.push_back(kept);
-        self.kept.back()
+        self.cached.push_back(cached);
+        self.cached.back()
     }
 }
--- a/crates/bellyoke-core/src/node/dissemination/transfer.rs
+++ b/crates/bellyoke-core/src/node/dissemination/transfer.rs
@@ -2,15 +2,15 @@
 
 use crate::generation::Generation;
 use crate::identity::GenerationNumber;
-use crate::node::dissemination::message::{CHUNK_LENGTH, Chunk};
-use crate::node::lineage::MemberSet;
+use crate::node::dissemination::message::{Chunk, MAXIMUM_CHUNK_BYTES};
+use crate::node::member_history::MemberSet;
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 use twox_hash::XxHash3_128;
 
 /// Longest transfer that is accepted, bytes.
-pub const MAXIMUM_TRANSFER_LENGTH: usize = 16 * 1024 * 1024;
+pub const MAXIMUM_TRANSFER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why a transfer is of no use.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum TransferContent {
     /// The whole content, encoded.
-    Whole(Vec<u8>),
+    Full(Vec<u8>),
     /// The receiver has it; it only lacks member sets.
     None,
 }
@@ -69,13 +69,13 @@
     /// Number of parts.
     #[must_use]
     pub fn total(&self) -> u32 {
-        self.bytes.len().div_ceil(CHUNK_LENGTH) as u32
+        self.bytes.len().div_ceil(MAXIMUM_CHUNK_BYTES) as u32
     }
 
     /// The part at `index`.
     #[must_use]
     pub fn chunk(&self, index: u32) -> Option<Chunk> {
-        let bytes = self.bytes.chunks(CHUNK_LENGTH).nth(index as usize)?;
+        let bytes = self.bytes.chunks(MAXIMUM_CHUNK_BYTES).nth(index as usize)?;
         Some(Chunk {
             generation: self.generation,
             digest: self.digest,
--- a/crates/bellyoke-core/src/node/interface.rs
+++ b/crates/bellyoke-core/src/node/interface.rs
@@ -68,7 +68,7 @@
     /// Membership changed.
     Members(Vec<MemberObject>),
     /// Contested buckets that no flow off target lives in any more.
-    Clean {
+    MarkClean {
         /// The generation under which they were found so; under another one they may have
         /// moved again.
         generation: GenerationNumber,
--- a/crates/bellyoke-core/src/node/lease.rs
+++ b/crates/bellyoke-core/src/node/lease.rs
@@ -30,17 +30,17 @@
     settings: NodeSettings,
     generation: GenerationNumber,
     quorum: Vec<NodeId>,
-    granted: BTreeMap<NodeId, Timestamp>,
-    until: Timestamp,
-    valid: bool,
-    next_renewal: Timestamp,
+    grants: BTreeMap<NodeId, Timestamp>,
+    valid_until: Timestamp,
+    was_valid: bool,
+    next_renewal_at: Timestamp,
 }
 
 /// What became of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
     /// It runs until another time now.
-    Until(Timestamp),
+    ValidUntil(Timestamp),
     /// It has run out.
     Expired,
     /// It holds again after it had run out.
@@ -56,50 +56,50 @@
             settings,
             generation: GenerationNumber(0),
             quorum: Vec::new(),
-            granted: BTreeMap::new(),
-            until: Timestamp::ZERO,
-            valid: false,
-            next_renewal: Timestamp::ZERO,
+            grants: BTreeMap::new(),
+            valid_until: Timestamp::ZERO,
+            was_valid: false,
+            next_renewal_at: Timestamp::ZERO,
         }
     }
 
     /// Whether the lease holds at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Timestamp) -> bool {
-        now < self.until
+        now < self.valid_until
     }
 
     /// When the lease ends, if nothing renews it.
     #[must_use]
-    pub fn until(&self) -> Timestamp {
-        self.until
+    pub fn valid_until(&self) -> Timestamp {
+        self.valid_until
     }
 
     /// The traffic threads forward by `generation`: its members grant from now on. A node
     /// that is no member loses the lease at once.
-    pub fn adopt(&mut self, now: Timestamp, generation: &Generation) -> Vec<LeaseChange> {
+    pub fn set_generation(&mut self, now: Timestamp, generation: &Generation) -> Vec<LeaseChange> {
         self.generation = generation.number;
-        self.granted.clear();
-        self.next_renewal = now;
+        self.grants.clear();
+        self.next_renewal_at = now;
         let members = &generation.members;
         if members.iter().any(|member| member.node == self.node) {
-            let zoned = members.iter().map(|member| (&member.zone, member.node));
-            self.quorum = lease_quorum(zoned, self.node);
+            let members_by_zone = members.iter().map(|member| (&member.zone, member.node));
+            self.quorum = lease_quorum(members_by_zone, self.node);
             return Vec::new();
         }
         self.quorum.clear();
-        self.until = self.until.min(now);
-        let mut changes = vec![LeaseChange::Until(self.until)];
+        self.valid_until = self.valid_until.min(now);
+        let mut changes = vec![LeaseChange::ValidUntil(self.valid_until)];
         changes.extend(self.expire(now));
         changes
     }
 
     /// Members to send a renewal to, if one is due.
     pub fn due_renewals(&mut self, now: Timestamp) -> Vec<NodeId> {
-        if self.quorum.is_empty() || now < self.next_renewal {
+        if self.quorum.is_empty() || now < self.next_renewal_at {
             return Vec::new();
         }
-        self.next_renewal = now.after(self.settings.lease_renewal);
+        self.next_renewal_at = now.after(self.settings.lease_renewal);
         let others = self.quorum.iter().filter(|node| **node != self.node);
         others.copied().collect()
     }
@@ -108,18 +108,18 @@
     ///
     /// A grant that names a newer generation than the traffic threads forward by does not
     /// count: the granter may have acknowledged the removal of this node.
-    pub fn granted(
+    pub fn record_grant(
         &mut self,
         now: Timestamp,
-        by: NodeId,
+        granter: NodeId,
         generation: GenerationNumber,
         sent: Timestamp,
     ) -> Vec<LeaseChange> {
-        let from_future = sent > now;
-        if generation > self.generation || from_future || !self.quorum.contains(&by) {
+        let is_in_future = sent > now;
+        if generation > self.generation || is_in_future || !self.quorum.contains(&granter) {
             return Vec::new();
         }
-        let newest = self.granted.entry(by).or_insert(sent);
+        let newest = self.grants.entry(granter).or_insert(sent);
         *newest = sent.max(*newest);
         self.extend(now)
     }
@@ -134,24 +134,24 @@
     /// When [`Self::timeout`] or [`Self::due_renewals`] has something to do.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let renewal = (!self.quorum.is_empty()).then_some(self.next_renewal);
-        let expiry = self.valid.then_some(self.until);
+        let renewal = (!self.quorum.is_empty()).then_some(self.next_renewal_at);
+        let expiry = self.was_valid.then_some(self.valid_until);
         renewal.into_iter().chain(expiry).min()
     }
 
     fn extend(&mut self, now: Timestamp) -> Vec<LeaseChange> {
-        let Some(renewed) = self.renewed_by_majority(now) else {
+        let Some(sent) = self.majority_renewal_time(now) else {
             return Vec::new();
         };
         let span = self.settings.lease_time - self.settings.lease_margin;
-        let until = renewed.after(span);
-        if until <= self.until || until <= now {
+        let until = sent.after(span);
+        if until <= self.valid_until || until <= now {
             return Vec::new();
         }
-        self.until = until;
-        let mut changes = vec![LeaseChange::Until(until)];
-        if !self.valid {
-            self.valid = true;
+        self.valid_until = until;
+        let mut changes = vec![LeaseChange::ValidUntil(until)];
+        if !self.was_valid {
+            self.was_valid = true;
             changes.push(LeaseChange::Renewed);
         }
         changes
@@ -159,8 +159,8 @@
 
     /// Send time of the newest renewal that a majority has granted. The node grants its own
     /// at any time.
-    fn renewed_by_majority(&self, now: Timestamp) -> Option<Timestamp> {
-        let mut times: Vec<Timestamp> = self.granted.values().copied().collect();
+    fn majority_renewal_time(&self, now: Timestamp) -> Option<Timestamp> {
+        let mut times: Vec<Timestamp> = self.grants.values().copied().collect();
         if self.quorum.contains(&self.node) {
             times.push(now);
         }
@@ -173,10 +173,10 @@
     }
 
     fn expire(&mut self, now: Timestamp) -> Option<LeaseChange> {
-        if !self.valid || self.is_valid(now) {
+        if !self.was_valid || self.is_valid(now) {
             return None;
         }
-        self.valid = false;
+        self.was_valid = false;
         Some(LeaseChange::Expired)
     }
 }
--- a/crates/bellyoke-core/src/node/lineage.rs
+++ b/crates/bellyoke-core/src/node/member_history.rs
@@ -12,8 +12,8 @@
 /// Member sets that a node keeps. Whoever needs more lets no barrier pass.
 pub const MAXIMUM_MEMBER_SETS: usize = 64;
 
-/// Numbers of generations that a node remembers to have held.
-const MAXIMUM_HELD: usize = 4096;
+/// Numbers of generations that a node remembers to have seen.
+const MAXIMUM_SEEN_GENERATIONS: usize = 4096;
 
 /// The members of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 
 /// A member of an older generation that is none of the current one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DepartedMember {
+pub struct FormerMember {
     /// The former member.
     pub node: NodeId,
     /// Members that grant its lease, as long as it forwards by the older generation.
@@ -44,23 +44,23 @@
 
 /// Member sets by the generation in which they began.
 #[derive(Clone, Debug, Default)]
-pub struct Lineage {
+pub struct MemberHistory {
     sets: BTreeMap<GenerationNumber, Vec<ZoneMembers>>,
-    /// Generations that this node itself has held.
-    held: BTreeSet<GenerationNumber>,
+    /// Generations that this node itself has seen.
+    seen: BTreeSet<GenerationNumber>,
     overflowed: bool,
 }
 
-impl Lineage {
+impl MemberHistory {
     /// Adds the members of a generation. Nothing is added if they are those of the set before.
     pub fn add(&mut self, generation: GenerationNumber, members: &[Member]) {
-        self.held.insert(generation);
-        if self.held.len() > MAXIMUM_HELD {
-            self.held.pop_first();
+        self.seen.insert(generation);
+        if self.seen.len() > MAXIMUM_SEEN_GENERATIONS {
+            self.seen.pop_first();
         }
-        let zones = by_zone(members);
-        let before = self.sets.range(..=generation).next_back();
-        if before.is_some_and(|(_, known)| *known == zones) {
+        let zones = group_by_zone(members);
+        let preceding = self.sets.range(..=generation).next_back();
+        if preceding.is_some_and(|(_, known)| *known == zones) {
             return;
         }
         self.insert(generation, &zones);
@@ -89,16 +89,16 @@
     /// The members of `passed` itself are filed under its number, if they are known for
     /// certain, so that all nodes name them alike.
     pub fn trim(&mut self, passed: GenerationNumber) {
-        let Some((first, zones)) = self.sets.range(..=passed).next_back() else {
+        let Some((start, zones)) = self.sets.range(..=passed).next_back() else {
             return;
         };
-        let (first, zones) = (*first, zones.clone());
-        self.sets = self.sets.split_off(&first);
-        if first < passed && self.held.contains(&passed) {
-            self.sets.remove(&first);
+        let (start, zones) = (*start, zones.clone());
+        self.sets = self.sets.split_off(&start);
+        if start < passed && self.seen.contains(&passed) {
+            self.sets.remove(&start);
             self.sets.insert(passed, zones);
         }
-        self.held = self.held.split_off(&passed);
+        self.seen = self.seen.split_off(&passed);
         self.overflowed &= self.sets.len() >= MAXIMUM_MEMBER_SETS;
     }
 
@@ -110,7 +110,7 @@
 
     /// The generations in which sets begin.
     #[must_use]
-    pub fn numbers(&self) -> Vec<GenerationNumber> {
+    pub fn set_starts(&self) -> Vec<GenerationNumber> {
         self.sets.keys().copied().collect()
     }
 
@@ -128,20 +128,20 @@
 
     /// Former members that are not among `members`, once for each set that lists them.
     #[must_use]
-    pub fn departed(&self, members: &[Member]) -> Vec<DepartedMember> {
+    pub fn former_members(&self, members: &[Member]) -> Vec<FormerMember> {
         let current: BTreeSet<NodeId> = members.iter().map(|member| member.node).collect();
-        let mut departed = Vec::new();
+        let mut former_members = Vec::new();
         for zones in self.sets.values() {
             let all = || zones.iter().flat_map(zone_nodes);
             let former = all()
                 .map(|(_, node)| node)
                 .filter(|node| !current.contains(node));
-            departed.extend(former.map(|node| DepartedMember {
+            former_members.extend(former.map(|node| FormerMember {
                 node,
                 quorum: lease_quorum(all(), node),
             }));
         }
-        departed
+        former_members
     }
 }
 
@@ -149,7 +149,7 @@
     zone.nodes.iter().map(|node| (&zone.zone, *node))
 }
 
-fn by_zone(members: &[Member]) -> Vec<ZoneMembers> {
+fn group_by_zone(members: &[Member]) -> Vec<ZoneMembers> {
     let mut zones: BTreeMap<&Zone, Vec<NodeId>> = BTreeMap::new();
     for member in members {
         zones.entry(&member.zone).or_default().push(member.node);
--- a/crates/bellyoke-core/src/node/membership/contact.rs
+++ b/crates/bellyoke-core/src/node/membership/contact.rs
@@ -2,7 +2,7 @@
 
 use super::message::MembershipMessage;
 use super::record::{MemberRecord, MemberState};
-use super::{Membership, MembershipEffect, RECORDS_A_STATE, SEEDS_A_TIME};
+use super::{Membership, MembershipEffect, RECORDS_PER_STATE_MESSAGE, SEEDS_PER_CONTACT};
 use crate::identity::NodeId;
 use crate::node::budget::{Priority, Transmission};
 use crate::node::message::MessageBody;
@@ -13,41 +13,41 @@
 impl Membership {
     /// Tries to reach seeds and members taken for dead: a cut may have healed, and both
     /// sides have stopped probing each other.
-    pub(super) fn contact(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
-        let alone = self.table.live().is_empty();
+    pub(super) fn contact_members(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
+        let alone = self.table.live_members().is_empty();
         let interval = if alone {
             self.settings.probe_period
         } else {
             self.settings.contact_interval
         };
-        let interval = interval / 2 + self.random_part(interval);
-        self.next_contact = now.after(interval);
+        let interval = interval / 2 + self.random_share_of(interval);
+        self.next_contact_at = now.after(interval);
         let lost = self.table.records().filter(|one| !one.is_live());
         let mut contacts: Vec<(Option<NodeId>, SocketAddr)> = lost
             .filter(|record| record.state == MemberState::Failed)
             .map(|record| (Some(record.member.node), record.member.peer_address))
             .collect();
         contacts.extend(self.seeds.iter().map(|seed| (None, *seed)));
-        let count = if alone { SEEDS_A_TIME } else { 1 };
+        let count = if alone { SEEDS_PER_CONTACT } else { 1 };
         let chosen = contacts.sample(&mut self.random, count);
         chosen
-            .map(|(node, address)| self.join(*node, *address, true))
+            .map(|(node, address)| self.join_message(*node, *address, true))
             .collect()
     }
 
-    pub(super) fn join(
+    pub(super) fn join_message(
         &self,
         to: Option<NodeId>,
         address: SocketAddr,
-        exchange: bool,
+        reply_requested: bool,
     ) -> MembershipEffect {
         let known = to.and_then(|node| self.table.get(node));
-        let doubted = known.filter(|record| record.state != MemberState::Alive);
+        let not_alive = known.filter(|record| record.state != MemberState::Alive);
         let message = MembershipMessage::Join {
-            updates: doubted.map(MemberRecord::update).into_iter().collect(),
+            updates: not_alive.map(MemberRecord::update).into_iter().collect(),
             record: Box::new(self.own.clone()),
             digest: self.table.digest(&self.own),
-            exchange,
+            reply_requested,
         };
         MembershipEffect::Send(Transmission {
             to,
@@ -57,24 +57,24 @@
         })
     }
 
-    pub(super) fn joined(
+    pub(super) fn handle_join(
         &mut self,
         now: Timestamp,
         record: &MemberRecord,
         digest: u64,
-        exchange: bool,
+        reply_requested: bool,
     ) -> Vec<MembershipEffect> {
-        let mut effects = self.apply(now, &record.update());
+        let mut effects = self.apply_update(now, &record.update());
         let node = record.member.node;
         let agreed = digest == self.table.digest(&self.own);
         if agreed || node == self.own.member.node || self.get(node).is_none() {
             return effects;
         }
-        if exchange {
-            effects.push(self.join(Some(node), record.member.peer_address, false));
+        if reply_requested {
+            effects.push(self.join_message(Some(node), record.member.peer_address, false));
         }
-        if now >= self.next_state {
-            self.next_state = now.after(self.settings.probe_period);
+        if now >= self.next_state_at {
+            self.next_state_at = now.after(self.settings.probe_period);
             effects.extend(self.send_state(node));
         }
         effects
@@ -86,11 +86,11 @@
             .filter(|one| one.is_live())
             .cloned()
             .collect();
-        let parts = live
-            .chunks(RECORDS_A_STATE)
-            .map(|records| MembershipMessage::State {
-                records: records.to_vec(),
-            });
+        let parts =
+            live.chunks(RECORDS_PER_STATE_MESSAGE)
+                .map(|records| MembershipMessage::State {
+                    records: records.to_vec(),
+                });
         parts
             .filter_map(|part| self.send(to, Priority::Bulk, part))
             .collect()
--- a/crates/bellyoke-core/src/node/membership/message.rs
+++ b/crates/bellyoke-core/src/node/membership/message.rs
@@ -35,7 +35,7 @@
         /// Digest of the members that it knows to live.
         digest: u64,
         /// Whether the receiver should present itself in return.
-        exchange: bool,
+        reply_requested: bool,
         /// What the sender holds against the receiver, for it to refute.
         updates: Vec<MemberUpdate>,
     },
--- a/crates/bellyoke-core/src/node/membership/mod.rs
+++ b/crates/bellyoke-core/src/node/membership/mod.rs
@@ -31,16 +31,16 @@
 use updates::UpdateQueue;
 
 /// Records that ride on one message.
-const UPDATES_A_MESSAGE: usize = 4;
+const UPDATES_PER_MESSAGE: usize = 4;
 
 /// Records in one part of a full member state.
-const RECORDS_A_STATE: usize = 7;
+const RECORDS_PER_STATE_MESSAGE: usize = 7;
 
 /// Longest zone name that is accepted from a peer, bytes.
-const MAXIMUM_ZONE_LENGTH: usize = 63;
+const MAXIMUM_ZONE_NAME_BYTES: usize = 63;
 
 /// Seeds that are tried at once.
-const SEEDS_A_TIME: usize = 3;
+const SEEDS_PER_CONTACT: usize = 3;
 
 /// Seeds that are remembered.
 const MAXIMUM_SEEDS: usize = 1024;
@@ -64,11 +64,11 @@
     updates: UpdateQueue,
     prober: Prober,
     seeds: Vec<SocketAddr>,
-    next_probe: Timestamp,
-    next_contact: Timestamp,
+    next_probe_at: Timestamp,
+    next_contact_at: Timestamp,
     /// When the next full member state may be sent: a joining crowd gets the rest by gossip.
-    next_state: Timestamp,
-    last_run: Option<Timestamp>,
+    next_state_at: Timestamp,
+    last_run_at: Option<Timestamp>,
 }
 
 impl Membership {
@@ -83,10 +83,10 @@
             updates: UpdateQueue::default(),
             prober: Prober::default(),
             seeds: Vec::new(),
-            next_probe: Timestamp::ZERO,
-            next_contact: Timestamp::ZERO,
-            next_state: Timestamp::ZERO,
-            last_run: None,
+            next_probe_at: Timestamp::ZERO,
+            next_contact_at: Timestamp::ZERO,
+            next_state_at: Timestamp::ZERO,
+            last_run_at: None,
         }
     }
 
@@ -110,7 +110,7 @@
     /// Other members that are not known to be dead.
     #[must_use]
     pub fn live_peers(&self) -> Vec<NodeId> {
-        self.table.live()
+        self.table.live_members()
     }
 
     /// The peer socket of `node`.
@@ -133,20 +133,24 @@
             .filter(|seed| *seed != own_address)
             .collect();
         self.seeds.truncate(MAXIMUM_SEEDS);
-        if self.table.live().is_empty() {
-            self.next_contact = now;
+        if self.table.live_members().is_empty() {
+            self.next_contact_at = now;
         }
     }
 
     /// Makes the members of a generation known.
-    pub fn learn(&mut self, members: &[Member]) -> Vec<MembershipEffect> {
-        let changes = self.table.learn(members, self.own.member.node);
+    pub fn add_members(&mut self, members: &[Member]) -> Vec<MembershipEffect> {
+        let changes = self.table.add_members(members, self.own.member.node);
         changes.into_iter().map(MembershipEffect::Change).collect()
     }
 
     /// A generation lacks `former`, which are members of an older one: whoever published it
     /// took them for dead, if they have not announced to leave. If they live, they refute it.
-    pub fn doubt(&mut self, now: Timestamp, former: &[NodeId]) -> Vec<MembershipEffect> {
+    pub fn fail_former_members(
+        &mut self,
+        now: Timestamp,
+        former: &[NodeId],
+    ) -> Vec<MembershipEffect> {
         let mut effects = Vec::new();
         for node in former {
             if *node == self.own.member.node && !self.own.leaving {
@@ -158,17 +162,17 @@
             };
             let mut update = known.update();
             update.state = MemberState::Failed;
-            effects.extend(self.apply(now, &update));
+            effects.extend(self.apply_update(now, &update));
         }
         effects
     }
 
     /// `node` has acknowledged `generation`.
-    pub fn acknowledged(&mut self, node: NodeId, generation: GenerationNumber) {
+    pub fn record_acknowledgement(&mut self, node: NodeId, generation: GenerationNumber) {
         if node == self.own.member.node {
             self.own.acknowledged = generation.max(self.own.acknowledged);
         } else {
-            self.table.acknowledged(node, generation);
+            self.table.record_acknowledgement(node, generation);
         }
     }
 
@@ -179,7 +183,7 @@
     }
 
     /// Announces that this node stops now, to a few members directly.
-    pub fn left(&mut self) -> Vec<MembershipEffect> {
+    pub fn announce_left(&mut self) -> Vec<MembershipEffect> {
         self.own.state = MemberState::Left;
         self.publish_own();
         let peers = self.random_peers(self.settings.fan_out);
@@ -198,46 +202,46 @@
     ) -> Vec<MembershipEffect> {
         match message {
             MembershipMessage::Probe { sequence, updates } => {
-                let mut effects = self.apply_all(now, &updates);
-                effects.extend(self.answer(from, sequence));
+                let mut effects = self.apply_updates(now, &updates);
+                effects.extend(self.send_probe_answer(from, sequence));
                 effects
             }
             MembershipMessage::ProbeRequest { sequence, target } => {
-                let effect = self.probe_for(now, from, sequence, target);
+                let effect = self.probe_on_behalf_of(now, from, sequence, target);
                 effect.into_iter().collect()
             }
             MembershipMessage::ProbeAnswer { sequence, updates } => {
-                let mut effects = self.apply_all(now, &updates);
-                effects.extend(self.answered(sequence));
+                let mut effects = self.apply_updates(now, &updates);
+                effects.extend(self.handle_probe_answer(sequence));
                 effects
             }
             MembershipMessage::Join {
                 record,
                 digest,
-                exchange,
+                reply_requested,
                 updates,
             } => {
-                let mut effects = self.apply_all(now, &updates);
-                effects.extend(self.joined(now, &record, digest, exchange));
+                let mut effects = self.apply_updates(now, &updates);
+                effects.extend(self.handle_join(now, &record, digest, reply_requested));
                 effects
             }
             MembershipMessage::State { records } => {
                 let updates: Vec<MemberUpdate> = records.iter().map(MemberRecord::update).collect();
-                self.apply_all(now, &updates)
+                self.apply_updates(now, &updates)
             }
         }
     }
 
     /// Lets time pass.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
-        self.notice_pause(now);
+        self.handle_pause(now);
         let mut effects = self.fail_suspects(now);
         effects.extend(self.probe_indirectly(now));
-        if now >= self.next_probe {
-            effects.extend(self.next_period(now));
+        if now >= self.next_probe_at {
+            effects.extend(self.start_probe_period(now));
         }
-        if now >= self.next_contact {
-            effects.extend(self.contact(now));
+        if now >= self.next_contact_at {
+            effects.extend(self.contact_members(now));
         }
         effects
     }
@@ -247,17 +251,17 @@
     pub fn next_timeout(&self) -> Timestamp {
         let indirect = self.prober.current().and_then(|probe| probe.indirect_at);
         let optional = indirect.into_iter().chain(self.table.next_deadline());
-        optional.fold(self.next_probe.min(self.next_contact), Timestamp::min)
+        optional.fold(self.next_probe_at.min(self.next_contact_at), Timestamp::min)
     }
 
     /// A process that did not run for longer than two periods has no right to suspect others
     /// of what happened meanwhile.
-    fn notice_pause(&mut self, now: Timestamp) {
-        let Some(last_run) = self.last_run.replace(now) else {
-            self.start(now);
+    fn handle_pause(&mut self, now: Timestamp) {
+        let Some(last_run_at) = self.last_run_at.replace(now) else {
+            self.schedule_first_probe(now);
             return;
         };
-        let gap = now.since(last_run);
+        let gap = now.since(last_run_at);
         if gap > 2 * self.settings.probe_period {
             self.prober.finish();
             self.table.postpone_deadlines(gap);
@@ -265,13 +269,13 @@
     }
 
     /// Draws when the first probe is sent, so that nodes started together don't probe together.
-    fn start(&mut self, now: Timestamp) {
+    fn schedule_first_probe(&mut self, now: Timestamp) {
         let period = self.settings.probe_period;
-        self.next_probe = now.after(self.random_part(period));
-        self.next_contact = now;
+        self.next_probe_at = now.after(self.random_share_of(period));
+        self.next_contact_at = now;
     }
 
-    fn random_part(&mut self, whole: Duration) -> Duration {
+    fn random_share_of(&mut self, whole: Duration) -> Duration {
         whole.mul_f64(self.random.random_range(0.0..1.0))
     }
 
@@ -280,37 +284,42 @@
         for record in self.table.overdue_suspects(now) {
             let mut update = record.update();
             update.state = MemberState::Failed;
-            effects.extend(self.apply(now, &update));
+            effects.extend(self.apply_update(now, &update));
         }
         effects
     }
 
-    fn apply_all(&mut self, now: Timestamp, news: &[MemberUpdate]) -> Vec<MembershipEffect> {
-        let bounded = news.iter().take(RECORDS_A_STATE);
-        bounded.flat_map(|record| self.apply(now, record)).collect()
+    fn apply_updates(&mut self, now: Timestamp, updates: &[MemberUpdate]) -> Vec<MembershipEffect> {
+        let bounded = updates.iter().take(RECORDS_PER_STATE_MESSAGE);
+        bounded
+            .flat_map(|record| self.apply_update(now, record))
+            .collect()
     }
 
-    fn apply(&mut self, now: Timestamp, news: &MemberUpdate) -> Vec<MembershipEffect> {
-        if news.node == self.own.member.node {
-            self.refute(news);
+    fn apply_update(&mut self, now: Timestamp, update: &MemberUpdate) -> Vec<MembershipEffect> {
+        if update.node == self.own.member.node {
+            self.refute(update);
             return Vec::new();
         }
-        let zone_length = news.member.as_ref().map_or(0, |member| member.zone.0.len());
-        if zone_length > MAXIMUM_ZONE_LENGTH {
+        let zone_length = update
+            .member
+            .as_ref()
+            .map_or(0, |member| member.zone.0.len());
+        if zone_length > MAXIMUM_ZONE_NAME_BYTES {
             return Vec::new();
         }
-        let Some(change) = self.table.apply(news) else {
+        let Some(change) = self.table.apply_update(update) else {
             return Vec::new();
         };
         self.set_deadline(now, change);
-        self.updates.add(news.node, self.retransmissions());
+        self.updates.add(update.node, self.retransmission_count());
         vec![MembershipEffect::Change(change)]
     }
 
     fn set_deadline(&mut self, now: Timestamp, change: MemberChange) {
         match change {
             MemberChange::Suspected(node) => {
-                let deadline = now.after(self.suspicion_time());
+                let deadline = now.after(self.suspicion_duration());
                 self.table.set_deadline(node, deadline);
             }
             MemberChange::Failed(node) | MemberChange::Left(node) => {
@@ -322,28 +331,28 @@
     }
 
     /// Others say that this node is suspected or dead: it is not.
-    fn refute(&mut self, news: &MemberUpdate) {
-        let stale = news.incarnation < self.own.incarnation;
-        if stale || !news.supersedes(&self.own) {
+    fn refute(&mut self, update: &MemberUpdate) {
+        let stale = update.incarnation < self.own.incarnation;
+        if stale || !update.supersedes(&self.own) {
             return;
         }
-        self.own.incarnation = news.incarnation + 1;
+        self.own.incarnation = update.incarnation + 1;
         self.publish_own();
     }
 
     fn publish_own(&mut self) {
-        let times = self.retransmissions();
+        let times = self.retransmission_count();
         self.updates.add(self.own.member.node, times);
     }
 
     /// News to send to `receiver`; first of all what it must refute itself.
     fn updates_for(&mut self, receiver: NodeId) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
-        let doubted = |record: &&MemberRecord| record.state != MemberState::Alive;
-        let own_doubts = self.table.get(receiver).filter(doubted);
-        updates.extend(own_doubts.map(MemberRecord::update));
-        for node in self.updates.take(UPDATES_A_MESSAGE) {
-            match self.record_of(node) {
+        let not_alive = |record: &&MemberRecord| record.state != MemberState::Alive;
+        let receiver_record = self.table.get(receiver).filter(not_alive);
+        updates.extend(receiver_record.map(MemberRecord::update));
+        for node in self.updates.take(UPDATES_PER_MESSAGE) {
+            match self.own_or_known_record(node) {
                 Some(_) if node == receiver => {}
                 Some(record) => updates.push(record.update()),
                 None => self.updates.remove(node),
@@ -352,7 +361,7 @@
         updates
     }
 
-    fn record_of(&self, node: NodeId) -> Option<&MemberRecord> {
+    fn own_or_known_record(&self, node: NodeId) -> Option<&MemberRecord> {
         if node == self.own.member.node {
             return Some(&self.own);
         }
@@ -375,16 +384,16 @@
     }
 
     /// Decimal logarithm of the cluster's size, rounded up; at least one.
-    fn logarithm(&self) -> u32 {
+    fn cluster_size_log10(&self) -> u32 {
         let size = self.live_peers().len() + 1;
         size.ilog10() + 1
     }
 
-    fn retransmissions(&self) -> u32 {
-        self.settings.retransmit_multiplier * self.logarithm()
+    fn retransmission_count(&self) -> u32 {
+        self.settings.retransmit_multiplier * self.cluster_size_log10()
     }
 
-    fn suspicion_time(&self) -> Duration {
-        self.settings.suspicion_multiplier * self.logarithm() * self.settings.probe_period
+    fn suspicion_duration(&self) -> Duration {
+        self.settings.suspicion_multiplier * self.cluster_size_log10() * self.settings.probe_period
     }
 }
--- a/crates/bellyoke-core/src/node/membership/prober.rs
+++ b/crates/bellyoke-core/src/node/membership/prober.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Probes that may be under way on behalf of others.
-const MAXIMUM_RELAYED: usize = 256;
+const MAXIMUM_RELAYED_PROBES: usize = 256;
 
 /// A probe of this node's own that is not yet answered.
 #[derive(Clone, Copy, Debug)]
@@ -27,13 +27,13 @@
     pub origin: NodeId,
     /// The number under which it asked.
     pub origin_sequence: u32,
-    expires: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// Goes round all members in an order that is shuffled for each round (SWIM, 4.3).
 #[derive(Debug, Default)]
 pub struct Prober {
-    round: Vec<NodeId>,
+    pending_targets: Vec<NodeId>,
     sequence: u32,
     current: Option<Probe>,
     relayed: BTreeMap<u32, RelayedProbe>,
@@ -46,11 +46,11 @@
             return None;
         }
         loop {
-            if self.round.is_empty() {
-                self.round = live.to_vec();
-                self.round.shuffle(random);
+            if self.pending_targets.is_empty() {
+                self.pending_targets = live.to_vec();
+                self.pending_targets.shuffle(random);
             }
-            let target = self.round.pop()?;
+            let target = self.pending_targets.pop()?;
             if live.binary_search(&target).is_ok() {
                 return Some(target);
             }
@@ -85,33 +85,33 @@
     }
 
     /// Starts a probe for `origin`; none, if too many are under way.
-    pub fn relay(
+    pub fn start_relayed(
         &mut self,
         origin: NodeId,
         origin_sequence: u32,
-        expires: Timestamp,
+        expires_at: Timestamp,
     ) -> Option<u32> {
-        if self.relayed.len() >= MAXIMUM_RELAYED {
+        if self.relayed.len() >= MAXIMUM_RELAYED_PROBES {
             return None;
         }
         let sequence = self.next_sequence();
         let relayed = RelayedProbe {
             origin,
             origin_sequence,
-            expires,
+            expires_at,
         };
         self.relayed.insert(sequence, relayed);
         Some(sequence)
     }
 
     /// The relayed probe that an answer with `sequence` belongs to.
-    pub fn answered_relay(&mut self, sequence: u32) -> Option<RelayedProbe> {
+    pub fn take_relayed(&mut self, sequence: u32) -> Option<RelayedProbe> {
         self.relayed.remove(&sequence)
     }
 
     /// Forgets relayed probes that nobody waits for any more.
     pub fn expire_relayed(&mut self, now: Timestamp) {
-        self.relayed.retain(|_, relayed| relayed.expires > now);
+        self.relayed.retain(|_, relayed| relayed.expires_at > now);
     }
 
     fn next_sequence(&mut self) -> u32 {
--- a/crates/bellyoke-core/src/node/membership/probing.rs
+++ b/crates/bellyoke-core/src/node/membership/probing.rs
@@ -30,16 +30,16 @@
         effects
     }
 
-    pub(super) fn next_period(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
-        self.next_probe = now.after(self.settings.probe_period);
+    pub(super) fn start_probe_period(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
+        self.next_probe_at = now.after(self.settings.probe_period);
         self.prober.expire_relayed(now);
-        self.table.forget(now);
+        self.table.remove_expired(now);
         let mut effects = self.suspect_unanswered(now);
         let live = self.live_peers();
         if let Some(target) = self.prober.next_target(&live, &mut self.random) {
             let indirect_at = now.after(self.settings.probe_timeout);
             let sequence = self.prober.start(target, indirect_at);
-            effects.extend(self.probe(target, sequence));
+            effects.extend(self.send_probe(target, sequence));
         }
         effects
     }
@@ -53,34 +53,40 @@
         };
         let mut update = known.update();
         update.state = MemberState::Suspected;
-        self.apply(now, &update)
+        self.apply_update(now, &update)
     }
 
-    pub(super) fn probe(&mut self, target: NodeId, sequence: u32) -> Option<MembershipEffect> {
+    pub(super) fn send_probe(&mut self, target: NodeId, sequence: u32) -> Option<MembershipEffect> {
         let updates = self.updates_for(target);
         let message = MembershipMessage::Probe { sequence, updates };
         self.send(target, Priority::Probe, message)
     }
 
-    pub(super) fn probe_for(
+    pub(super) fn probe_on_behalf_of(
         &mut self,
         now: Timestamp,
         origin: NodeId,
         origin_sequence: u32,
         target: NodeId,
     ) -> Option<MembershipEffect> {
-        let expires = now.after(self.settings.probe_period);
-        let sequence = self.prober.relay(origin, origin_sequence, expires)?;
-        self.probe(target, sequence)
+        let expires_at = now.after(self.settings.probe_period);
+        let sequence = self
+            .prober
+            .start_relayed(origin, origin_sequence, expires_at)?;
+        self.send_probe(target, sequence)
     }
 
-    pub(super) fn answer(&mut self, to: NodeId, sequence: u32) -> Option<MembershipEffect> {
+    pub(super) fn send_probe_answer(
+        &mut self,
+        to: NodeId,
+        sequence: u32,
+    ) -> Option<MembershipEffect> {
         let updates = self.updates_for(to);
         let message = MembershipMessage::ProbeAnswer { sequence, updates };
         self.send(to, Priority::Probe, message)
     }
 
-    pub(super) fn answered(&mut self, sequence: u32) -> Option<MembershipEffect> {
+    pub(super) fn handle_probe_answer(&mut self, sequence: u32) -> Option<MembershipEffect> {
         if self
             .prober
             .current()
@@ -89,7 +95,7 @@
             self.prober.finish();
             return None;
         }
-        let relayed = self.prober.answered_relay(sequence)?;
-        self.answer(relayed.origin, relayed.origin_sequence)
+        let relayed = self.prober.take_relayed(sequence)?;
+        self.send_probe_answer(relayed.origin, relayed.origin_sequence)
     }
 }
--- a/crates/bellyoke-core/src/node/membership/table.rs
+++ b/crates/bellyoke-core/src/node/membership/table.rs
@@ -58,28 +58,28 @@
 
     /// Members that are not known to be dead, by node.
     #[must_use]
-    pub fn live(&self) -> Vec<NodeId> {
+    pub fn live_members(&self) -> Vec<NodeId> {
         let live = self.records().filter(|record| record.is_live());
         live.map(|record| record.member.node).collect()
     }
 
-    /// Takes in what was said about a member; the change, if it was news.
-    pub fn apply(&mut self, news: &MemberUpdate) -> Option<MemberChange> {
-        let node = news.node;
+    /// Takes in what was said about a member; the change, if it was update.
+    pub fn apply_update(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
+        let node = update.node;
         let Some(entry) = self.entries.get_mut(&node) else {
-            return self.insert(news);
+            return self.insert(update);
         };
         let known = &mut entry.record;
-        let newly_leaving = news.leaving && !known.leaving;
-        known.leaving |= news.leaving;
-        if !news.supersedes(known) {
+        let newly_leaving = update.leaving && !known.leaving;
+        known.leaving |= update.leaving;
+        if !update.supersedes(known) {
             return newly_leaving.then_some(MemberChange::Leaving(node));
         }
         let before = known.state;
-        known.state = news.state;
-        known.incarnation = news.incarnation;
+        known.state = update.state;
+        known.incarnation = update.incarnation;
         entry.deadline = None;
-        Some(change(node, before, news.state))
+        Some(change(node, before, update.state))
     }
 
     /// Sets when the suspicion of `node` ends, or when it is forgotten.
@@ -108,7 +108,7 @@
     }
 
     /// Forgets dead members whose time is over.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.entries.retain(|_, entry| {
             entry.record.is_live() || entry.deadline.is_none_or(|deadline| deadline > now)
         });
@@ -123,7 +123,7 @@
     }
 
     /// `node` has acknowledged `generation`.
-    pub fn acknowledged(&mut self, node: NodeId, generation: GenerationNumber) {
+    pub fn record_acknowledgement(&mut self, node: NodeId, generation: GenerationNumber) {
         if let Some(entry) = self.entries.get_mut(&node) {
             let known = &mut entry.record.acknowledged;
             *known = generation.max(*known);
@@ -145,7 +145,7 @@
     }
 
     /// Makes members known that a generation lists.
-    pub fn learn(&mut self, members: &[Member], own: NodeId) -> Vec<MemberChange> {
+    pub fn add_members(&mut self, members: &[Member], own: NodeId) -> Vec<MemberChange> {
         let unknown = members
             .iter()
             .filter(|member| member.node != own && !self.entries.contains_key(&member.node));
@@ -159,20 +159,20 @@
             .collect()
     }
 
-    fn insert(&mut self, news: &MemberUpdate) -> Option<MemberChange> {
-        let member = news.member.as_deref()?;
-        if self.entries.len() >= MAXIMUM_MEMBERS || member.node != news.node {
+    fn insert(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
+        let member = update.member.as_deref()?;
+        if self.entries.len() >= MAXIMUM_MEMBERS || member.node != update.node {
             return None;
         }
         let mut record = MemberRecord::alive(member.clone());
-        record.incarnation = news.incarnation;
-        record.leaving = news.leaving;
+        record.incarnation = update.incarnation;
+        record.leaving = update.leaving;
         let entry = Entry {
             record,
             deadline: None,
         };
-        self.entries.insert(news.node, entry);
-        Some(MemberChange::Joined(news.node))
+        self.entries.insert(update.node, entry);
+        Some(MemberChange::Joined(update.node))
     }
 }
 
--- a/crates/bellyoke-core/src/node/membership/updates.rs
+++ b/crates/bellyoke-core/src/node/membership/updates.rs
@@ -31,12 +31,12 @@
         ranked.truncate(count);
         let nodes: Vec<NodeId> = ranked.into_iter().map(|(_, node)| node).collect();
         for node in &nodes {
-            self.count_down(*node);
+            self.decrement(*node);
         }
         nodes
     }
 
-    fn count_down(&mut self, node: NodeId) {
+    fn decrement(&mut self, node: NodeId) {
         let Some(remaining) = self.remaining.get_mut(&node) else {
             return;
         };
--- a/crates/bellyoke-core/src/node/message.rs
+++ b/crates/bellyoke-core/src/node/message.rs
@@ -15,21 +15,21 @@
 pub const PROTOCOL_VERSION: u16 = 1;
 
 /// Longest control message, bytes: it fits one datagram on any usual path.
-pub const MAXIMUM_CONTROL_LENGTH: usize = 1200;
+pub const MAXIMUM_CONTROL_MESSAGE_BYTES: usize = 1200;
 
 /// Longest message of all, bytes: one that carries a relayed packet.
-pub const MAXIMUM_MESSAGE_LENGTH: usize = 65_536 + MAXIMUM_CONTROL_LENGTH;
+pub const MAXIMUM_MESSAGE_BYTES: usize = 65_536 + MAXIMUM_CONTROL_MESSAGE_BYTES;
 
 /// Bytes of the UDP header, and of version, nonce and tag of the sealed envelope
 /// (XChaCha20-Poly1305), around an encoded message.
-const ENVELOPE_LENGTH: usize = 8 + 1 + 24 + 16;
+const ENVELOPE_BYTES: usize = 8 + 1 + 24 + 16;
 
 /// Bytes that sending a message to `address` costs besides its encoding.
 #[must_use]
 pub const fn datagram_overhead(address: SocketAddr) -> usize {
     match address {
-        SocketAddr::V4(_) => 20 + ENVELOPE_LENGTH,
-        SocketAddr::V6(_) => 40 + ENVELOPE_LENGTH,
+        SocketAddr::V4(_) => 20 + ENVELOPE_BYTES,
+        SocketAddr::V6(_) => 40 + ENVELOPE_BYTES,
     }
 }
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
     /// It is longer than peers accept.
-    #[error("a message of {length} bytes is longer than {MAXIMUM_MESSAGE_LENGTH}")]
+    #[error("a message of {length} bytes is longer than {MAXIMUM_MESSAGE_BYTES}")]
     TooLong {
         /// Its length, bytes.
         length: usize,
@@ -133,7 +133,7 @@
     /// [`DecodeError`] if they are too long, malformed or of another version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let length = bytes.len();
-        if length > MAXIMUM_MESSAGE_LENGTH {
+        if length > MAXIMUM_MESSAGE_BYTES {
             return Err(DecodeError::TooLong { length });
         }
         let mut aligned: AlignedVec = AlignedVec::with_capacity(length);
@@ -154,8 +154,8 @@
     /// Longest encoding that a message of this kind may have, bytes.
     fn longest(&self) -> usize {
         match &self.body {
-            MessageBody::Ownership(_) => MAXIMUM_MESSAGE_LENGTH,
-            _ => MAXIMUM_CONTROL_LENGTH,
+            MessageBody::Ownership(_) => MAXIMUM_MESSAGE_BYTES,
+            _ => MAXIMUM_CONTROL_MESSAGE_BYTES,
         }
     }
 }
--- a/crates/bellyoke-core/src/node/mod.rs
+++ b/crates/bellyoke-core/src/node/mod.rs
@@ -8,7 +8,7 @@
 mod dissemination;
 mod interface;
 mod lease;
-mod lineage;
+mod member_history;
 mod membership;
 mod message;
 #[allow(clippy::module_inception)]
@@ -22,16 +22,16 @@
 
 pub use barrier::{BarrierMessage, BarrierWait};
 pub use budget::BudgetCounters;
-pub use dissemination::{CHUNK_LENGTH, Chunk, DisseminationMessage, TransferError};
+pub use dissemination::{Chunk, DisseminationMessage, MAXIMUM_CHUNK_BYTES, TransferError};
 pub use interface::{
     AdoptionReport, EscalatedPacket, Input, NodeEvent, Output, Proposal, RefusalReason,
 };
 pub use lease::LeaseMessage;
-pub use lineage::{MemberSet, ZoneMembers};
+pub use member_history::{MemberSet, ZoneMembers};
 pub use membership::{MemberRecord, MemberState, MemberUpdate, MembershipMessage};
 pub use message::{
-    DecodeError, EncodeError, MAXIMUM_CONTROL_LENGTH, MAXIMUM_MESSAGE_LENGTH, Message, MessageBody,
-    PROTOCOL_VERSION, datagram_overhead,
+    DecodeError, EncodeError, MAXIMUM_CONTROL_MESSAGE_BYTES, MAXIMUM_MESSAGE_BYTES, Message,
+    MessageBody, PROTOCOL_VERSION, datagram_overhead,
 };
 pub use node::{Node, NodeIdentity};
 pub use publisher::{Publisher, PublisherInput, PublisherOutput, PublisherSettings, WriteOutcome};
--- a/crates/bellyoke-core/src/node/node.rs
+++ b/crates/bellyoke-core/src/node/node.rs
@@ -10,11 +10,11 @@
 use crate::node::dissemination::{Dissemination, DisseminationMessage};
 use crate::node::interface::{AdoptionReport, Input, NodeEvent, Output, Proposal};
 use crate::node::lease::{Lease, LeaseMessage};
-use crate::node::lineage::MemberSet;
+use crate::node::member_history::MemberSet;
 use crate::node::membership::{Membership, MembershipEffect};
 use crate::node::message::{Message, MessageBody};
 use crate::node::ownership::{Ownership, OwnershipSettings};
-use crate::node::proposer::{MembershipProposer, Standing};
+use crate::node::proposer::{MembershipProposer, ProposerStatus};
 use crate::node::settings::NodeSettings;
 use crate::node::status::{NodeStatus, RejectedTransfer};
 use crate::time::Timestamp;
@@ -46,10 +46,10 @@
     budget: Budget,
     known: Option<Arc<Generation>>,
     adopted: GenerationNumber,
-    barrier_told: GenerationNumber,
+    reported_barrier: GenerationNumber,
     was_member: bool,
     left: bool,
-    exhaustion_told: Option<Timestamp>,
+    exhaustion_reported_at: Option<Timestamp>,
     rejected_transfer: Option<RejectedTransfer>,
     rejected_messages: u64,
     outputs: Vec<Output<Message>>,
@@ -77,10 +77,10 @@
             settings,
             known: None,
             adopted: GenerationNumber(0),
-            barrier_told: GenerationNumber(0),
+            reported_barrier: GenerationNumber(0),
             was_member: false,
             left: false,
-            exhaustion_told: None,
+            exhaustion_reported_at: None,
             rejected_transfer: None,
             rejected_messages: 0,
             outputs: Vec::new(),
@@ -92,8 +92,8 @@
         match input {
             Input::Message { from, message } => self.receive(now, from, message),
             Input::Timeout => {}
-            Input::Published(generation) => self.learn(now, &generation, &[]),
-            Input::Adopted(report) => self.switched(now, report),
+            Input::Published(generation) => self.apply_generation(now, &generation, &[]),
+            Input::Adopted(report) => self.handle_adoption(now, report),
             Input::Escalated(packet) => {
                 let effects = self.ownership.escalated(now, packet);
                 self.apply_ownership(now, effects);
@@ -112,7 +112,7 @@
             Input::Seeds(seeds) => self.membership.add_seeds(now, seeds),
             Input::Leave => self.membership.leave(),
         }
-        self.let_time_pass(now);
+        self.run_timers(now);
         self.flush(now);
         std::mem::take(&mut self.outputs)
     }
@@ -151,7 +151,7 @@
             acknowledged: self.barrier.acknowledged(),
             barrier: self.barrier.passed(),
             barrier_waits_for: self.barrier.waits_for(),
-            lease_until: self.lease.until(),
+            lease_until: self.lease.valid_until(),
             leaving: self.membership.own().leaving,
             members: self.membership.records().cloned().collect(),
             budget: self.budget.counters(),
@@ -170,8 +170,9 @@
             self.rejected_messages += 1;
             return;
         }
-        self.membership.acknowledged(from, message.acknowledged);
-        let effects = self.barrier.learn_passed(message.barrier);
+        self.membership
+            .record_acknowledgement(from, message.acknowledged);
+        let effects = self.barrier.record_passed(message.barrier);
         self.apply_barrier(now, effects);
         match message.body {
             MessageBody::Membership(body) => {
@@ -191,7 +192,9 @@
                 self.apply_ownership(now, effects);
             }
         }
-        let effects = self.dissemination.notice(now, from, message.generation);
+        let effects = self
+            .dissemination
+            .record_peer_generation(now, from, message.generation);
         self.apply_dissemination(now, effects);
     }
 
@@ -209,7 +212,7 @@
             }
             LeaseMessage::Grant { sent } => {
                 let sent = Timestamp::from_micros(sent);
-                let changes = self.lease.granted(now, from, generation, sent);
+                let changes = self.lease.record_grant(now, from, generation, sent);
                 self.apply_lease(changes);
             }
         }
@@ -219,25 +222,32 @@
         match message {
             BarrierMessage::Acknowledged {
                 generation,
-                lineage,
-            } => self.barrier.reported(now, from, generation, lineage),
+                member_sets,
+            } => self
+                .barrier
+                .record_report(now, from, generation, member_sets),
             BarrierMessage::Passed => {}
         }
     }
 
     /// A generation has come from the store or a peer.
-    fn learn(&mut self, now: Timestamp, generation: &Arc<Generation>, sets: &[MemberSet]) {
+    fn apply_generation(
+        &mut self,
+        now: Timestamp,
+        generation: &Arc<Generation>,
+        sets: &[MemberSet],
+    ) {
         if generation.number <= self.known_number() {
             return;
         }
         let previous = self.known.replace(Arc::clone(generation));
         let former = former_members(previous.as_deref(), generation);
         self.was_member |= self.is_member();
-        self.dissemination.hold(generation);
-        self.barrier.learn(now, generation, sets);
-        let effects = self.membership.doubt(now, &former);
+        self.dissemination.set_newest(generation);
+        self.barrier.set_generation(now, generation, sets);
+        let effects = self.membership.fail_former_members(now, &former);
         self.apply_membership(now, effects);
-        let effects = self.membership.learn(&generation.members);
+        let effects = self.membership.add_members(&generation.members);
         self.apply_membership(now, effects);
         let effects = self.ownership.adopt(now, generation);
         self.apply_ownership(now, effects);
@@ -248,27 +258,27 @@
 
     fn announce(&mut self) {
         let announce = DisseminationMessage::Announce;
-        self.send_to_some(MessageBody::Dissemination(announce));
+        self.send_to_random_peers(MessageBody::Dissemination(announce));
     }
 
     /// The traffic threads forward by a generation.
-    fn switched(&mut self, now: Timestamp, report: AdoptionReport) {
+    fn handle_adoption(&mut self, now: Timestamp, report: AdoptionReport) {
         let generation = report.generation;
         if generation == self.known_number() && generation > self.adopted {
             self.adopted = generation;
             self.outputs
                 .push(Output::Event(NodeEvent::GenerationAdopted(generation)));
             if let Some(known) = &self.known {
-                let changes = self.lease.adopt(now, known);
+                let changes = self.lease.set_generation(now, known);
                 self.apply_lease(changes);
             }
         }
         let effects = self.ownership.adopted(now, report);
         self.apply_ownership(now, effects);
-        self.tell_barrier(now);
+        self.report_barrier(now);
     }
 
-    fn let_time_pass(&mut self, now: Timestamp) {
+    fn run_timers(&mut self, now: Timestamp) {
         if !self.left {
             let effects = self.membership.timeout(now);
             self.apply_membership(now, effects);
@@ -297,36 +307,36 @@
     }
 
     fn propose_members(&mut self, now: Timestamp) {
-        let standing = self.standing(now);
+        let proposer_status = self.proposer_status(now);
         let records = self.membership.records();
         let known = self.known.as_deref();
-        let members = self.proposer.consider(now, known, records, standing);
+        let members = self.proposer.propose(now, known, records, proposer_status);
         if let Some(members) = members {
             let proposal = Proposal::Members(members);
             self.outputs.push(Output::Propose(proposal));
         }
     }
 
-    fn standing(&self, now: Timestamp) -> Standing {
+    fn proposer_status(&self, now: Timestamp) -> ProposerStatus {
         let Some(known) = &self.known else {
-            return Standing::Entitled;
+            return ProposerStatus::Entitled;
         };
         if self.is_member() {
             let valid = self.lease.is_valid(now);
             return if valid {
-                Standing::Entitled
+                ProposerStatus::Entitled
             } else {
-                Standing::Fenced
+                ProposerStatus::Fenced
             };
         }
-        let lives = |member: &Member| {
+        let is_live_member = |member: &Member| {
             let record = self.membership.get(member.node);
             record.is_some_and(|record| record.is_live())
         };
-        if self.was_member || known.members.iter().any(lives) {
-            return Standing::Outsider;
+        if self.was_member || known.members.iter().any(is_live_member) {
+            return ProposerStatus::NonMember;
         }
-        Standing::Orphan
+        ProposerStatus::Orphaned
     }
 
     fn is_member(&self) -> bool {
@@ -343,7 +353,7 @@
             return;
         }
         self.left = true;
-        for effect in self.membership.left() {
+        for effect in self.membership.announce_left() {
             if let MembershipEffect::Send(transmission) = effect {
                 self.push(transmission);
             }
@@ -352,12 +362,12 @@
     }
 
     /// Passes on that a barrier has passed, once this node forwards by that generation.
-    fn tell_barrier(&mut self, now: Timestamp) {
+    fn report_barrier(&mut self, now: Timestamp) {
         let passed = self.barrier.passed();
-        if passed <= self.barrier_told || passed > self.adopted {
+        if passed <= self.reported_barrier || passed > self.adopted {
             return;
         }
-        self.barrier_told = passed;
+        self.reported_barrier = passed;
         self.outputs
             .push(Output::Event(NodeEvent::BarrierPassed(passed)));
         let effects = self.ownership.barrier_passed(now, passed);
@@ -368,9 +378,9 @@
 /// Members of `previous` that `generation` lacks.
 fn former_members(previous: Option<&Generation>, generation: &Generation) -> Vec<NodeId> {
     let members = previous.into_iter().flat_map(|previous| &previous.members);
-    let stays = |node| generation.members.iter().any(|member| member.node == node);
+    let remains = |node| generation.members.iter().any(|member| member.node == node);
     let nodes = members.map(|member| member.node);
-    nodes.filter(|node| !stays(*node)).collect()
+    nodes.filter(|node| !remains(*node)).collect()
 }
 
 /// Ownership's times follow from the node's.
--- a/crates/bellyoke-core/src/node/node/effects.rs
+++ b/crates/bellyoke-core/src/node/node/effects.rs
@@ -24,7 +24,7 @@
     }
 
     fn apply_change(&mut self, now: Timestamp, change: MemberChange) {
-        if let Some(event) = event_of(change) {
+        if let Some(event) = member_event(change) {
             self.outputs.push(Output::Event(event));
         }
         let effects = match change {
@@ -42,7 +42,7 @@
     pub(super) fn apply_lease(&mut self, changes: Vec<LeaseChange>) {
         for change in changes {
             self.outputs.push(match change {
-                LeaseChange::Until(until) => Output::Lease(until),
+                LeaseChange::ValidUntil(until) => Output::Lease(until),
                 LeaseChange::Expired => Output::Event(NodeEvent::Fenced),
                 LeaseChange::Renewed => Output::Event(NodeEvent::Unfenced),
             });
@@ -61,10 +61,10 @@
                     self.send(to, Priority::Agreement, body);
                 }
                 DisseminationEffect::Received(generation, sets) => {
-                    self.learn(now, &generation, &sets);
+                    self.apply_generation(now, &generation, &sets);
                 }
-                DisseminationEffect::ReceivedSets(sets) => {
-                    self.barrier.merge_lineage(now, &sets);
+                DisseminationEffect::ReceivedMemberSets(sets) => {
+                    self.barrier.merge_member_sets(now, &sets);
                 }
                 DisseminationEffect::Rejected(from, error) => {
                     self.rejected_transfer = Some(RejectedTransfer { from, error });
@@ -79,14 +79,14 @@
                 BarrierEffect::Send { to, message } => {
                     self.send(to, Priority::Agreement, MessageBody::Barrier(message));
                 }
-                BarrierEffect::SendToSome(message) => {
-                    self.send_to_some(MessageBody::Barrier(message));
+                BarrierEffect::SendToRandomPeers(message) => {
+                    self.send_to_random_peers(MessageBody::Barrier(message));
                 }
-                BarrierEffect::FetchLineage { from } => {
-                    let effects = self.dissemination.fetch_sets(now, from);
+                BarrierEffect::FetchMemberSets { from } => {
+                    let effects = self.dissemination.fetch_member_sets(now, from);
                     self.apply_dissemination(now, effects);
                 }
-                BarrierEffect::Passed(_) => self.tell_barrier(now),
+                BarrierEffect::Passed(_) => self.report_barrier(now),
             }
         }
     }
@@ -114,7 +114,7 @@
                 OwnershipEffect::Acknowledge(generation) => self.acknowledge(now, generation),
                 OwnershipEffect::Clean(buckets) => {
                     let generation = self.known_number();
-                    let proposal = Proposal::Clean {
+                    let proposal = Proposal::MarkClean {
                         generation,
                         buckets,
                     };
@@ -126,12 +126,13 @@
     }
 
     fn acknowledge(&mut self, now: Timestamp, generation: GenerationNumber) {
-        self.membership.acknowledged(self.identity.node, generation);
+        self.membership
+            .record_acknowledgement(self.identity.node, generation);
         self.barrier.acknowledge(now, generation);
     }
 }
 
-fn event_of(change: MemberChange) -> Option<NodeEvent> {
+fn member_event(change: MemberChange) -> Option<NodeEvent> {
     match change {
         MemberChange::Joined(node) => Some(NodeEvent::MemberJoined(node)),
         MemberChange::Suspected(node) => Some(NodeEvent::MemberSuspected(node)),
--- a/crates/bellyoke-core/src/node/node/outgoing.rs
+++ b/crates/bellyoke-core/src/node/node/outgoing.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn send_to_some(&mut self, body: MessageBody) {
+    pub(super) fn send_to_random_peers(&mut self, body: MessageBody) {
         for peer in self.membership.random_peers(self.settings.fan_out) {
             self.send(peer, Priority::Agreement, body.clone());
         }
@@ -73,19 +73,19 @@
                 message,
             });
         }
-        self.tell_exhaustion(now);
+        self.report_exhaustion(now);
     }
 
     /// Tells at most once a probe period that messages had to wait.
-    fn tell_exhaustion(&mut self, now: Timestamp) {
+    fn report_exhaustion(&mut self, now: Timestamp) {
         let waits = self.budget.next_timeout().is_some();
         let silent_until = self
-            .exhaustion_told
+            .exhaustion_reported_at
             .map(|told| told.after(self.settings.probe_period));
         if !waits || silent_until.is_some_and(|until| now < until) {
             return;
         }
-        self.exhaustion_told = Some(now);
+        self.exhaustion_reported_at = Some(now);
         self.outputs.push(Output::Event(NodeEvent::BudgetExhausted));
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/outbox.rs
+++ b/crates/bellyoke-core/src/node/ownership/outbox.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Most bytes of entries in one message, so that it fits into a control datagram
-/// ([`crate::node::message::MAXIMUM_CONTROL_LENGTH`]) with its headers.
+/// ([`crate::node::message::MAXIMUM_CONTROL_MESSAGE_BYTES`]) with its headers.
 const MAX_ENTRY_BYTES: usize = 1040;
 
 /// Roughly the bytes of an entry in a message.
--- a/crates/bellyoke-core/src/node/proposer.rs
+++ b/crates/bellyoke-core/src/node/proposer.rs
@@ -9,28 +9,28 @@
 
 /// How this node stands to the newest generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ProposerStatus {
     /// A member with a valid lease, or there is no generation yet.
     Entitled,
     /// A member without a lease.
     Fenced,
     /// No member, and never was one; no member of the generation is known to live.
-    Orphan,
+    Orphaned,
     /// No member: others decide.
-    Outsider,
+    NonMember,
 }
 
 /// Proposes members, once they have differed from the generation's for long enough.
 #[derive(Debug)]
 pub struct MembershipProposer {
     settings: NodeSettings,
-    wanted: Option<Wanted>,
+    pending: Option<PendingProposal>,
 }
 
 #[derive(Debug)]
-struct Wanted {
+struct PendingProposal {
     members: Vec<MemberObject>,
-    standing: Standing,
+    status: ProposerStatus,
     propose_at: Timestamp,
 }
 
@@ -40,55 +40,56 @@
     pub fn new(settings: NodeSettings) -> Self {
         Self {
             settings,
-            wanted: None,
+            pending: None,
         }
     }
 
     /// Compares the live members with the generation's; the members to propose, if it is time.
-    pub fn consider<'records>(
+    pub fn propose<'records>(
         &mut self,
         now: Timestamp,
         generation: Option<&Generation>,
         records: impl Iterator<Item = &'records MemberRecord>,
-        standing: Standing,
+        status: ProposerStatus,
     ) -> Option<Vec<MemberObject>> {
-        let members = wanted_members(records);
-        if standing == Standing::Outsider || is_in_force(generation, &members) {
-            self.wanted = None;
+        let members = eligible_members(records);
+        if status == ProposerStatus::NonMember || matches_generation(generation, &members) {
+            self.pending = None;
             return None;
         }
-        let same = |wanted: &&mut Wanted| wanted.members == members && wanted.standing == standing;
-        let Some(wanted) = self.wanted.as_mut().filter(same) else {
-            let propose_at = now.after(self.wait(standing));
-            self.wanted = Some(Wanted {
+        let is_unchanged =
+            |pending: &&mut PendingProposal| pending.members == members && pending.status == status;
+        let Some(pending) = self.pending.as_mut().filter(is_unchanged) else {
+            let propose_at = now.after(self.wait(status));
+            self.pending = Some(PendingProposal {
                 members,
-                standing,
+                status,
                 propose_at,
             });
             return None;
         };
-        if now < wanted.propose_at {
+        if now < pending.propose_at {
             return None;
         }
-        wanted.propose_at = now.after(self.settings.membership_settle);
+        pending.propose_at = now.after(self.settings.membership_settle);
         Some(members)
     }
 
-    /// When [`Self::consider`] may have something to propose.
+    /// When [`Self::propose`] may have something to propose.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        self.wanted.as_ref().map(|wanted| wanted.propose_at)
+        self.pending.as_ref().map(|pending| pending.propose_at)
     }
 
-    fn wait(&self, standing: Standing) -> std::time::Duration {
-        match standing {
-            Standing::Entitled | Standing::Outsider => self.settings.membership_settle,
-            Standing::Fenced | Standing::Orphan => self.settings.fenced_proposal_wait,
+    fn wait(&self, status: ProposerStatus) -> std::time::Duration {
+        match status {
+            ProposerStatus::Entitled | ProposerStatus::NonMember => self.settings.membership_settle,
+            ProposerStatus::Fenced | ProposerStatus::Orphaned => self.settings.fenced_proposal_wait,
         }
     }
 }
 
-fn wanted_members<'records>(
+fn eligible_members<'records>(
     records: impl Iterator<Item = &'records MemberRecord>,
 ) -> Vec<MemberObject> {
     let mut members: Vec<MemberObject> = records
@@ -103,11 +104,15 @@
     members
 }
 
-fn is_in_force(generation: Option<&Generation>, members: &[MemberObject]) -> bool {
+fn matches_generation(generation: Option<&Generation>, members: &[MemberObject]) -> bool {
     let Some(generation) = generation else {
         return false;
     };
-    let current: BTreeSet<NodeId> = generation.members.iter().map(|one| one.node).collect();
-    let wanted: BTreeSet<NodeId> = members.iter().map(|one| one.node).collect();
-    current == wanted
+    let current: BTreeSet<NodeId> = generation
+        .members
+        .iter()
+        .map(|member| member.node)
+        .collect();
+    let proposed: BTreeSet<NodeId> = members.iter().map(|member| member.node).collect();
+    current == proposed
 }
--- a/crates/bellyoke-core/src/node/publisher.rs
+++ b/crates/bellyoke-core/src/node/publisher.rs
@@ -28,9 +28,9 @@
     /// Longest wait by chance before a write.
     pub spread: Duration,
     /// Wait after a write of unknown outcome, doubled each time.
-    pub first_retry: Duration,
+    pub initial_backoff: Duration,
     /// Longest such wait.
-    pub last_retry: Duration,
+    pub maximum_backoff: Duration,
 }
 
 impl PublisherSettings {
@@ -40,8 +40,8 @@
         Self {
             parameters,
             spread: Duration::from_millis(100),
-            first_retry: Duration::from_millis(200),
-            last_retry: Duration::from_secs(10),
+            initial_backoff: Duration::from_millis(200),
+            maximum_backoff: Duration::from_secs(10),
         }
     }
 }
@@ -116,7 +116,7 @@
             newest: None,
             in_flight: None,
             due: None,
-            retry: settings.first_retry,
+            retry: settings.initial_backoff,
             reading_back: false,
             settings,
             outputs: Vec::new(),
@@ -126,11 +126,11 @@
     /// Takes in `input` at `now`; what is to be done about it.
     pub fn handle(&mut self, now: Timestamp, input: PublisherInput) -> Vec<PublisherOutput> {
         match input {
-            PublisherInput::Objects(desired) => self.take_objects(now, desired),
-            PublisherInput::Stored(generation) => self.take_stored(now, generation),
-            PublisherInput::Proposed(proposal) => self.take_proposal(now, proposal),
-            PublisherInput::Answered(outcome) => self.take_answer(now, outcome),
-            PublisherInput::Timeout => self.take_timeout(now),
+            PublisherInput::Objects(desired) => self.handle_objects(now, desired),
+            PublisherInput::Stored(generation) => self.handle_stored(now, generation),
+            PublisherInput::Proposed(proposal) => self.handle_proposal(now, proposal),
+            PublisherInput::Answered(outcome) => self.handle_outcome(now, outcome),
+            PublisherInput::Timeout => self.handle_timeout(now),
         }
         std::mem::take(&mut self.outputs)
     }
@@ -147,7 +147,7 @@
         self.newest.as_ref()
     }
 
-    fn take_objects(&mut self, now: Timestamp, desired: DesiredState) {
+    fn handle_objects(&mut self, now: Timestamp, desired: DesiredState) {
         let is_older = self.desired.as_ref().is_some_and(|known| {
             desired.revision.services < known.revision.services
                 || desired.revision.backends < known.revision.backends
@@ -156,24 +156,24 @@
             return;
         }
         self.desired = Some(desired);
-        self.wait_by_chance(now);
+        self.schedule_write(now);
     }
 
-    fn take_stored(&mut self, now: Timestamp, generation: Arc<Generation>) {
+    fn handle_stored(&mut self, now: Timestamp, generation: Arc<Generation>) {
         let answers_read_back = std::mem::take(&mut self.reading_back);
         if answers_read_back {
             self.in_flight = None;
         }
         self.advance(&generation);
         if answers_read_back || self.in_flight.is_none() {
-            self.wait_by_chance(now);
+            self.schedule_write(now);
         }
     }
 
-    fn take_proposal(&mut self, now: Timestamp, proposal: Proposal) {
+    fn handle_proposal(&mut self, now: Timestamp, proposal: Proposal) {
         match proposal {
             Proposal::Members(members) => self.members = Some(members),
-            Proposal::Clean {
+            Proposal::MarkClean {
                 generation,
                 buckets,
             } => {
@@ -183,33 +183,33 @@
                 self.settled.extend(buckets);
             }
         }
-        self.wait_by_chance(now);
+        self.schedule_write(now);
     }
 
-    fn take_answer(&mut self, now: Timestamp, outcome: WriteOutcome) {
+    fn handle_outcome(&mut self, now: Timestamp, outcome: WriteOutcome) {
         let Some(written) = self.in_flight.take() else {
             return;
         };
         match outcome {
             WriteOutcome::Accepted => {
-                self.retry = self.settings.first_retry;
+                self.retry = self.settings.initial_backoff;
                 self.advance(&written);
-                self.wait_by_chance(now);
+                self.schedule_write(now);
             }
             WriteOutcome::Conflict(newest) => {
                 self.advance(&newest);
-                self.wait_by_chance(now);
+                self.schedule_write(now);
             }
             WriteOutcome::Unknown => {
                 self.in_flight = Some(written);
                 self.reading_back = true;
                 self.due = Some(now.after(self.retry));
-                self.retry = (self.retry * 2).min(self.settings.last_retry);
+                self.retry = (self.retry * 2).min(self.settings.maximum_backoff);
             }
         }
     }
 
-    fn take_timeout(&mut self, now: Timestamp) {
+    fn handle_timeout(&mut self, now: Timestamp) {
         if self.due.is_none_or(|due| due > now) {
             return;
         }
@@ -261,7 +261,7 @@
 
     /// Members as last proposed, else as they are. A cluster without any is not founded.
     fn members_to_publish(&self) -> Option<Vec<MemberObject>> {
-        let as_they_are = || {
+        let from_newest = || {
             let newest = self.newest.as_ref()?;
             let members = newest.members.iter().map(|member| MemberObject {
                 node: member.node,
@@ -270,7 +270,7 @@
             });
             Some(members.collect())
         };
-        self.members.clone().or_else(as_they_are)
+        self.members.clone().or_else(from_newest)
     }
 
     /// Takes note of a generation in the store. What was proposed under an older one is
@@ -290,7 +290,7 @@
         self.newest.as_ref().map(|newest| newest.number)
     }
 
-    fn wait_by_chance(&mut self, now: Timestamp) {
+    fn schedule_write(&mut self, now: Timestamp) {
         if self.reading_back || self.due.is_some() {
             return;
         }
--- a/crates/bellyoke-core/src/node/rendezvous.rs
+++ b/crates/bellyoke-core/src/node/rendezvous.rs
@@ -6,7 +6,7 @@
 use twox_hash::XxHash3_64;
 
 /// Keeps the choice apart from others that hash the same nodes.
-const LEASE_SEED: u64 = 0x6c65_6173_6500_0001;
+const LEASE_HASH_SEED: u64 = 0x6c65_6173_6500_0001;
 
 /// Number of members in a lease quorum.
 pub const LEASE_QUORUM_SIZE: usize = 5;
@@ -61,5 +61,5 @@
     let mut key = [0_u8; 16];
     key[..8].copy_from_slice(&holder.0.to_be_bytes());
     key[8..].copy_from_slice(&candidate.0.to_be_bytes());
-    XxHash3_64::oneshot_with_seed(LEASE_SEED, &key)
+    XxHash3_64::oneshot_with_seed(LEASE_HASH_SEED, &key)
 }
--- a/crates/bellyoke-core/tests/node_message.rs
+++ b/crates/bellyoke-core/tests/node_message.rs
@@ -2,7 +2,7 @@
 
 use bellyoke_core::identity::{GenerationNumber, NodeId};
 use bellyoke_core::node::{
-    Chunk, DecodeError, DisseminationMessage, EncodeError, LeaseMessage, MAXIMUM_MESSAGE_LENGTH,
+    Chunk, DecodeError, DisseminationMessage, EncodeError, LeaseMessage, MAXIMUM_MESSAGE_BYTES,
     Message, MessageBody, NodeSettings, PROTOCOL_VERSION, SettingsError,
 };
 use proptest::prelude::*;
@@ -57,7 +57,7 @@
 
 #[test]
 fn bytes_longer_than_any_message_are_refused() {
-    let length = MAXIMUM_MESSAGE_LENGTH + 1;
+    let length = MAXIMUM_MESSAGE_BYTES + 1;
     let refused = Message::decode(&vec![0; length]);
     assert_eq!(refused, Err(DecodeError::TooLong { length }));
 }
--- a/crates/bellyoke-core/tests/ownership_parts.rs
+++ b/crates/bellyoke-core/tests/ownership_parts.rs
@@ -5,7 +5,7 @@
 use bellyoke_core::flow::{Escalation, EscalationKind, FlowPlace, OpenedFlow};
 use bellyoke_core::generation::{Generation, Placement};
 use bellyoke_core::identity::{BackendId, BucketIndex, GenerationNumber, NodeId, ServiceId};
-use bellyoke_core::node::MAXIMUM_CONTROL_LENGTH;
+use bellyoke_core::node::MAXIMUM_CONTROL_MESSAGE_BYTES;
 use bellyoke_core::node::ownership::placement::{BackendSelection, Candidate, Hashed, LeastLoaded};
 use bellyoke_core::node::ownership::{
     Ablation, Assignment, LoadReport, Ownership, OwnershipEffect, OwnershipMessage,
@@ -288,7 +288,11 @@
         sizes.len(),
         sizes.iter().sum::<usize>()
     );
-    assert!(sizes.iter().all(|size| *size <= MAXIMUM_CONTROL_LENGTH));
+    assert!(
+        sizes
+            .iter()
+            .all(|size| *size <= MAXIMUM_CONTROL_MESSAGE_BYTES)
+    );
     assert!(sizes.len() <= 64);
 }
 
