--- a/crates/bellyoke-core/src/node/budget.rs
+++ b/crates/bellyoke-core/src/node/budget.rs
@@ -75,7 +75,7 @@
     rate: u64,
     capacity: u64,
     tokens: u64,
-    refilled: Timestamp,
+    refilled_at: Timestamp,
     queues: [VecDeque<Queued>; PRIORITY_COUNT],
     messages_since_bulk: u32,
     counters: BudgetCounters,
@@ -94,7 +94,7 @@
             rate,
             capacity,
             tokens: capacity,
-            refilled: Timestamp::ZERO,
+            refilled_at: Timestamp::ZERO,
             queues: Default::default(),
             messages_since_bulk: 0,
             counters: BudgetCounters::default(),
@@ -146,15 +146,15 @@
         let head = self.queues[self.next_queue()?].front()?;
         let missing = (head.cost * MICROSECONDS_PER_SECOND).saturating_sub(self.tokens);
         let wait = missing.div_ceil(self.rate);
-        Some(self.refilled.after(Duration::from_micros(wait)))
+        Some(self.refilled_at.after(Duration::from_micros(wait)))
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let elapsed = now.since(self.refilled).as_micros();
+        let elapsed = now.since(self.refilled_at).as_micros();
         let elapsed = u64::try_from(elapsed).unwrap_or(u64::MAX);
         let earned = elapsed.saturating_mul(self.rate);
         self.tokens = self.tokens.saturating_add(earned).min(self.capacity);
-        self.refilled = self.refilled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// The queue whose head is to be sent next.
--- a/crates/bellyoke-core/src/node/message.rs
+++ b/crates/bellyoke-core/src/node/message.rs
@@ -118,7 +118,7 @@
     pub fn encode(&self) -> Result<Vec<u8>, EncodeError> {
         let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(self)
             .map_err(|error| EncodeError::Serializer(error.to_string()))?;
-        if bytes.len() > self.longest() {
+        if bytes.len() > self.maximum_bytes() {
             return Err(EncodeError::TooLong {
                 length: bytes.len(),
             });
@@ -145,14 +145,14 @@
                 version: message.version,
             });
         }
-        if length > message.longest() {
+        if length > message.maximum_bytes() {
             return Err(DecodeError::TooLong { length });
         }
         Ok(message)
     }
 
     /// Longest encoding that a message of this kind may have, bytes.
-    fn longest(&self) -> usize {
+    fn maximum_bytes(&self) -> usize {
         match &self.body {
             MessageBody::Ownership(_) => MAXIMUM_MESSAGE_BYTES,
             _ => MAXIMUM_CONTROL_MESSAGE_BYTES,
--- a/crates/bellyoke-core/src/node/publisher.rs
+++ b/crates/bellyoke-core/src/node/publisher.rs
@@ -26,7 +26,7 @@
     /// What is fixed for the cluster.
     pub parameters: ClusterParameters,
     /// Longest wait by chance before a write.
-    pub spread: Duration,
+    pub maximum_write_delay: Duration,
     /// Wait after a write of unknown outcome, doubled each time.
     pub initial_backoff: Duration,
     /// Longest such wait.
@@ -39,7 +39,7 @@
     pub const fn new(parameters: ClusterParameters) -> Self {
         Self {
             parameters,
-            spread: Duration::from_millis(100),
+            maximum_write_delay: Duration::from_millis(100),
             initial_backoff: Duration::from_millis(200),
             maximum_backoff: Duration::from_secs(10),
         }
@@ -98,8 +98,8 @@
     settled: BTreeSet<SettledBucket>,
     newest: Option<Arc<Generation>>,
     in_flight: Option<Arc<Generation>>,
-    due: Option<Timestamp>,
-    retry: Duration,
+    next_action_at: Option<Timestamp>,
+    backoff: Duration,
     reading_back: bool,
     outputs: Vec<PublisherOutput>,
 }
@@ -115,8 +115,8 @@
             settled: BTreeSet::new(),
             newest: None,
             in_flight: None,
-            due: None,
-            retry: settings.initial_backoff,
+            next_action_at: None,
+            backoff: settings.initial_backoff,
             reading_back: false,
             settings,
             outputs: Vec::new(),
@@ -138,7 +138,7 @@
     /// When to hand in [`PublisherInput::Timeout`].
     #[must_use]
     pub const fn next_timeout(&self) -> Option<Timestamp> {
-        self.due
+        self.next_action_at
     }
 
     /// The newest generation that the store is known to hold.
@@ -164,7 +164,7 @@
         if answers_read_back {
             self.in_flight = None;
         }
-        self.advance(&generation);
+        self.record_newest(&generation);
         if answers_read_back || self.in_flight.is_none() {
             self.schedule_write(now);
         }
@@ -192,31 +192,31 @@
         };
         match outcome {
             WriteOutcome::Accepted => {
-                self.retry = self.settings.initial_backoff;
-                self.advance(&written);
+                self.backoff = self.settings.initial_backoff;
+                self.record_newest(&written);
                 self.schedule_write(now);
             }
             WriteOutcome::Conflict(newest) => {
-                self.advance(&newest);
+                self.record_newest(&newest);
                 self.schedule_write(now);
             }
             WriteOutcome::Unknown => {
                 self.in_flight = Some(written);
                 self.reading_back = true;
-                self.due = Some(now.after(self.retry));
-                self.retry = (self.retry * 2).min(self.settings.maximum_backoff);
+                self.next_action_at = Some(now.after(self.backoff));
+                self.backoff = (self.backoff * 2).min(self.settings.maximum_backoff);
             }
         }
     }
 
     fn handle_timeout(&mut self, now: Timestamp) {
-        if self.due.is_none_or(|due| due > now) {
+        if self.next_action_at.is_none_or(|at| at > now) {
             return;
         }
-        self.due = None;
+        self.next_action_at = None;
         if self.reading_back {
             self.outputs.push(PublisherOutput::ReadBack);
-            self.due = Some(now.after(self.retry));
+            self.next_action_at = Some(now.after(self.backoff));
             return;
         }
         self.write_if_changed();
@@ -275,7 +275,7 @@
 
     /// Takes note of a generation in the store. What was proposed under an older one is
     /// void: the node proposes again what still holds.
-    fn advance(&mut self, generation: &Arc<Generation>) {
+    fn record_newest(&mut self, generation: &Arc<Generation>) {
         if self.newest_number() >= Some(generation.number) {
             return;
         }
@@ -291,11 +291,12 @@
     }
 
     fn schedule_write(&mut self, now: Timestamp) {
-        if self.reading_back || self.due.is_some() {
+        if self.reading_back || self.next_action_at.is_some() {
             return;
         }
-        let spread = u64::try_from(self.settings.spread.as_micros()).unwrap_or(u64::MAX);
-        let wait = self.random.random_range(0..=spread);
-        self.due = Some(now.after(Duration::from_micros(wait)));
+        let maximum =
+            u64::try_from(self.settings.maximum_write_delay.as_micros()).unwrap_or(u64::MAX);
+        let wait = self.random.random_range(0..=maximum);
+        self.next_action_at = Some(now.after(Duration::from_micros(wait)));
     }
 }
--- a/crates/bellyoke-core/tests/decider.rs
+++ b/crates/bellyoke-core/tests/decider.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_clean_bucket_forwards_by_table_and_holds_the_flow() {
+fn a_clean_bucket_forwards_by_the_table_and_records_the_flow() {
     let mut decider = Decider::new(&settings(10));
     let forwarding = clean(1);
     let syn = tcp(1, SYN);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_the_owner_says_is_followed() {
+fn a_learned_flow_is_forwarded_until_it_is_forgotten() {
     let mut decider = Decider::new(&settings(10));
     let forwarding = contested(1);
     let packet = tcp(1, ACK);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn without_a_lease_unknown_flows_are_dropped() {
+fn unknown_flows_are_dropped_without_a_lease() {
     let mut decider = Decider::new(&settings(10));
     let packets = [tcp(1, SYN), tcp(1, ACK), tcp(1, FIN), udp(1)];
     for forwarding in [clean(1), contested(2)] {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_flow_on_a_backend_that_is_to_come_is_escalated_until_its_generation_is_here() {
+fn a_flow_on_a_backend_of_a_later_generation_is_escalated_until_that_generation_is_adopted() {
     let mut decider = Decider::new(&settings(10));
     let mut before = contested(1);
     before.backends.retain(|backend, _| *backend < SECOND);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn without_a_lease_known_flows_go_on() {
+fn known_flows_are_forwarded_without_a_lease() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, SYN));
     let decision = decider.decide(second(1), &clean(1), LeaseState::Fenced, &tcp(1, SYN));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_flow_whose_backend_is_no_longer_known_is_reset() {
+fn a_flow_whose_backend_was_removed_is_reset() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let mut next = clean(2);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_udp_caller_that_goes_on_is_not_reset_for_ever() {
+fn a_udp_flow_is_placed_anew_after_being_reset_for_its_idle_timeout() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &udp(1));
     let to = BucketRoute::Clean(UDP_SECOND);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn ports_that_are_used_again_follow_the_route_of_the_time() {
+fn a_reused_port_follows_the_current_route() {
     for ending in [FIN, TcpFlags { rst: true, ..ACK }] {
         let mut decider = Decider::new(&settings(10));
         decide(&mut decider, 0, &clean(1), &tcp(1, SYN));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_packet_that_opens_nothing_is_taken_over_but_not_as_opened_here() {
+fn a_flow_recorded_from_a_packet_that_opens_nothing_is_not_marked_as_opened_here() {
     let mut decider = Decider::new(&settings(10));
     let forwarding = clean(1);
     decide(&mut decider, 0, &forwarding, &tcp(1, ACK));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn an_icmp_error_follows_its_flow_and_leaves_no_trace() {
+fn an_icmp_error_follows_its_flow_and_records_nothing() {
     let mut decider = Decider::new(&settings(10));
     let error = PacketSummary {
         kind: PacketKind::IcmpError,
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn an_idle_flow_is_forgotten_before_the_sweep_reaches_it() {
+fn an_expired_flow_is_ignored_before_the_sweep_removes_it() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let next = contested(2);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_step_of_the_sweep_looks_at_no_more_than_it_may() {
+fn a_sweep_step_visits_at_most_the_given_number_of_slots() {
     let mut decider = Decider::new(&settings(100));
     let forwarding = clean(1);
     for port in 0..25 {
@@ -303,8 +303,8 @@
     }
     let mut expired = 0;
     // A slot is looked at again when its flow was forgotten.
-    let looks = decider.table().capacity() * 3 / 2 + 1 + 25;
-    for left in (0..=looks / 10).rev() {
+    let visits = decider.table().capacity() * 3 / 2 + 1 + 25;
+    for left in (0..=visits / 10).rev() {
         let report = decider.sweep(second(61), &forwarding, 10);
         expired += report.expired;
         assert_eq!(report.round_complete, left == 0);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_timeout_between_ticks_is_not_cut_short() {
+fn a_timeout_between_ticks_is_rounded_up() {
     let mut settings = settings(10);
     settings.half_open_timeout = Duration::from_millis(1);
     let mut decider = Decider::new(&settings);
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_batch_is_decided_as_one_packet_after_the_other() {
+fn a_batch_gives_the_same_decisions_as_single_packets() {
     let mut packets = Vec::new();
     for port in 0..50 {
         packets.extend([
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn what_the_owner_says_is_followed_after_a_batch() {
+fn a_learned_flow_is_forwarded_after_a_batch() {
     let mut decider = Decider::new(&settings(10));
     let forwarding = contested(1);
     let packet = [tcp(1, ACK)];
--- a/crates/bellyoke-core/tests/node_cost.rs
+++ b/crates/bellyoke-core/tests/node_cost.rs
@@ -16,7 +16,7 @@
 }
 
 /// Bytes that the busiest node sends a second, with nothing going on.
-fn idle_bytes_a_second(count: u64) -> u64 {
+fn idle_bytes_per_second(count: u64) -> u64 {
     let settings = NodeSettings::default();
     let mut network = VirtualNetwork::new(count, settings);
     let members = members(count);
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn an_idle_node_sends_as_much_in_a_cluster_of_60_as_in_one_of_6() {
-    let small = idle_bytes_a_second(6);
-    let large = idle_bytes_a_second(60);
+fn idle_traffic_per_node_does_not_grow_with_the_cluster() {
+    let small = idle_bytes_per_second(6);
+    let large = idle_bytes_per_second(60);
     eprintln!("6 nodes: {small} B/s, 60 nodes: {large} B/s");
     assert!(
         large < 2 * small,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_quorum_is_spread_over_zones_and_lacks_its_holder() {
+fn a_lease_quorum_is_spread_over_zones_and_excludes_the_holder() {
     let members = members(60);
     let zoned = || members.iter().map(|member| (&member.zone, member.node));
     for holder in 1..=60 {
--- a/crates/bellyoke-core/tests/node_membership.rs
+++ b/crates/bellyoke-core/tests/node_membership.rs
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn a_cut_minority_is_fenced_and_the_rest_goes_on() {
+fn a_partitioned_minority_is_fenced_while_the_majority_keeps_its_lease() {
     let mut network = cluster(1, 6);
     let minority = [NodeId(5), NodeId(6)];
-    network.cut(minority);
+    network.partition(minority);
     network.run(seconds(4));
     for node in minority {
         assert!(!network.hosts[&node].may_open_flows(network.now()));
@@ -61,7 +61,7 @@
         assert!(network.hosts[&NodeId(node)].may_open_flows(network.now()));
     }
     network.run(seconds(30));
-    network.cut([]);
+    network.partition([]);
     network.run(seconds(40));
     for host in network.hosts.values() {
         assert!(
@@ -73,17 +73,17 @@
 }
 
 #[test]
-fn a_paused_node_is_fenced_when_it_goes_on() {
+fn a_paused_node_is_fenced_and_suspects_no_member_after_resuming() {
     let mut network = cluster(2, 6);
     network.pause(NodeId(4));
     network.run(seconds(15));
     assert!(!network.hosts[&NodeId(4)].may_open_flows(network.now()));
-    network.thaw(NodeId(4));
+    network.resume(NodeId(4));
     network.run(seconds(30));
     assert!(network.hosts[&NodeId(4)].may_open_flows(network.now()));
     let failed = |host: &support::Host| {
         (1..=6)
-            .map(|node| host.count(&NodeEvent::MemberFailed(NodeId(node))))
+            .map(|node| host.count_events(&NodeEvent::MemberFailed(NodeId(node))))
             .sum::<usize>()
     };
     assert_eq!(
--- a/crates/bellyoke-core/tests/node_message.rs
+++ b/crates/bellyoke-core/tests/node_message.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_message_comes_back_as_it_was() {
+fn messages_survive_encoding_and_decoding() {
     for message in [renewal(), chunk(1000)] {
         let bytes = message.encode().expect("bytes");
         assert_eq!(Message::decode(&bytes), Ok(message));
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn a_control_message_longer_than_a_datagram_is_refused() {
+fn a_control_message_longer_than_a_datagram_is_rejected() {
     let length = chunk(1500).encode().expect_err("too long");
     assert!(matches!(length, EncodeError::TooLong { length } if length > 1500));
 }
 
 #[test]
-fn bytes_longer_than_any_message_are_refused() {
+fn bytes_longer_than_any_message_are_rejected() {
     let length = MAXIMUM_MESSAGE_BYTES + 1;
-    let refused = Message::decode(&vec![0; length]);
-    assert_eq!(refused, Err(DecodeError::TooLong { length }));
+    let rejected = Message::decode(&vec![0; length]);
+    assert_eq!(rejected, Err(DecodeError::TooLong { length }));
 }
 
 #[test]
-fn another_protocol_version_is_refused() {
+fn another_protocol_version_is_rejected() {
     let mut newer = renewal();
     newer.version = PROTOCOL_VERSION + 1;
     let bytes = newer.encode().expect("bytes");
@@ -86,16 +86,16 @@
 }
 
 #[test]
-fn a_setting_out_of_range_is_named_with_its_range() {
+fn an_out_of_range_error_names_the_setting_and_its_range() {
     let error = NodeSettings::builder()
         .control_budget(10)
         .build()
-        .expect_err("too little");
+        .expect_err("the budget is too small");
     insta::assert_snapshot!(error, @"control_budget = 10 is out of range: 2048 to 100000000");
 }
 
 #[test]
-fn a_margin_of_more_than_half_the_lease_is_refused() {
+fn a_margin_of_more_than_half_the_lease_is_rejected() {
     let built = NodeSettings::builder()
         .lease_margin(Duration::from_secs(2))
         .build();
--- a/crates/bellyoke-core/tests/node_schedules.rs
+++ b/crates/bellyoke-core/tests/node_schedules.rs
@@ -14,17 +14,17 @@
 const NODES: u64 = 6;
 
 /// How many of the hosts may be down, cut or leaving at a time.
-const MOST_TROUBLED: usize = 2;
+const MAXIMUM_FAULTY_HOSTS: usize = 2;
 
 struct Schedule {
     network: VirtualNetwork,
     seeds: Vec<std::net::SocketAddr>,
     next_node: u64,
     paused: Vec<NodeId>,
-    cut: Vec<NodeId>,
-    /// Whether a host may die while a barrier is awaited. Then more than half of a lease
+    isolated: Vec<NodeId>,
+    /// Whether a host may die while a barrier is barrier_pending. Then more than half of a lease
     /// quorum may be lost, and by section 3 of the protocol that barrier never passes.
-    deaths_at_any_time: bool,
+    may_kill_during_barrier: bool,
 }
 
 impl Schedule {
@@ -32,9 +32,9 @@
         let mut network = VirtualNetwork::new(seed, NodeSettings::default());
         network.link = Link {
             delay: Duration::from_micros(500),
-            jitter: Duration::from_millis(1 + network.chance(60)),
-            loss: network.chance(50) as u32,
-            duplication: network.chance(50) as u32,
+            jitter: Duration::from_millis(1 + network.random_below(60)),
+            loss_per_thousand: network.random_below(50) as u32,
+            duplication_per_thousand: network.random_below(50) as u32,
         };
         let members: Vec<Member> = (1..=NODES).map(|node| member(node, ZONES)).collect();
         let seeds: Vec<_> = members.iter().map(|member| member.peer_address).collect();
@@ -47,16 +47,16 @@
             seeds,
             next_node: NODES + 1,
             paused: Vec::new(),
-            cut: Vec::new(),
-            deaths_at_any_time: true,
+            isolated: Vec::new(),
+            may_kill_during_barrier: true,
         }
     }
 
     fn step(&mut self) {
-        match self.network.chance(10) {
+        match self.network.random_below(10) {
             0 | 1 => self.pause(),
-            2 => self.thaw(),
-            3 => self.cut(),
+            2 => self.resume(),
+            3 => self.partition(),
             4 => self.heal(),
             5 => self.kill(),
             6 => self.join(),
@@ -65,42 +65,42 @@
                 self.network.publish_next();
             }
         }
-        let pause = Duration::from_millis(self.network.chance(4000));
+        let pause = Duration::from_millis(self.network.random_below(4000));
         self.network.run(pause);
     }
 
     fn pause(&mut self) {
-        if let Some(node) = self.choose() {
+        if let Some(node) = self.choose_healthy_member() {
             self.paused.push(node);
             self.network.pause(node);
         }
     }
 
-    fn thaw(&mut self) {
+    fn resume(&mut self) {
         if let Some(node) = self.paused.pop() {
-            self.network.thaw(node);
+            self.network.resume(node);
         }
     }
 
-    fn cut(&mut self) {
-        if let Some(node) = self.choose() {
-            self.cut.push(node);
-            self.network.cut(self.cut.clone());
+    fn partition(&mut self) {
+        if let Some(node) = self.choose_healthy_member() {
+            self.isolated.push(node);
+            self.network.partition(self.isolated.clone());
         }
     }
 
     fn heal(&mut self) {
-        self.cut.clear();
-        self.network.cut([]);
+        self.isolated.clear();
+        self.network.partition([]);
     }
 
     fn kill(&mut self) {
         let newest = self.network.store.current().map(|one| one.number);
-        let awaited = newest.is_some_and(|newest| !self.network.all_passed(newest));
-        if awaited && !self.deaths_at_any_time {
+        let barrier_pending = newest.is_some_and(|newest| !self.network.all_passed(newest));
+        if barrier_pending && !self.may_kill_during_barrier {
             return;
         }
-        if let Some(node) = self.choose() {
+        if let Some(node) = self.choose_healthy_member() {
             self.network.kill(node);
             self.join();
         }
@@ -119,68 +119,70 @@
         }
         let member = member(self.next_node, ZONES);
         self.next_node += 1;
-        let reads_store = self.network.chance(2) == 0;
+        let reads_store = self.network.random_below(2) == 0;
         self.network.start(&member, reads_store, self.seeds.clone());
     }
 
     fn leave(&mut self) {
-        if let Some(node) = self.choose() {
+        if let Some(node) = self.choose_healthy_member() {
             self.network.input(node, Input::Leave);
             self.join();
         }
     }
 
-    /// A host that is well, if few enough are not.
-    fn choose(&mut self) -> Option<NodeId> {
+    /// A host that is healthy, if few enough are not.
+    fn choose_healthy_member(&mut self) -> Option<NodeId> {
         let published = self.network.store.current()?.members.clone();
         let is_member = |node| published.iter().any(|member| member.node == node);
         let hosts = self.network.hosts.values();
-        let well: Vec<NodeId> = hosts
-            .filter(|host| host.runs() && !host.node.status().leaving)
+        let healthy: Vec<NodeId> = hosts
+            .filter(|host| host.is_running() && !host.node.status().leaving)
             .map(|host| host.identity.node)
-            .filter(|node| is_member(*node) && !self.cut.contains(node))
+            .filter(|node| is_member(*node) && !self.isolated.contains(node))
             .collect();
-        let readers = well
+        let readers = healthy
             .iter()
             .filter(|node| self.network.hosts[node].reads_store);
-        if published.len() > well.len() + MOST_TROUBLED - 1 || readers.count() < 2 {
+        if published.len() > healthy.len() + MAXIMUM_FAULTY_HOSTS - 1 || readers.count() < 2 {
             return None;
         }
-        let index = self.network.chance(well.len() as u64) as usize;
-        Some(well[index])
+        let index = self.network.random_below(healthy.len() as u64) as usize;
+        Some(healthy[index])
     }
 
     /// With all faults over, the newest generation gets into force everywhere.
     fn settle(&mut self) {
         while !self.paused.is_empty() {
-            self.thaw();
+            self.resume();
         }
         self.heal();
-        self.network.link.loss = 0;
+        self.network.link.loss_per_thousand = 0;
         let settled = self.network.run_until(Duration::from_secs(180), |network| {
             let newest = network.store.current().expect("a generation").number;
-            network.all_adopted(newest) && network.all_passed(newest) && members_agree(network)
+            network.all_adopted(newest)
+                && network.all_passed(newest)
+                && generation_lists_running_hosts(network)
         });
         assert!(settled, "not settled 180 s after the last fault");
     }
 }
 
 /// The generation's members are just those that run and don't leave.
-fn members_agree(network: &VirtualNetwork) -> bool {
+fn generation_lists_running_hosts(network: &VirtualNetwork) -> bool {
     let current = network.store.current().expect("a generation");
     let listed: Vec<NodeId> = current.members.iter().map(|member| member.node).collect();
     let hosts = network.hosts.values();
     let wanted: Vec<NodeId> = hosts
-        .filter(|host| host.runs() && !host.node.status().leaving)
+        .filter(|host| host.is_running() && !host.node.status().leaving)
         .map(|host| host.identity.node)
         .collect();
     listed == wanted
 }
 
-fn run(seeds: std::ops::Range<u64>) {
+fn run_schedules(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let mut schedule = Schedule::new(seed);
-        schedule.deaths_at_any_time = false;
+        schedule.may_kill_during_barrier = false;
         for _ in 0..12 {
             schedule.step();
         }
@@ -189,8 +191,8 @@
 }
 
 #[test]
-fn deaths_at_any_time_do_no_harm() {
-    for seed in 0..4 * SCHEDULES {
+fn deaths_during_a_barrier_violate_no_invariant() {
+    for seed in 0..4 * SCHEDULES_PER_BLOCK {
         let mut schedule = Schedule::new(seed);
         for _ in 0..12 {
             schedule.step();
@@ -201,27 +203,27 @@
 }
 
 #[test]
-fn schedules_of_the_first_block_hold() {
-    run(0..SCHEDULES);
+fn random_schedules_of_the_first_block_settle() {
+    run_schedules(0..SCHEDULES_PER_BLOCK);
 }
 
 #[test]
-fn schedules_of_the_second_block_hold() {
-    run(SCHEDULES..2 * SCHEDULES);
+fn random_schedules_of_the_second_block_settle() {
+    run_schedules(SCHEDULES_PER_BLOCK..2 * SCHEDULES_PER_BLOCK);
 }
 
 #[test]
-fn schedules_of_the_third_block_hold() {
-    run(2 * SCHEDULES..3 * SCHEDULES);
+fn random_schedules_of_the_third_block_settle() {
+    run_schedules(2 * SCHEDULES_PER_BLOCK..3 * SCHEDULES_PER_BLOCK);
 }
 
 #[test]
-fn schedules_of_the_fourth_block_hold() {
-    run(3 * SCHEDULES..4 * SCHEDULES);
+fn random_schedules_of_the_fourth_block_settle() {
+    run_schedules(3 * SCHEDULES_PER_BLOCK..4 * SCHEDULES_PER_BLOCK);
 }
 
 /// Schedules of one block; the blocks run at the same time.
-const SCHEDULES: u64 = 30;
+const SCHEDULES_PER_BLOCK: u64 = 30;
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
--- a/crates/bellyoke-core/tests/support/checks.rs
+++ b/crates/bellyoke-core/tests/support/checks.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A node never hands its traffic threads an older generation.
-pub fn adopts_forward(host: &Host, adopts: GenerationNumber) {
+pub fn check_adoption_is_newer(host: &Host, adopts: GenerationNumber) {
     let newest = host.generations.keys().next_back().copied();
     assert!(
         newest.is_none_or(|newest| adopts > newest),
@@ -19,23 +19,23 @@
 }
 
 /// Counts `bytes` against what the budget allows, of which `burst` seconds' worth may go at once.
-pub fn within_budget(host: &mut Host, now: Timestamp, bytes: u64, budget: u64, burst: u64) {
-    let elapsed = now.since(host.allowance_at).as_micros() as u64;
+pub fn charge_budget(host: &mut Host, now: Timestamp, bytes: u64, budget: u64, burst: u64) {
+    let elapsed = now.since(host.allowance_updated_at).as_micros() as u64;
     let capacity = budget * burst * 1_000_000;
-    host.allowance = (host.allowance + elapsed * budget).min(capacity);
-    host.allowance_at = now;
+    host.allowance_microbytes = (host.allowance_microbytes + elapsed * budget).min(capacity);
+    host.allowance_updated_at = now;
     let cost = bytes * 1_000_000;
     assert!(
-        cost <= host.allowance,
+        cost <= host.allowance_microbytes,
         "node {} exceeds its budget of {budget} bytes a second",
         host.identity.node
     );
-    host.allowance -= cost;
+    host.allowance_microbytes -= cost;
 }
 
 /// When a barrier is said to have passed, every member has acknowledged, and no former member
 /// can open a flow by an older generation any more, nor did so within the delay horizon.
-pub fn barrier_is_true(
+pub fn check_barrier_is_safe(
     hosts: &BTreeMap<NodeId, Host>,
     store: &Store,
     now: Timestamp,
@@ -54,7 +54,7 @@
     }
     let members = |node| generation.members.iter().any(|member| member.node == node);
     let former = hosts.values().filter(|host| !members(host.identity.node));
-    for host in former.filter(|host| host.forwards_by < passed) {
+    for host in former.filter(|host| host.forwarding_generation < passed) {
         let acknowledged = host.node.status().acknowledged >= passed;
         let ended = host.lease_end();
         let fenced = !host.alive || ended.is_none_or(|end| end.after(delay_horizon) <= now);
@@ -62,7 +62,7 @@
             acknowledged || fenced,
             "barrier {passed} passes, but former member {} may open flows by {} until {ended:?}",
             host.identity.node,
-            host.forwards_by
+            host.forwarding_generation
         );
     }
 }
--- a/crates/bellyoke-core/tests/support/host.rs
+++ b/crates/bellyoke-core/tests/support/host.rs
@@ -23,36 +23,36 @@
     /// What arrived while it was paused.
     pub backlog: VecDeque<Input<Message>>,
     /// Generation that its traffic threads forward by.
-    pub forwards_by: GenerationNumber,
+    pub forwarding_generation: GenerationNumber,
     /// All events, with the true time of each.
     pub events: Vec<(Timestamp, NodeEvent)>,
     /// Bytes sent, headers included.
     pub sent_bytes: u64,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Bytes that the budget would allow at `allowance_at`, in millionths.
-    pub allowance: u64,
-    /// See `allowance`.
-    pub allowance_at: Timestamp,
+    /// Bytes that the budget would allow at `allowance_updated_at`, in millionths.
+    pub allowance_microbytes: u64,
+    /// See `allowance_microbytes`.
+    pub allowance_updated_at: Timestamp,
     /// True time of the next wake-up.
-    pub wake: Timestamp,
+    pub next_wake_at: Timestamp,
     /// Wake-ups in a row that were due at once.
-    pub due_at_once: u32,
+    pub immediate_wakes: u32,
     /// Members of the generations that it has forwarded by.
     pub generations: BTreeMap<GenerationNumber, Arc<Generation>>,
     lease_until: Timestamp,
-    clock_start: Duration,
+    clock_offset: Duration,
 }
 
 impl Host {
-    /// A host whose clock was started `clock_start` before the network's.
+    /// A host whose clock was started `clock_offset` before the network's.
     pub fn new(
         identity: NodeIdentity,
         settings: NodeSettings,
         seed: u64,
-        clock_start: Duration,
+        clock_offset: Duration,
     ) -> Self {
-        let allowance =
+        let allowance_microbytes =
             u64::from(settings.control_budget()) * settings.control_burst().as_secs() * 1_000_000;
         Self {
             node: Node::new(identity.clone(), settings, seed),
@@ -61,28 +61,28 @@
             paused: false,
             reads_store: false,
             backlog: VecDeque::new(),
-            forwards_by: GenerationNumber(0),
+            forwarding_generation: GenerationNumber(0),
             events: Vec::new(),
             sent_bytes: 0,
             sent_messages: 0,
-            allowance,
-            allowance_at: Timestamp::ZERO,
-            wake: Timestamp::ZERO,
-            due_at_once: 0,
+            allowance_microbytes,
+            allowance_updated_at: Timestamp::ZERO,
+            next_wake_at: Timestamp::ZERO,
+            immediate_wakes: 0,
             generations: BTreeMap::new(),
             lease_until: Timestamp::ZERO,
-            clock_start,
+            clock_offset,
         }
     }
 
     /// What this host's clock shows at the true time `now`.
-    pub fn local(&self, now: Timestamp) -> Timestamp {
-        now.after(self.clock_start)
+    pub fn local_time(&self, now: Timestamp) -> Timestamp {
+        now.after(self.clock_offset)
     }
 
     /// The true time at which this host's clock shows `local`.
-    pub fn true_time(&self, local: Timestamp) -> Timestamp {
-        let start = self.clock_start.as_micros() as u64;
+    pub fn network_time(&self, local: Timestamp) -> Timestamp {
+        let start = self.clock_offset.as_micros() as u64;
         Timestamp::from_micros(local.as_micros().saturating_sub(start))
     }
 
@@ -93,17 +93,17 @@
 
     /// Whether its traffic threads may open a flow at the true time `now`.
     pub fn may_open_flows(&self, now: Timestamp) -> bool {
-        self.alive && self.local(now) < self.lease_until
+        self.alive && self.local_time(now) < self.lease_until
     }
 
     /// The true time at which the lease ends or ended; none, if there never was one.
     pub fn lease_end(&self) -> Option<Timestamp> {
         let had_one = self.lease_until > Timestamp::ZERO;
-        had_one.then(|| self.true_time(self.lease_until))
+        had_one.then(|| self.network_time(self.lease_until))
     }
 
     /// Whether it runs and is reached.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.alive && !self.paused
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// How often `event` has happened.
-    pub fn count(&self, event: &NodeEvent) -> usize {
+    pub fn count_events(&self, event: &NodeEvent) -> usize {
         let same = |(_, other): &&(Timestamp, NodeEvent)| other == event;
         self.events.iter().filter(same).count()
     }
--- a/crates/bellyoke-core/tests/support/network.rs
+++ b/crates/bellyoke-core/tests/support/network.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const TRACE_LENGTH: usize = 400;
+const MAXIMUM_TRACE_LINES: usize = 400;
 
 /// Shortest time that traffic threads or the store take to answer.
 const LOCAL_DELAY: Duration = Duration::from_millis(1);
@@ -31,9 +31,9 @@
     /// Longest random addition to the delay.
     pub jitter: Duration,
     /// Messages lost of a thousand.
-    pub loss: u32,
+    pub loss_per_thousand: u32,
     /// Messages that arrive twice of a thousand.
-    pub duplication: u32,
+    pub duplication_per_thousand: u32,
 }
 
 impl Default for Link {
@@ -41,14 +41,14 @@
         Self {
             delay: Duration::from_micros(500),
             jitter: Duration::from_millis(2),
-            loss: 0,
-            duplication: 0,
+            loss_per_thousand: 0,
+            duplication_per_thousand: 0,
         }
     }
 }
 
 #[derive(Debug)]
-enum Occurrence {
+enum ScheduledEvent {
     Arrival {
         to: NodeId,
         from: NodeId,
@@ -56,7 +56,7 @@
     },
     Wake(NodeId),
     Adopted(NodeId, GenerationNumber),
-    Watch(NodeId),
+    StoreRead(NodeId),
     Write {
         base: GenerationNumber,
         members: Vec<bellyoke_core::generation::MemberObject>,
@@ -76,10 +76,10 @@
     random: ChaCha8Rng,
     now: Timestamp,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    occurrences: BTreeMap<u64, Occurrence>,
-    next_occurrence: u64,
+    scheduled: BTreeMap<u64, ScheduledEvent>,
+    next_event_number: u64,
     addresses: BTreeMap<SocketAddr, NodeId>,
-    cut: BTreeSet<NodeId>,
+    isolated: BTreeSet<NodeId>,
     trace: VecDeque<String>,
     milestones: Vec<String>,
 }
@@ -96,10 +96,10 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Timestamp::ZERO,
             queue: BinaryHeap::new(),
-            occurrences: BTreeMap::new(),
-            next_occurrence: 0,
+            scheduled: BTreeMap::new(),
+            next_event_number: 0,
             addresses: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             trace: VecDeque::new(),
             milestones: Vec::new(),
         }
@@ -111,7 +111,7 @@
     }
 
     /// A random number below `bound`, for the test's own choices.
-    pub fn chance(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..bound)
     }
 
@@ -122,15 +122,15 @@
             zone: member.zone.clone(),
             peer_address: member.peer_address,
         };
-        let clock_start = Duration::from_micros(self.random.random_range(0..1_000_000_000));
+        let clock_offset = Duration::from_micros(self.random.random_range(0..1_000_000_000));
         let seed = self.random.random();
-        let mut host = Host::new(identity, self.settings.clone(), seed, clock_start);
+        let mut host = Host::new(identity, self.settings.clone(), seed, clock_offset);
         host.reads_store = reads_store;
         self.addresses.insert(member.peer_address, member.node);
         self.hosts.insert(member.node, host);
         self.input(member.node, Input::Seeds(seeds));
         if reads_store {
-            self.schedule_soon(Occurrence::Watch(member.node));
+            self.schedule_local(ScheduledEvent::StoreRead(member.node));
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn publish(&mut self, generation: Generation) {
         let number = generation.number;
         assert!(self.store.write(generation), "the store refuses {number}");
-        self.tell_readers();
+        self.notify_readers();
     }
 
     /// Accepts the next generation, with the same content as the newest.
@@ -152,27 +152,27 @@
     }
 
     /// Cuts the hosts of `group` off from all others; none heals the network.
-    pub fn cut(&mut self, group: impl IntoIterator<Item = NodeId>) {
-        self.cut = group.into_iter().collect();
-        self.milestone(format!("cut {:?}", self.cut));
+    pub fn partition(&mut self, group: impl IntoIterator<Item = NodeId>) {
+        self.isolated = group.into_iter().collect();
+        self.record_milestone(format!("cut {:?}", self.isolated));
     }
 
     /// Kills a host.
     pub fn kill(&mut self, node: NodeId) {
-        self.milestone(format!("kill {node}"));
+        self.record_milestone(format!("kill {node}"));
         let host = self.hosts.get_mut(&node).expect("a host");
         host.alive = false;
     }
 
     /// Stops a host's process without telling it.
     pub fn pause(&mut self, node: NodeId) {
-        self.milestone(format!("pause {node}"));
+        self.record_milestone(format!("pause {node}"));
         self.hosts.get_mut(&node).expect("a host").paused = true;
     }
 
     /// Lets a paused host go on. All that arrived meanwhile comes first.
-    pub fn thaw(&mut self, node: NodeId) {
-        self.milestone(format!("thaw {node}"));
+    pub fn resume(&mut self, node: NodeId) {
+        self.record_milestone(format!("resume {node}"));
         let host = self.hosts.get_mut(&node).expect("a host");
         host.paused = false;
         let backlog = std::mem::take(&mut host.backlog);
@@ -207,13 +207,13 @@
 
     /// Whether all hosts that run forward by `generation` or a newer one.
     pub fn all_adopted(&self, generation: GenerationNumber) -> bool {
-        let mut running = self.hosts.values().filter(|host| host.runs());
-        running.all(|host| host.forwards_by >= generation)
+        let mut running = self.hosts.values().filter(|host| host.is_running());
+        running.all(|host| host.forwarding_generation >= generation)
     }
 
     /// Whether all hosts that run know that the barrier of `generation` has passed.
     pub fn all_passed(&self, generation: GenerationNumber) -> bool {
-        let mut running = self.hosts.values().filter(|host| host.runs());
+        let mut running = self.hosts.values().filter(|host| host.is_running());
         running.all(|host| host.node.status().barrier >= generation)
     }
 
@@ -228,9 +228,9 @@
             host.backlog.push_back(input);
             return;
         }
-        let outputs = host.node.handle(host.local(now), input);
+        let outputs = host.node.handle(host.local_time(now), input);
         for output in outputs {
-            self.output(node, output);
+            self.handle_output(node, output);
         }
         self.schedule_wake(node);
     }
@@ -240,44 +240,44 @@
             return;
         };
         self.now = at;
-        let occurrence = self.occurrences.remove(&number).expect("an occurrence");
-        match occurrence {
-            Occurrence::Arrival { to, from, bytes } => self.arrive(to, from, &bytes),
-            Occurrence::Wake(node) => self.wake(node, at),
-            Occurrence::Adopted(node, generation) => self.adopted(node, generation),
-            Occurrence::Watch(node) => self.watch(node),
-            Occurrence::Write { base, members } => {
+        let event = self.scheduled.remove(&number).expect("an event");
+        match event {
+            ScheduledEvent::Arrival { to, from, bytes } => self.deliver(to, from, &bytes),
+            ScheduledEvent::Wake(node) => self.handle_wake(node, at),
+            ScheduledEvent::Adopted(node, generation) => self.handle_adopted(node, generation),
+            ScheduledEvent::StoreRead(node) => self.read_store(node),
+            ScheduledEvent::Write { base, members } => {
                 if self.store.write_members(base, &members) {
                     let nodes: Vec<NodeId> = members.iter().map(|member| member.node).collect();
-                    self.milestone(format!("members after {base}: {nodes:?}"));
-                    self.tell_readers();
+                    self.record_milestone(format!("members after {base}: {nodes:?}"));
+                    self.notify_readers();
                 }
             }
         }
     }
 
-    fn arrive(&mut self, to: NodeId, from: NodeId, bytes: &[u8]) {
-        if self.cut.contains(&to) != self.cut.contains(&from) {
+    fn deliver(&mut self, to: NodeId, from: NodeId, bytes: &[u8]) {
+        if self.isolated.contains(&to) != self.isolated.contains(&from) {
             return;
         }
         let message = Message::decode(bytes).expect("a peer's message is valid");
-        self.note(format!("{from} -> {to}: {:?}", message.body));
+        self.record_trace(format!("{from} -> {to}: {:?}", message.body));
         self.input(to, Input::Message { from, message });
     }
 
-    fn wake(&mut self, node: NodeId, at: Timestamp) {
-        if self.hosts[&node].wake == at && self.hosts[&node].runs() {
+    fn handle_wake(&mut self, node: NodeId, at: Timestamp) {
+        if self.hosts[&node].next_wake_at == at && self.hosts[&node].is_running() {
             self.input(node, Input::Timeout);
         }
     }
 
-    fn adopted(&mut self, node: NodeId, generation: GenerationNumber) {
+    fn handle_adopted(&mut self, node: NodeId, generation: GenerationNumber) {
         let host = self.hosts.get_mut(&node).expect("a host");
         if host.paused {
-            self.schedule_soon(Occurrence::Adopted(node, generation));
+            self.schedule_local(ScheduledEvent::Adopted(node, generation));
             return;
         }
-        host.forwards_by = host.forwards_by.max(generation);
+        host.forwarding_generation = host.forwarding_generation.max(generation);
         let report = AdoptionReport {
             generation,
             opened: Vec::new(),
@@ -285,33 +285,33 @@
         self.input(node, Input::Adopted(report));
     }
 
-    fn watch(&mut self, node: NodeId) {
+    fn read_store(&mut self, node: NodeId) {
         let current = self.store.current().filter(|_| !self.store.down).cloned();
         if let Some(current) = current {
             self.input(node, Input::Published(current));
         }
     }
 
-    fn tell_readers(&mut self) {
+    fn notify_readers(&mut self) {
         let readers = self.hosts.values().filter(|host| host.reads_store);
         let readers: Vec<NodeId> = readers.map(|host| host.identity.node).collect();
         for reader in readers {
-            self.schedule_soon(Occurrence::Watch(reader));
+            self.schedule_local(ScheduledEvent::StoreRead(reader));
         }
     }
 
-    fn output(&mut self, node: NodeId, output: Output<Message>) {
+    fn handle_output(&mut self, node: NodeId, output: Output<Message>) {
         match output {
             Output::Send {
                 address, message, ..
             } => self.send(node, address, &message),
-            Output::Adopt(forwarding) => self.adopt(node, forwarding.generation),
+            Output::Adopt(forwarding) => self.start_adoption(node, forwarding.generation),
             Output::Lease(until) => {
                 let host = self.hosts.get_mut(&node).expect("a host");
                 host.set_lease(until);
             }
-            Output::Propose(Proposal::Members(members)) => self.propose(node, members),
-            Output::Event(event) => self.event(node, event),
+            Output::Propose(Proposal::Members(members)) => self.handle_proposal(node, members),
+            Output::Event(event) => self.handle_event(node, event),
             _ => {}
         }
     }
@@ -325,25 +325,27 @@
         host.sent_bytes += cost;
         host.sent_messages += 1;
         let burst = self.settings.control_burst().as_secs();
-        checks::within_budget(host, now, cost, budget, burst);
+        checks::charge_budget(host, now, cost, budget, burst);
         let Some(to) = self.addresses.get(&address).copied() else {
             return;
         };
-        if self.chance(1000) < u64::from(self.link.loss) {
+        if self.random_below(1000) < u64::from(self.link.loss_per_thousand) {
             return;
         }
-        let copies = 1 + usize::from(self.chance(1000) < u64::from(self.link.duplication));
+        let copies = 1 + usize::from(
+            self.random_below(1000) < u64::from(self.link.duplication_per_thousand),
+        );
         for _ in 0..copies {
-            let jitter = self.chance(self.link.jitter.as_micros() as u64 + 1);
+            let jitter = self.random_below(self.link.jitter.as_micros() as u64 + 1);
             let at = self
                 .now
                 .after(self.link.delay + Duration::from_micros(jitter));
             let bytes = bytes.clone();
-            self.schedule(at, Occurrence::Arrival { to, from, bytes });
+            self.schedule(at, ScheduledEvent::Arrival { to, from, bytes });
         }
     }
 
-    fn adopt(&mut self, node: NodeId, generation: GenerationNumber) {
+    fn start_adoption(&mut self, node: NodeId, generation: GenerationNumber) {
         let published = self
             .store
             .history
@@ -351,28 +353,32 @@
             .find(|one| one.number == generation);
         let published = Arc::clone(published.expect("a published generation"));
         let host = self.hosts.get_mut(&node).expect("a host");
-        checks::adopts_forward(host, generation);
+        checks::check_adoption_is_newer(host, generation);
         host.generations.insert(generation, published);
-        self.schedule_soon(Occurrence::Adopted(node, generation));
+        self.schedule_local(ScheduledEvent::Adopted(node, generation));
     }
 
-    fn propose(&mut self, node: NodeId, members: Vec<bellyoke_core::generation::MemberObject>) {
+    fn handle_proposal(
+        &mut self,
+        node: NodeId,
+        members: Vec<bellyoke_core::generation::MemberObject>,
+    ) {
         let base = self.hosts[&node].node.status().known;
         if self.hosts[&node].reads_store && !self.store.down {
-            self.schedule_soon(Occurrence::Write { base, members });
+            self.schedule_local(ScheduledEvent::Write { base, members });
         }
     }
 
-    fn event(&mut self, node: NodeId, event: NodeEvent) {
+    fn handle_event(&mut self, node: NodeId, event: NodeEvent) {
         match event {
             NodeEvent::MemberFailed(_) | NodeEvent::BarrierPassed(_) => {
-                self.milestone(format!("{node}: {event:?}"));
+                self.record_milestone(format!("{node}: {event:?}"));
             }
-            _ => self.note(format!("{node}: {event:?}")),
+            _ => self.record_trace(format!("{node}: {event:?}")),
         }
         if let NodeEvent::BarrierPassed(passed) = event {
             let horizon = self.settings.delay_horizon();
-            checks::barrier_is_true(&self.hosts, &self.store, self.now, passed, horizon);
+            checks::check_barrier_is_safe(&self.hosts, &self.store, self.now, passed, horizon);
         }
         let host = self.hosts.get_mut(&node).expect("a host");
         // The process stops when it may.
@@ -383,11 +389,15 @@
     fn schedule_wake(&mut self, node: NodeId) {
         let now = self.now;
         let host = self.hosts.get_mut(&node).expect("a host");
-        let at = host.true_time(host.node.next_timeout()).max(now);
+        let at = host.network_time(host.node.next_timeout()).max(now);
         // A timeout that is always due would stop the clock.
-        host.due_at_once = if at == now { host.due_at_once + 1 } else { 0 };
+        host.immediate_wakes = if at == now {
+            host.immediate_wakes + 1
+        } else {
+            0
+        };
         assert!(
-            host.due_at_once < 1000,
+            host.immediate_wakes < 1000,
             "node {node} has a timeout that is always due"
         );
         let at = if at == now {
@@ -395,34 +405,34 @@
         } else {
             at
         };
-        if host.wake == at {
+        if host.next_wake_at == at {
             return;
         }
-        host.wake = at;
-        self.schedule(at, Occurrence::Wake(node));
+        host.next_wake_at = at;
+        self.schedule(at, ScheduledEvent::Wake(node));
     }
 
-    fn schedule_soon(&mut self, occurrence: Occurrence) {
-        let extra = Duration::from_micros(self.chance(20_000));
-        self.schedule(self.now.after(LOCAL_DELAY + extra), occurrence);
+    fn schedule_local(&mut self, event: ScheduledEvent) {
+        let extra = Duration::from_micros(self.random_below(20_000));
+        self.schedule(self.now.after(LOCAL_DELAY + extra), event);
     }
 
-    fn schedule(&mut self, at: Timestamp, occurrence: Occurrence) {
-        let number = self.next_occurrence;
-        self.next_occurrence += 1;
+    fn schedule(&mut self, at: Timestamp, event: ScheduledEvent) {
+        let number = self.next_event_number;
+        self.next_event_number += 1;
         self.queue.push(Reverse((at, number)));
-        self.occurrences.insert(number, occurrence);
+        self.scheduled.insert(number, event);
     }
 
     /// Notes what a reader of the trace looks for first.
-    fn milestone(&mut self, line: String) {
+    fn record_milestone(&mut self, line: String) {
         let seconds = self.now.as_micros() as f64 / 1e6;
         self.milestones.push(format!("{seconds:10.6} {line}"));
-        self.note(line);
+        self.record_trace(line);
     }
 
-    fn note(&mut self, line: String) {
-        if self.trace.len() >= TRACE_LENGTH {
+    fn record_trace(&mut self, line: String) {
+        if self.trace.len() >= MAXIMUM_TRACE_LINES {
             self.trace.pop_front();
         }
         let seconds = self.now.as_micros() as f64 / 1e6;
--- a/crates/bellyoke-core/tests/support/store.rs
+++ b/crates/bellyoke-core/tests/support/store.rs
@@ -36,12 +36,12 @@
         };
         let mut next = Generation::clone(current);
         next.number = GenerationNumber(base.0 + 1);
-        next.members = members.iter().map(member_of).collect();
+        next.members = members.iter().map(member_from_object).collect();
         self.write(next)
     }
 }
 
-fn member_of(object: &MemberObject) -> Member {
+fn member_from_object(object: &MemberObject) -> Member {
     Member {
         node: object.node,
         zone: object.zone.clone(),
