--- a/crates/bellyoke-core/examples/embed.rs
+++ b/crates/bellyoke-core/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Embeds the coordination library: compiles a configuration, then decides packets by it.
+//! Embeds the coordination library: compiles a configuration and decides packets with it.
 //!
 //! Run with `cargo run -p bellyoke-core --example embed`.
 
@@ -14,8 +14,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 const SERVICE: Ipv4Addr = Ipv4Addr::new(192, 0, 2, 10);
-const CALLER: Ipv4Addr = Ipv4Addr::new(203, 0, 113, 1);
-const FLOWS: u16 = 3000;
+const CLIENT: Ipv4Addr = Ipv4Addr::new(203, 0, 113, 1);
+const FLOW_COUNT: u16 = 3000;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let desired = DesiredState {
@@ -37,7 +37,7 @@
 
     let mut decider = Decider::new(&FlowSettings::default());
     let mut flows_by_backend = BTreeMap::new();
-    for port in 1024..1024 + FLOWS {
+    for port in 1024..1024 + FLOW_COUNT {
         let decision = decider.decide(
             Timestamp::ZERO,
             &forwarding,
@@ -92,7 +92,7 @@
     PacketSummary {
         key: FlowKey {
             transport: Transport::Tcp,
-            source: CALLER.into(),
+            source: CLIENT.into(),
             source_port,
             destination: SERVICE.into(),
             destination_port: 80,
--- a/crates/bellyoke-core/src/node/barrier.rs
+++ b/crates/bellyoke-core/src/node/barrier.rs
@@ -1,9 +1,11 @@
-//! Whether every member has acknowledged a generation (section 3 of the protocol).
+//! Barrier of a generation, passed once every member has acknowledged it (section 3 of the
+//! protocol).
 //!
-//! Members form a tree that follows from the generation alone: one branch a zone, each node
-//! with few children. A node reports to its parent when its whole subtree has acknowledged,
-//! so that the cost a node doesn't grow with the cluster. A member of the tree that dies stops
-//! the barrier in any case, until a newer generation removes it: the tree needs no repair.
+//! Members form a tree that is determined by the generation: one branch per zone, and a bounded
+//! number of children per node. A node reports to its parent when its whole subtree has
+//! acknowledged, which keeps the cost per node independent of the cluster size. The tree needs no
+//! repair when a member dies: the barrier waits for that member in any case, until a newer
+//! generation removes it.
 
 use crate::generation::{Generation, Member};
 use crate::identity::{GenerationNumber, NodeId};
@@ -15,39 +17,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Children of a node in its zone's branch.
+/// Maximum number of children of a node within its zone's branch.
 const MAXIMUM_CHILDREN: usize = 8;
 
-/// Reporters that are remembered.
+/// Maximum number of nodes whose reports are kept.
 const MAXIMUM_REPORTS: usize = 8192;
 
-/// Messages about acknowledgements.
+/// Messages of the barrier protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum BarrierMessage {
-    /// The sender and all members below it have acknowledged the generation.
+    /// The sender and all members of its subtree have acknowledged the generation.
     Acknowledged {
         /// The generation.
         generation: GenerationNumber,
-        /// Member sets that they know of, by the generation in which each begins.
+        /// First generations of the member sets known to the sender.
         member_sets: Vec<GenerationNumber>,
     },
-    /// A barrier has passed; its number is in the message's header.
+    /// A barrier has passed. The message header contains the generation number.
     Passed,
 }
 
-/// What the barrier wants done.
+/// Action requested by the barrier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarrierEffect {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// The receiver.
         to: NodeId,
-        /// What to say.
+        /// The message.
         message: BarrierMessage,
     },
-    /// Send a message to some members, whichever.
+    /// Sends a message to random live members.
     SendToRandomPeers(BarrierMessage),
-    /// Fetch the member sets that a peer has and this node lacks.
+    /// Fetches member sets that a peer has and this node lacks.
     FetchMemberSets {
         /// The peer.
         from: NodeId,
@@ -56,33 +58,34 @@
     Passed(GenerationNumber),
 }
 
-/// What the barrier of the newest generation waits for, as far as a node can tell.
+/// Condition that the barrier of the newest generation waits for, as known to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarrierWait {
-    /// Nothing: it has passed, or there is no generation.
+    /// The barrier has passed, or there is no generation.
     Nothing,
-    /// This node itself has not acknowledged.
+    /// This node has not acknowledged the generation.
     OwnAcknowledgement,
-    /// These nodes have not reported that they and all below them have.
+    /// These children have not reported the acknowledgement of their subtrees.
     Reports(Vec<NodeId>),
-    /// A reporter knows former members that this node doesn't know.
+    /// A reporting node has member sets that this node lacks.
     MemberSets(NodeId),
-    /// These former members may still open flows by an older generation.
+    /// These former members may still open flows with an older generation.
     FormerMembers(Vec<NodeId>),
-    /// The parent has been told; it, or the news that the barrier has passed, is awaited.
+    /// This node has reported to its parent; the barrier has not passed yet.
     Parent(NodeId),
 }
 
 /// Position of a node in the tree of a generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TreePosition {
-    /// Where it reports to; none at the root.
+    /// The node to report to; `None` at the root.
     pub parent: Option<NodeId>,
-    /// Who reports to it, former members apart.
+    /// The members that report to the node. Former members are not listed.
     pub children: Vec<NodeId>,
 }
 
-/// The position of `node` among `members`. A node that is no member reports to the root.
+/// Returns the position of `node` in the tree of `members`. A node that is not a member reports to
+/// the root.
 #[must_use]
 pub fn tree_position(members: &[Member], node: NodeId) -> TreePosition {
     let mut sorted: Vec<&Member> = members.iter().collect();
@@ -129,13 +132,13 @@
     reports: BTreeMap<NodeId, Report>,
     acknowledged: GenerationNumber,
     passed: GenerationNumber,
-    /// When the newest report that counts came in.
+    /// Time of the latest relevant acknowledgement or report.
     newest_report: Timestamp,
     next_action: Option<Timestamp>,
 }
 
 impl Barrier {
-    /// A node that knows no generation.
+    /// Returns the state of a node without a generation.
     #[must_use]
     pub fn new(node: NodeId, settings: NodeSettings) -> Self {
         Self {
@@ -152,25 +155,25 @@
         }
     }
 
-    /// The newest generation whose barrier is known to have passed.
+    /// Returns the newest generation whose barrier is known to have passed.
     #[must_use]
     pub fn passed(&self) -> GenerationNumber {
         self.passed
     }
 
-    /// The newest generation that this node has acknowledged.
+    /// Returns the newest generation acknowledged by this node.
     #[must_use]
     pub fn acknowledged(&self) -> GenerationNumber {
         self.acknowledged
     }
 
-    /// Member sets of generations that may still be in force somewhere.
+    /// Returns the member sets of older generations that may still be in use.
     #[must_use]
     pub fn older_sets(&self) -> Vec<MemberSet> {
         self.history.older_sets(self.number())
     }
 
-    /// A newer generation is known, and what the sender knew of those before.
+    /// Sets a newer generation and merges `sets`, the older member sets known to its sender.
     pub fn set_generation(
         &mut self,
         now: Timestamp,
@@ -188,22 +191,22 @@
         self.next_action = None;
     }
 
-    /// Adds member sets that were fetched from a peer.
+    /// Adds member sets fetched from a peer.
     pub fn merge_member_sets(&mut self, now: Timestamp, sets: &[MemberSet]) {
         self.history.merge(sets);
         self.history.trim(self.passed);
         self.next_action = Some(now);
     }
 
-    /// This node acknowledges `generation`.
+    /// Records that this node acknowledges `generation`.
     pub fn acknowledge(&mut self, now: Timestamp, generation: GenerationNumber) {
         self.acknowledged = generation.max(self.acknowledged);
         self.newest_report = now;
         self.next_action = Some(now);
     }
 
-    /// `from` and all members below it have acknowledged `generation`, and know the member
-    /// sets that begin with the generations of `lineage`.
+    /// Records that `from` and all members of its subtree have acknowledged `generation`, and
+    /// know the member sets that start with the generations in `member_sets`.
     pub fn record_report(
         &mut self,
         now: Timestamp,
@@ -227,7 +230,7 @@
         self.next_action = Some(now);
     }
 
-    /// A message's header says that the barrier of `passed` has passed.
+    /// Records that the barrier of `passed` has passed, and announces it if that is new.
     pub fn record_passed(&mut self, passed: GenerationNumber) -> Vec<BarrierEffect> {
         if passed <= self.passed {
             return Vec::new();
@@ -247,7 +250,8 @@
         effects
     }
 
-    /// Lets time pass. `is_live` tells which nodes are not known to be dead.
+    /// Reports, or passes the barrier at the root, if that is due. `is_live` returns whether a node
+    /// is not known to be dead.
     pub fn timeout(
         &mut self,
         now: Timestamp,
@@ -271,7 +275,7 @@
         }
     }
 
-    /// When [`Self::timeout`] has something to do.
+    /// Returns the time at which [`Self::timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.next_action
@@ -287,7 +291,7 @@
         report.is_some_and(|report| report.generation == self.number())
     }
 
-    /// What the barrier of the newest generation waits for.
+    /// Returns the condition that the barrier of the newest generation waits for.
     #[must_use]
     pub fn waits_for(&self) -> BarrierWait {
         let Some(generation) = &self.generation else {
@@ -321,15 +325,15 @@
         nodes.into_iter().collect()
     }
 
-    /// Former members that have not acknowledged the newest generation.
+    /// Returns former members that have not acknowledged the newest generation.
     fn pending_former_members(&self, generation: &Generation) -> Vec<FormerMember> {
         let mut pending = self.history.former_members(&generation.members);
         pending.retain(|former| !self.has_reported(former.node));
         pending
     }
 
-    /// Whether this node and all members below it have acknowledged, and nobody knows yet
-    /// that the barrier has passed.
+    /// Returns whether this node and all members of its subtree have acknowledged, and the barrier
+    /// is not known to have passed.
     fn is_complete(&self) -> bool {
         let number = self.number();
         let pending = self.generation.is_some() && self.passed < number;
@@ -348,7 +352,7 @@
         }
     }
 
-    /// A reporter that knows a member set which this node lacks and which still is_relevant.
+    /// Returns a reporting node with a relevant member set that this node lacks.
     fn reporter_with_unknown_sets(&self) -> Option<NodeId> {
         let known: BTreeSet<GenerationNumber> = self.history.set_starts().into_iter().collect();
         let number = self.number();
@@ -395,8 +399,8 @@
         Vec::new()
     }
 
-    /// Those of its quorum that have not acknowledged the generation that lacks the former
-    /// member are too few to renew its lease. All `members` have acknowledged.
+    /// Returns whether a former member can no longer renew its lease: too few of its quorum have
+    /// not yet acknowledged the generation that lacks it. All `members` have acknowledged.
     fn cannot_renew(&self, former: &FormerMember, members: &BTreeSet<NodeId>) -> bool {
         let may_grant = former
             .quorum
--- a/crates/bellyoke-core/src/node/budget.rs
+++ b/crates/bellyoke-core/src/node/budget.rs
@@ -1,8 +1,9 @@
-//! Keeps what a node sends for control within a number of bytes a second.
+//! Limits the control traffic of a node to a number of bytes per second.
 //!
-//! A token bucket with priorities. Leases and probes, whose cost is constant, go first; of the
-//! rest, the less urgent gets a fixed share, so that it is never starved. What doesn't fit waits; only when a queue is full
-//! is its oldest message given up, and counted: every sender of such messages sends again.
+//! The limit is a token bucket with priorities. Leases and probes have a constant cost and are
+//! sent first. Bulk messages have a fixed share of the remaining priorities, which prevents their
+//! starvation. Messages that exceed the budget are queued. When a queue is full, its oldest
+//! message is dropped and counted; its sender will send it again.
 
 use crate::identity::NodeId;
 use crate::node::message::{MessageBody, datagram_overhead};
@@ -11,22 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Messages that may wait in each priority.
+/// Maximum number of queued messages of each priority.
 const MAXIMUM_QUEUED_MESSAGES: usize = 256;
 
-/// After this many messages of agreement, one of bulk may go.
+/// Messages of the priorities from [`Priority::Agreement`] on that are sent for each bulk message
+/// while bulk messages are queued.
 const AGREEMENT_MESSAGES_PER_BULK: u32 = 3;
 
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-/// What is sent first.
+/// Priority of a message, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Renewals of leases and their answers.
+    /// Lease renewals and grants.
     Lease,
-    /// Probes of members.
+    /// Probes of members and their answers.
     Probe,
-    /// Acknowledgements, barriers and contents of generations.
+    /// Acknowledgements, barriers and transfers of generations.
     Agreement,
     /// Claims, pins and handover lists.
     Ownership,
@@ -36,29 +38,29 @@
 
 const PRIORITY_COUNT: usize = 5;
 
-/// A message that is to be sent.
+/// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmission {
-    /// The receiver, if its identity is known.
+    /// The receiver, if its node ID is known.
     pub to: Option<NodeId>,
-    /// Its peer socket.
+    /// Address of its peer socket.
     pub address: SocketAddr,
-    /// How urgent it is.
+    /// Priority of the message.
     pub priority: Priority,
-    /// What to say.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a budget has counted since the process started.
+/// Counters of a budget since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetCounters {
     /// Bytes sent, headers included.
     pub sent_bytes: u64,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Messages that had to wait.
+    /// Messages that were queued because of the budget.
     pub deferred: u64,
-    /// Messages given up because too many waited.
+    /// Messages dropped because a queue was full.
     pub overflowed: u64,
 }
 
@@ -69,7 +71,9 @@
     deferred: bool,
 }
 
-/// The token bucket and the messages that wait for it.
+/// Token bucket and queues of messages.
+///
+/// Tokens are counted in millionths of a byte, which makes refilling exact in microseconds.
 #[derive(Debug)]
 pub struct Budget {
     rate: u64,
@@ -82,9 +86,8 @@
 }
 
 impl Budget {
-    /// A budget of `rate` bytes a second. What isn't used is saved for up to `burst`, so
-    /// that a change of the configuration, which costs much at once and comes seldom, need
-    /// not wait.
+    /// Returns a budget of `rate` bytes per second. Unused budget is saved for up to `burst`,
+    /// since configuration changes are rare but need many messages at once.
     #[must_use]
     pub fn new(rate: u32, burst: Duration) -> Self {
         let rate = u64::from(rate);
@@ -101,14 +104,14 @@
         }
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the process started.
     #[must_use]
     pub fn counters(&self) -> BudgetCounters {
         self.counters
     }
 
-    /// Lets `transmission`, whose message has `length` bytes, wait for its turn. An equal
-    /// one that waits already is enough.
+    /// Queues `transmission`, whose encoded message has `length` bytes, unless an equal one is
+    /// queued already.
     pub fn push(&mut self, transmission: Transmission, length: usize) {
         let queue = &mut self.queues[transmission.priority as usize];
         if queue
@@ -129,7 +132,7 @@
         });
     }
 
-    /// Takes what may be sent now.
+    /// Removes and returns the messages that may be sent now.
     pub fn drain(&mut self, now: Timestamp) -> Vec<Transmission> {
         self.refill(now);
         let mut ready = Vec::new();
@@ -140,7 +143,7 @@
         ready
     }
 
-    /// When the next waiting message can be sent.
+    /// Returns the time at which the next queued message can be sent.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let head = self.queues[self.next_queue()?].front()?;
@@ -157,7 +160,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// The queue whose head is to be sent next.
+    /// Returns the index of the queue to send from next.
     fn next_queue(&self) -> Option<usize> {
         let (agreement, bulk) = (Priority::Agreement as usize, Priority::Bulk as usize);
         let first = self.queues.iter().position(|queue| !queue.is_empty())?;
--- a/crates/bellyoke-core/src/node/dissemination/fetch.rs
+++ b/crates/bellyoke-core/src/node/dissemination/fetch.rs
@@ -1,4 +1,4 @@
-//! A transfer that this node is receiving.
+//! Receiving side of a transfer.
 
 use crate::identity::{GenerationNumber, NodeId};
 use crate::node::dissemination::message::{Chunk, DisseminationMessage, MAXIMUM_CHUNK_BYTES};
@@ -6,26 +6,26 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Chunks that are asked for at once.
+/// Number of chunks per request.
 const WINDOW_CHUNKS: u32 = 4;
 
-/// Requests that may stay without effect before the peer is given up.
+/// Number of consecutive requests without a useful chunk after which the peer is abandoned.
 pub const MAXIMUM_FETCH_ATTEMPTS: u32 = 3;
 
-/// What a chunk has brought about.
+/// Result of receiving a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchProgress {
-    /// The chunk is of no use.
+    /// The chunk is not useful and was ignored.
     Ignored,
-    /// More chunks of the window are to come.
+    /// Further chunks of the window are outstanding.
     Waiting,
-    /// All chunks of the window are there: ask for the next.
+    /// The window is complete, and the next one is to be requested.
     NextWindow,
-    /// All chunks are there.
+    /// The transfer is complete.
     Complete {
         /// The generation.
         generation: GenerationNumber,
-        /// The digest that the sender named.
+        /// The digest given by the sender.
         digest: u128,
         /// The encoded transfer.
         bytes: Vec<u8>,
@@ -37,11 +37,11 @@
 pub struct Fetch {
     /// The peer.
     pub from: NodeId,
-    /// The generation wanted.
+    /// The requested generation.
     pub generation: GenerationNumber,
-    /// When to ask again.
+    /// Time at which the request is repeated.
     pub deadline: Timestamp,
-    /// Requests since the last useful chunk.
+    /// Number of requests since the last useful chunk.
     pub attempts: u32,
     identity: Option<(u128, u32)>,
     chunks: BTreeMap<u32, Vec<u8>>,
@@ -49,7 +49,7 @@
 }
 
 impl Fetch {
-    /// A transfer of `generation` from the peer `from`.
+    /// Returns an empty transfer of `generation` from the peer `from`.
     #[must_use]
     pub fn new(from: NodeId, generation: GenerationNumber) -> Self {
         Self {
@@ -63,13 +63,14 @@
         }
     }
 
-    /// Whether a request has stayed without effect, so that another peer may do better.
+    /// Returns whether a request was repeated without receiving a useful chunk, in which case
+    /// another peer may replace this one.
     #[must_use]
     pub fn is_stalled(&self) -> bool {
         self.attempts > 1
     }
 
-    /// The request for the next chunks that are missing.
+    /// Returns the request for the next missing chunks.
     pub fn request(&mut self, newest_known: GenerationNumber) -> DisseminationMessage {
         let first = self.first_missing();
         let mut end = first + WINDOW_CHUNKS;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes in a chunk.
+    /// Stores a chunk.
     pub fn receive(&mut self, chunk: Chunk) -> FetchProgress {
         if !is_plausible(&chunk) || chunk.generation < self.generation {
             return FetchProgress::Ignored;
@@ -134,9 +135,9 @@
 }
 
 fn is_plausible(chunk: &Chunk) -> bool {
-    let longest = (MAXIMUM_TRANSFER_BYTES / MAXIMUM_CHUNK_BYTES) as u32;
+    let maximum_chunks = (MAXIMUM_TRANSFER_BYTES / MAXIMUM_CHUNK_BYTES) as u32;
     let length = chunk.bytes.len();
-    chunk.total <= longest
+    chunk.total <= maximum_chunks
         && chunk.index < chunk.total
         && (1..=MAXIMUM_CHUNK_BYTES).contains(&length)
 }
--- a/crates/bellyoke-core/src/node/dissemination/message.rs
+++ b/crates/bellyoke-core/src/node/dissemination/message.rs
@@ -1,42 +1,43 @@
-//! Messages that carry generations.
+//! Messages of the dissemination protocol.
 
 use crate::identity::GenerationNumber;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Longest content of one chunk, bytes.
+/// Maximum length of the content of a chunk.
 pub const MAXIMUM_CHUNK_BYTES: usize = 1000;
 
-/// Messages by which generations reach all nodes.
+/// Messages that announce and transfer generations.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DisseminationMessage {
-    /// The sender newest_known the generation that the message's header names.
+    /// The sender has the generation given in the message header.
     Announce,
-    /// Asks for a part of a generation that the sender lacks.
+    /// Requests part of a generation that the sender lacks.
     Fetch {
-        /// The generation wanted; the newest will do as well.
+        /// The requested generation. The receiver may send the newest one instead.
         generation: GenerationNumber,
-        /// The newest that the sender newest_known: it can apply a difference to it.
+        /// The newest generation known to the sender. If it is the requested one, only member
+        /// sets are requested.
         newest_known: GenerationNumber,
-        /// Index of the first chunk wanted.
+        /// Index of the first requested chunk.
         first: u32,
-        /// Number of chunks wanted.
+        /// Number of requested chunks.
         count: u32,
     },
-    /// A part of a generation.
+    /// Part of a generation.
     Chunk(Box<Chunk>),
 }
 
-/// A part of an encoded [`Transfer`](super::transfer::Transfer).
+/// Part of an encoded [`Transfer`](super::transfer::Transfer).
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The generation.
+    /// The transferred generation.
     pub generation: GenerationNumber,
-    /// Digest of the whole transfer.
+    /// Digest of the complete transfer.
     pub digest: u128,
-    /// Which part, counted from zero.
+    /// Index of the chunk, counted from zero.
     pub index: u32,
-    /// Number of parts.
+    /// Number of chunks in the transfer.
     pub total: u32,
-    /// The part.
+    /// Content of the chunk.
     pub bytes: Vec<u8>,
 }
--- a/crates/bellyoke-core/src/node/dissemination/mod.rs
+++ b/crates/bellyoke-core/src/node/dissemination/mod.rs
@@ -1,7 +1,8 @@
-//! How generations reach all nodes: pushed to some peers, pulled by the rest.
+//! Dissemination of generations to all nodes: new ones are announced to random peers and fetched
+//! on demand.
 //!
-//! Every message names the newest generation of its sender. Whoever newest_known an older one fetches
-//! it from that sender, in chunks that fit a datagram each.
+//! Every message header contains the newest generation of its sender. A receiver with an older
+//! one fetches the newer one from the sender, in chunks that each fit into a datagram.
 
 mod fetch;
 mod message;
@@ -20,27 +21,27 @@
 use std::sync::Arc;
 use transfer::{EncodedTransfer, Transfer, TransferContent};
 
-/// Encoded transfers that are cached for peers that are still fetching them.
+/// Maximum number of encoded transfers that are cached while peers fetch them.
 const MAXIMUM_CACHED_TRANSFERS: usize = 8;
 
-/// Most chunks that one request is answered with.
+/// Maximum number of chunks in reply to one request.
 const MAXIMUM_CHUNKS_PER_REQUEST: u32 = 16;
 
-/// What dissemination wants done.
+/// Action requested by dissemination.
 #[derive(Clone, Debug)]
 pub enum DisseminationEffect {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// The receiver.
         to: NodeId,
-        /// What to say.
+        /// The message.
         message: DisseminationMessage,
     },
-    /// A newer generation is here, with older member sets.
+    /// A newer generation was received, along with older member sets.
     Received(Arc<Generation>, Vec<MemberSet>),
-    /// Member sets of older generations are here.
+    /// Member sets of older generations were received.
     ReceivedMemberSets(Vec<MemberSet>),
-    /// A transfer was of no use.
+    /// A transfer from this peer was rejected.
     Rejected(NodeId, TransferError),
 }
 
@@ -58,12 +59,12 @@
     newest: Option<Arc<Generation>>,
     fetch: Option<Fetch>,
     cached: VecDeque<CachedTransfer>,
-    /// Peers that are being served, and until when they are taken to be.
+    /// Peers currently being served, with the time at which their slots expire.
     serving: BTreeMap<NodeId, Timestamp>,
 }
 
 impl Dissemination {
-    /// A node that newest_known no generation.
+    /// Returns the state of a node without a generation.
     #[must_use]
     pub fn new(settings: NodeSettings) -> Self {
         Self {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// This node newest_known `generation` now.
+    /// Sets the newest generation and cancels a fetch that it makes redundant.
     pub fn set_newest(&mut self, generation: &Arc<Generation>) {
         self.newest = Some(Arc::clone(generation));
         let number = generation.number;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A message's header says that `from` newest_known `generation`.
+    /// Records that `from` has `generation`, and starts to fetch it if it is newer.
     pub fn record_peer_generation(
         &mut self,
         now: Timestamp,
@@ -103,7 +104,7 @@
         self.request(now)
     }
 
-    /// Fetches the older member sets that `from` has.
+    /// Fetches the older member sets known to `from`, unless a fetch is in progress.
     pub fn fetch_member_sets(&mut self, now: Timestamp, from: NodeId) -> Vec<DisseminationEffect> {
         if self.fetch.is_some() {
             return Vec::new();
@@ -112,7 +113,8 @@
         self.request(now)
     }
 
-    /// Takes in a message of `from`. `older_sets` are those that this node knows.
+    /// Processes a message from `from`. `older_sets` returns the older member sets known to this
+    /// node.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Repeats or abandons the fetch in progress if its deadline has passed.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<DisseminationEffect> {
         let Some(fetch) = &self.fetch else {
             return Vec::new();
@@ -152,7 +154,7 @@
         self.request(now)
     }
 
-    /// When [`Self::timeout`] has something to do.
+    /// Returns the time at which [`Self::timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.fetch.as_ref().map(|fetch| fetch.deadline)
@@ -234,7 +236,8 @@
         Ok(DisseminationEffect::Received(content, transfer.older_sets))
     }
 
-    /// Only a few peers are served at a time, so that some are soon done and serve others.
+    /// Returns whether `peer` may be served now. Only a few peers are served at the same time, which
+    /// lets them finish early and serve others.
     fn admit_peer(&mut self, now: Timestamp, peer: NodeId) -> bool {
         self.serving.retain(|_, until| *until > now);
         let admitted = self.serving.contains_key(&peer);
@@ -271,7 +274,8 @@
             .collect()
     }
 
-    /// The transfer that a peer is fetching, or a new one of the newest generation.
+    /// Returns the cached transfer requested by a peer, or caches a new one of the newest
+    /// generation.
     fn cached_transfer(
         &mut self,
         generation: GenerationNumber,
@@ -282,7 +286,7 @@
         let matches = |cached: &CachedTransfer| {
             cached.generation == generation && cached.content_needed == content_needed
         };
-        // The beginning of a transfer of member sets is made anew, since those change.
+        // A transfer of member sets is rebuilt at its first chunk, since the sets change.
         let must_rebuild = !content_needed && first == 0;
         if let Some(index) = self
             .cached
--- a/crates/bellyoke-core/src/node/dissemination/transfer.rs
+++ b/crates/bellyoke-core/src/node/dissemination/transfer.rs
@@ -1,4 +1,4 @@
-//! A generation on its way from one node to another.
+//! Encoding of a generation for transfer between nodes.
 
 use crate::generation::Generation;
 use crate::identity::GenerationNumber;
@@ -9,44 +9,44 @@
 use thiserror::Error;
 use twox_hash::XxHash3_128;
 
-/// Longest transfer that is accepted, bytes.
+/// Maximum length of a transfer that is accepted.
 pub const MAXIMUM_TRANSFER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a transfer is of no use.
+/// Reason for rejecting a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TransferError {
-    /// The bytes are not those that the sender took the digest of.
-    #[error("the transfer of generation {generation} is damaged")]
+    /// The digest or the generation number doesn't match.
+    #[error("transfer of generation {generation} is damaged")]
     Damaged {
         /// The generation.
         generation: GenerationNumber,
     },
-    /// The bytes are no transfer.
-    #[error("not a valid transfer: {0}")]
+    /// The bytes are not an encoded transfer.
+    #[error("invalid transfer: {0}")]
     Invalid(String),
 }
 
-/// How the content of a generation is told.
+/// Content of a transferred generation.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum TransferContent {
-    /// The whole content, encoded.
+    /// The complete content, encoded.
     Full(Vec<u8>),
-    /// The receiver has it; it only lacks member sets.
+    /// No content: the receiver has the generation and only lacks member sets.
     None,
 }
 
-/// A generation and the older member sets that still matter.
+/// A generation, and the older member sets that are still relevant.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Transfer {
     /// Number of the generation.
     pub generation: GenerationNumber,
-    /// Its content.
+    /// Content of the generation.
     pub content: TransferContent,
     /// Members of older generations whose barrier has not passed.
     pub older_sets: Vec<MemberSet>,
 }
 
-/// An encoded transfer, ready to be sent in parts.
+/// An encoded transfer, to be sent in chunks.
 #[derive(Clone, Debug)]
 pub struct EncodedTransfer {
     generation: GenerationNumber,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Number of parts.
+    /// Returns the number of chunks.
     #[must_use]
     pub fn total(&self) -> u32 {
         self.bytes.len().div_ceil(MAXIMUM_CHUNK_BYTES) as u32
     }
 
-    /// The part at `index`.
+    /// Returns the chunk at `index`.
     #[must_use]
     pub fn chunk(&self, index: u32) -> Option<Chunk> {
         let bytes = self.bytes.chunks(MAXIMUM_CHUNK_BYTES).nth(index as usize)?;
@@ -87,11 +87,11 @@
 }
 
 impl Transfer {
-    /// The transfer that `bytes` encode, if `digest` is theirs.
+    /// Decodes a transfer after checking `digest`.
     ///
     /// # Errors
     ///
-    /// [`TransferError`] if the bytes are damaged or no transfer.
+    /// Returns [`TransferError`] if the bytes are damaged or malformed.
     pub fn decode(
         generation: GenerationNumber,
         digest: u128,
@@ -104,16 +104,16 @@
     }
 }
 
-/// The encoding of a generation's whole content.
+/// Encodes the complete content of a generation.
 pub fn encode_generation(generation: &Generation) -> Vec<u8> {
     generation.encode()
 }
 
-/// The generation that `bytes` encode.
+/// Decodes the content of a generation.
 ///
 /// # Errors
 ///
-/// [`TransferError`] if they are malformed.
+/// Returns [`TransferError`] if the bytes are malformed.
 pub fn decode_generation(bytes: &[u8]) -> Result<Generation, TransferError> {
     Generation::decode(bytes).map_err(|error| TransferError::Invalid(error.to_string()))
 }
--- a/crates/bellyoke-core/src/node/interface.rs
+++ b/crates/bellyoke-core/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out.
+//! Inputs and outputs of the state machine.
 
 use crate::flow::{Escalation, FlowPlace, OpenedFlow, SettledBucket};
 use crate::generation::{Forwarding, Generation, MemberObject};
@@ -8,159 +8,160 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the traffic threads report, once all of them forward by a generation.
+/// Report of the traffic threads, once all of them use a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdoptionReport {
-    /// The generation they forward by.
+    /// The generation in use.
     pub generation: GenerationNumber,
-    /// Flows opened within the delay horizon (UDP: all live flows) in buckets that this
-    /// generation made contested.
+    /// Flows opened within the delay horizon (for UDP, all live flows) in buckets that became
+    /// contested with this generation.
     pub opened: Vec<OpenedFlow>,
 }
 
-/// A packet that a traffic thread could not decide.
+/// A packet for which a traffic thread has no decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EscalatedPacket {
-    /// Its flow and whether it may open it.
+    /// Its flow, and whether the packet may open the flow.
     pub escalation: Escalation,
-    /// The whole IP packet.
+    /// The complete IP packet.
     pub packet: Vec<u8>,
 }
 
-/// What enters the state machine. `M` is the peer message.
+/// Input of the state machine. `M` is the type of peer messages.
 #[derive(Clone, Debug)]
 pub enum Input<M> {
-    /// A peer's message, authenticated.
+    /// An authenticated message from a peer.
     Message {
         /// The sender.
         from: NodeId,
-        /// What it says.
+        /// The message.
         message: M,
     },
-    /// The time that [`Output`]s asked for has come.
+    /// The time returned by [`Node::next_timeout`](super::Node::next_timeout) has been reached.
     Timeout,
-    /// A generation was read in the store, or a proposal of this node was accepted there.
+    /// A generation was read from the store, or the store accepted a proposal of this node.
     Published(Arc<Generation>),
-    /// All traffic threads forward by the generation that was last handed out.
+    /// All traffic threads use the generation of the latest [`Output::Adopt`].
     Adopted(AdoptionReport),
-    /// A traffic thread could not decide a packet.
+    /// A traffic thread has no decision for a packet.
     Escalated(EscalatedPacket),
-    /// Buckets in which the traffic threads have seen no flow off target for the idle time.
+    /// Buckets in which the traffic threads have found no flow off target for the idle timeout.
     Settled(Vec<SettledBucket>),
     /// A flow in a contested bucket has ended.
     FlowEnded(FlowPlace),
-    /// A backend says how loaded it is.
+    /// A backend reported its load.
     BackendLoad {
         /// The backend.
         backend: BackendId,
         /// Its load.
         load: LoadReport,
     },
-    /// The platform's machine list: seeds, never the truth.
+    /// Addresses from the platform's machine list. They serve as seeds to find members and
+    /// don't define the membership.
     Seeds(Vec<SocketAddr>),
-    /// The operator stops this node.
+    /// The operator requested this node to stop.
     Leave,
 }
 
-/// A change that the store's reader on this node should put in the next generation.
+/// A change that the store reader of this node should include in the next generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Proposal {
-    /// Membership changed.
+    /// The members have changed.
     Members(Vec<MemberObject>),
-    /// Contested buckets that no flow off target lives in any more.
+    /// Contested buckets without any remaining flow off target become clean.
     MarkClean {
-        /// The generation under which they were found so; under another one they may have
-        /// moved again.
+        /// The generation in which they were found settled. They may have moved again in
+        /// another one.
         generation: GenerationNumber,
         /// The buckets.
         buckets: Vec<SettledBucket>,
     },
 }
 
-/// Why a flow was refused. It is never sent to a backend afterwards.
+/// Reason for refusing a flow. A refused flow is never sent to a backend afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The service has no backend that takes new flows.
+    /// No backend of the service accepts new flows.
     NoBackend,
-    /// Every backend is at its cap.
+    /// Every backend has reached its load limit.
     Overloaded,
-    /// The replicas of the bucket's owner cannot be reached.
+    /// The replicas of the bucket's owner are unreachable.
     NoQuorum,
 }
 
-/// Things worth a log line or a counter.
+/// Events to be logged or counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// A peer is alive that was not known to be.
+    /// A peer that was unknown or considered failed is alive.
     MemberJoined(NodeId),
-    /// A peer did not answer and is suspected.
+    /// A peer did not answer a probe and is suspected.
     MemberSuspected(NodeId),
-    /// A peer is taken for dead.
+    /// A peer is considered failed.
     MemberFailed(NodeId),
-    /// A peer has left.
+    /// A peer has left the cluster.
     MemberLeft(NodeId),
-    /// This node forwards by a newer generation.
+    /// This node uses a newer generation.
     GenerationAdopted(GenerationNumber),
     /// Every member has acknowledged the generation.
     BarrierPassed(GenerationNumber),
-    /// The lease ran out: this node opens no flow.
+    /// The lease has expired; this node opens no flows.
     Fenced,
-    /// The lease was renewed after it had run out.
+    /// The lease was renewed after it had expired.
     Unfenced,
     /// This node became the owner of a group by ballot.
     OwnershipTaken(crate::identity::GroupIndex),
-    /// A message was put off because the control budget was used up.
+    /// A message was queued because the control budget is exhausted.
     BudgetExhausted,
-    /// The node has handed over everything and may stop.
+    /// The node has completed its handover and may stop.
     LeaveComplete,
 }
 
-/// What leaves the state machine. `M` is the peer message.
+/// Output of the state machine. `M` is the type of peer messages.
 #[derive(Clone, Debug)]
 pub enum Output<M> {
-    /// Send a message to a peer.
+    /// Sends a message to a peer.
     Send {
-        /// The receiver, if its identity is known.
+        /// The receiver, if its node ID is known.
         to: Option<NodeId>,
-        /// Its peer socket.
+        /// Address of its peer socket.
         address: SocketAddr,
-        /// What to say.
+        /// The message.
         message: M,
     },
-    /// Hand the traffic threads a new generation; [`Input::Adopted`] answers.
+    /// Passes a new generation to the traffic threads. [`Input::Adopted`] confirms its use.
     Adopt(Arc<Forwarding>),
-    /// Encapsulate a packet to a backend.
+    /// Encapsulates a packet and sends it to a backend.
     Forward {
         /// The backend.
         backend: BackendId,
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// Tell the traffic threads where a flow is.
+    /// Informs the traffic threads of a flow's backend.
     Learn {
         /// The flow.
         place: FlowPlace,
         /// Its backend.
         backend: BackendId,
     },
-    /// Answer the caller from the sorry server of this node.
+    /// Answers the client from the sorry server of this node.
     Refuse {
-        /// The service the caller wanted.
+        /// The requested service.
         service: ServiceId,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// Reset the flow of a packet: its backend is dead.
+    /// Resets the flow of a packet, as its backend is dead.
     Reset {
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// Until when this node may open flows.
+    /// Sets the time until which this node may open flows.
     Lease(Timestamp),
-    /// Ask the store's reader on this node for a new generation.
+    /// Asks the store reader of this node to publish a new generation.
     Propose(Proposal),
-    /// Tell people.
+    /// Reports an event for logs and metrics.
     Event(NodeEvent),
 }
--- a/crates/bellyoke-core/src/node/lease.rs
+++ b/crates/bellyoke-core/src/node/lease.rs
@@ -1,4 +1,4 @@
-//! The lease by which a node may open flows (section 5 of the protocol).
+//! The lease that permits a node to open flows (section 5 of the protocol).
 
 use crate::generation::Generation;
 use crate::identity::{GenerationNumber, NodeId};
@@ -8,22 +8,22 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Messages about leases. Times are microseconds of the holder's own clock.
+/// Messages of the lease protocol. Times are microseconds on the holder's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks for a renewal.
+    /// Requests a renewal.
     Renewal {
-        /// When the holder sent it.
+        /// Time at which the holder sent the request.
         sent: u64,
     },
-    /// Grants it. The generation that the message carries is the granter's.
+    /// Grants a renewal. The generation in the message header is the granter's.
     Grant {
-        /// When the holder had sent the renewal.
+        /// Time at which the holder sent the request.
         sent: u64,
     },
 }
 
-/// The lease that this node holds.
+/// The lease of this node.
 #[derive(Debug)]
 pub struct Lease {
     node: NodeId,
@@ -36,19 +36,19 @@
     next_renewal_at: Timestamp,
 }
 
-/// What became of the lease.
+/// A change of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// It runs until another time now.
+    /// The time until which the lease is valid has changed.
     ValidUntil(Timestamp),
-    /// It has run out.
+    /// The lease has expired.
     Expired,
-    /// It holds again after it had run out.
+    /// The lease is valid again after it had expired.
     Renewed,
 }
 
 impl Lease {
-    /// A node without a lease.
+    /// Returns the state of a node without a lease.
     #[must_use]
     pub fn new(node: NodeId, settings: NodeSettings) -> Self {
         Self {
@@ -63,20 +63,20 @@
         }
     }
 
-    /// Whether the lease holds at `now`.
+    /// Returns whether the lease is valid at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Timestamp) -> bool {
         now < self.valid_until
     }
 
-    /// When the lease ends, if nothing renews it.
+    /// Returns the time at which the lease expires unless it is renewed.
     #[must_use]
     pub fn valid_until(&self) -> Timestamp {
         self.valid_until
     }
 
-    /// The traffic threads forward by `generation`: its members grant from now on. A node
-    /// that is no member loses the lease at once.
+    /// Records that the traffic threads use `generation`, whose members grant the lease from now
+    /// on. A node that is not a member loses its lease immediately.
     pub fn set_generation(&mut self, now: Timestamp, generation: &Generation) -> Vec<LeaseChange> {
         self.generation = generation.number;
         self.grants.clear();
@@ -94,7 +94,7 @@
         changes
     }
 
-    /// Members to send a renewal to, if one is due.
+    /// Returns the members to send a renewal request to, if one is due.
     pub fn due_renewals(&mut self, now: Timestamp) -> Vec<NodeId> {
         if self.quorum.is_empty() || now < self.next_renewal_at {
             return Vec::new();
@@ -104,10 +104,10 @@
         others.copied().collect()
     }
 
-    /// A member that holds `generation` has granted the renewal that was sent at `sent`.
+    /// Records that a member at `generation` has granted the renewal sent at `sent`.
     ///
-    /// A grant that names a newer generation than the traffic threads forward by does not
-    /// count: the granter may have acknowledged the removal of this node.
+    /// A grant with a newer generation than the one used by the traffic threads is ignored, as
+    /// the granter may have acknowledged the removal of this node.
     pub fn record_grant(
         &mut self,
         now: Timestamp,
@@ -124,14 +124,14 @@
         self.extend(now)
     }
 
-    /// Lets time pass.
+    /// Extends or expires the lease, depending on `now`.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<LeaseChange> {
         let mut changes = self.extend(now);
         changes.extend(self.expire(now));
         changes
     }
 
-    /// When [`Self::timeout`] or [`Self::due_renewals`] has something to do.
+    /// Returns the time at which [`Self::timeout`] or [`Self::due_renewals`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let renewal = (!self.quorum.is_empty()).then_some(self.next_renewal_at);
@@ -157,8 +157,8 @@
         changes
     }
 
-    /// Send time of the newest renewal that a majority has granted. The node grants its own
-    /// at any time.
+    /// Returns the send time of the newest renewal granted by a majority. The node itself always
+    /// counts as granting.
     fn majority_renewal_time(&self, now: Timestamp) -> Option<Timestamp> {
         let mut times: Vec<Timestamp> = self.grants.values().copied().collect();
         if self.quorum.contains(&self.node) {
--- a/crates/bellyoke-core/src/node/member_history.rs
+++ b/crates/bellyoke-core/src/node/member_history.rs
@@ -1,7 +1,7 @@
 //! Members of the generations whose barrier has not passed.
 //!
-//! Whoever was a member of one of them may still open flows by it, until it has acknowledged
-//! a newer one or its lease has run out for certain.
+//! A member of such a generation may still open flows with it, until the member has acknowledged
+//! a newer generation or its lease has expired on every clock.
 
 use crate::generation::{Member, Zone};
 use crate::identity::{GenerationNumber, NodeId};
@@ -9,10 +9,11 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Member sets that a node keeps. Whoever needs more lets no barrier pass.
+/// Maximum number of member sets that a node keeps. Beyond it, the node passes no barrier, since
+/// former members may be missing from its record.
 pub const MAXIMUM_MEMBER_SETS: usize = 64;
 
-/// Numbers of generations that a node remembers to have seen.
+/// Maximum number of generation numbers recorded as seen.
 const MAXIMUM_SEEN_GENERATIONS: usize = 4096;
 
 /// The members of one zone.
@@ -20,39 +21,39 @@
 pub struct ZoneMembers {
     /// The zone.
     pub zone: Zone,
-    /// Its members.
+    /// The members in the zone.
     pub nodes: Vec<NodeId>,
 }
 
 /// The members of a range of generations.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberSet {
-    /// The first generation that has just these members.
+    /// The first generation with exactly these members.
     pub since: GenerationNumber,
-    /// The members, by zone.
+    /// The members, grouped by zone.
     pub zones: Vec<ZoneMembers>,
 }
 
-/// A member of an older generation that is none of the current one.
+/// A member of an older generation that is not a member of the current one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormerMember {
     /// The former member.
     pub node: NodeId,
-    /// Members that grant its lease, as long as it forwards by the older generation.
+    /// Members that grant its lease while it uses the older generation.
     pub quorum: Vec<NodeId>,
 }
 
-/// Member sets by the generation in which they began.
+/// Member sets, keyed by the first generation of each.
 #[derive(Clone, Debug, Default)]
 pub struct MemberHistory {
     sets: BTreeMap<GenerationNumber, Vec<ZoneMembers>>,
-    /// Generations that this node itself has seen.
+    /// Generations received by this node itself, as opposed to their member sets alone.
     seen: BTreeSet<GenerationNumber>,
     overflowed: bool,
 }
 
 impl MemberHistory {
-    /// Adds the members of a generation. Nothing is added if they are those of the set before.
+    /// Adds the members of a generation, unless they equal the preceding set.
     pub fn add(&mut self, generation: GenerationNumber, members: &[Member]) {
         self.seen.insert(generation);
         if self.seen.len() > MAXIMUM_SEEN_GENERATIONS {
@@ -66,7 +67,7 @@
         self.insert(generation, &zones);
     }
 
-    /// Adds what a peer knows, which may have seen other generations than this node.
+    /// Adds the member sets known to a peer, which may have received other generations.
     pub fn merge(&mut self, sets: &[MemberSet]) {
         for set in sets {
             self.insert(set.since, &set.zones);
@@ -84,10 +85,11 @@
         self.sets.insert(generation, zones.to_vec());
     }
 
-    /// The barrier of `passed` has passed: nobody forwards by an older generation.
+    /// Removes older sets after the barrier of `passed` has passed, since no node uses an older
+    /// generation any more.
     ///
-    /// The members of `passed` itself are filed under its number, if they are known for
-    /// certain, so that all nodes name them alike.
+    /// If this node has received generation `passed`, its member set is rekeyed to that number,
+    /// so all nodes use the same key for it.
     pub fn trim(&mut self, passed: GenerationNumber) {
         let Some((start, zones)) = self.sets.range(..=passed).next_back() else {
             return;
@@ -102,19 +104,19 @@
         self.overflowed &= self.sets.len() >= MAXIMUM_MEMBER_SETS;
     }
 
-    /// Whether it is known to lack a set.
+    /// Returns whether a set may be missing because the limit was reached.
     #[must_use]
     pub fn is_overflowed(&self) -> bool {
         self.overflowed
     }
 
-    /// The generations in which sets begin.
+    /// Returns the first generation of each set.
     #[must_use]
     pub fn set_starts(&self) -> Vec<GenerationNumber> {
         self.sets.keys().copied().collect()
     }
 
-    /// All sets but that of the newest generation, for a peer that holds the generation.
+    /// Returns all sets but that of the newest generation, for a peer that has the generation.
     #[must_use]
     pub fn older_sets(&self, newest: GenerationNumber) -> Vec<MemberSet> {
         let older = self.sets.range(..newest);
@@ -126,7 +128,7 @@
             .collect()
     }
 
-    /// Former members that are not among `members`, once for each set that lists them.
+    /// Returns former members that are not in `members`, once for each set that lists them.
     #[must_use]
     pub fn former_members(&self, members: &[Member]) -> Vec<FormerMember> {
         let current: BTreeSet<NodeId> = members.iter().map(|member| member.node).collect();
--- a/crates/bellyoke-core/src/node/membership/contact.rs
+++ b/crates/bellyoke-core/src/node/membership/contact.rs
@@ -1,4 +1,4 @@
-//! Joining, and healing of cuts: exchanges of whole member states.
+//! Joining and recovery from partitions, by exchanging full member states.
 
 use super::message::MembershipMessage;
 use super::record::{MemberRecord, MemberState};
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Tries to reach seeds and members taken for dead: a cut may have healed, and both
-    /// sides have stopped probing each other.
+    /// Contacts seeds and failed members. The two sides of a partition stop probing each other, so
+    /// this is how they find each other after it heals.
     pub(super) fn contact_members(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
-        let alone = self.table.live_members().is_empty();
-        let interval = if alone {
+        let has_no_peers = self.table.live_members().is_empty();
+        let interval = if has_no_peers {
             self.settings.probe_period
         } else {
             self.settings.contact_interval
@@ -28,7 +28,7 @@
             .map(|record| (Some(record.member.node), record.member.peer_address))
             .collect();
         contacts.extend(self.seeds.iter().map(|seed| (None, *seed)));
-        let count = if alone { SEEDS_PER_CONTACT } else { 1 };
+        let count = if has_no_peers { SEEDS_PER_CONTACT } else { 1 };
         let chosen = contacts.sample(&mut self.random, count);
         chosen
             .map(|(node, address)| self.join_message(*node, *address, true))
--- a/crates/bellyoke-core/src/node/membership/message.rs
+++ b/crates/bellyoke-core/src/node/membership/message.rs
@@ -4,44 +4,44 @@
 use crate::node::membership::record::{MemberRecord, MemberUpdate};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Messages by which members watch each other.
+/// Messages for failure detection and for exchanging member states.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Asks the receiver for a sign of life.
+    /// Asks the receiver for a [`Self::ProbeAnswer`].
     Probe {
-        /// Number that the answer carries.
+        /// Sequence number to be repeated in the answer.
         sequence: u32,
-        /// News of members.
+        /// Updates of member states.
         updates: Vec<MemberUpdate>,
     },
     /// Asks the receiver to probe another member.
     ProbeRequest {
-        /// Number that the answer carries.
+        /// Sequence number to be repeated in the answer.
         sequence: u32,
         /// The member to probe.
         target: NodeId,
     },
-    /// The probed member lives.
+    /// The probed member is alive.
     ProbeAnswer {
-        /// Number of the probe or probe request.
+        /// Sequence number of the probe or probe request.
         sequence: u32,
-        /// News of members.
+        /// Updates of member states.
         updates: Vec<MemberUpdate>,
     },
-    /// The sender presents itself.
+    /// Introduces the sender.
     Join {
-        /// The sender.
+        /// Record of the sender.
         record: Box<MemberRecord>,
-        /// Digest of the members that it knows to live.
+        /// Digest of the members that the sender considers live.
         digest: u64,
-        /// Whether the receiver should present itself in return.
+        /// Whether the receiver should introduce itself in return.
         reply_requested: bool,
-        /// What the sender holds against the receiver, for it to refute.
+        /// Suspicion or failure recorded for the receiver, for it to refute.
         updates: Vec<MemberUpdate>,
     },
-    /// A part of the members that the sender knows to live.
+    /// Some of the members that the sender considers live.
     State {
-        /// The records.
+        /// Records of the members.
         records: Vec<MemberRecord>,
     },
 }
--- a/crates/bellyoke-core/src/node/membership/mod.rs
+++ b/crates/bellyoke-core/src/node/membership/mod.rs
@@ -1,7 +1,8 @@
-//! Who takes part: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations.
+//! Membership protocol: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations.
 //!
-//! A node probes one member a period, whatever the size of the cluster. News of members ride
-//! on probes and their answers, a bounded number on each, each a bounded number of times.
+//! A node probes one member per period, independent of the cluster size. Updates of member states
+//! are piggybacked on probes and their answers. The number of updates per message and of
+//! transmissions per update are bounded.
 
 mod contact;
 mod message;
@@ -30,27 +31,28 @@
 use table::MemberTable;
 use updates::UpdateQueue;
 
-/// Records that ride on one message.
+/// Maximum number of queued updates piggybacked on a message.
 const UPDATES_PER_MESSAGE: usize = 4;
 
-/// Records in one part of a full member state.
+/// Maximum number of records in each message of a full member state, and of updates applied from a
+/// message.
 const RECORDS_PER_STATE_MESSAGE: usize = 7;
 
-/// Longest zone name that is accepted from a peer, bytes.
+/// Maximum length of a zone name accepted from a peer.
 const MAXIMUM_ZONE_NAME_BYTES: usize = 63;
 
-/// Seeds that are tried at once.
+/// Number of seeds or failed members contacted at once by a node without live peers.
 const SEEDS_PER_CONTACT: usize = 3;
 
-/// Seeds that are remembered.
+/// Maximum number of seeds kept.
 const MAXIMUM_SEEDS: usize = 1024;
 
-/// What membership wants done.
+/// Action requested by the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEffect {
-    /// Send a message.
+    /// Sends a message.
     Send(Transmission),
-    /// A member's state has changed.
+    /// Reports that a member's state has changed.
     Change(MemberChange),
 }
 
@@ -66,13 +68,14 @@
     seeds: Vec<SocketAddr>,
     next_probe_at: Timestamp,
     next_contact_at: Timestamp,
-    /// When the next full member state may be sent: a joining crowd gets the rest by gossip.
+    /// Time at which the next full member state may be sent. If many nodes join at once, the others
+    /// learn the state by gossip.
     next_state_at: Timestamp,
     last_run_at: Option<Timestamp>,
 }
 
 impl Membership {
-    /// A node that knows nobody yet.
+    /// Returns the state of a node without any known member.
     #[must_use]
     pub fn new(member: Member, settings: NodeSettings, seed: u64) -> Self {
         Self {
@@ -90,42 +93,42 @@
         }
     }
 
-    /// This node's own record.
+    /// Returns the record of this node.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// The record of another member.
+    /// Returns the record of another member.
     #[must_use]
     pub fn get(&self, node: NodeId) -> Option<&MemberRecord> {
         self.table.get(node)
     }
 
-    /// All records, with this node's own first.
+    /// Returns all records, starting with that of this node.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(&self.own).chain(self.table.records())
     }
 
-    /// Other members that are not known to be dead.
+    /// Returns the other members that are alive or suspected.
     #[must_use]
     pub fn live_peers(&self) -> Vec<NodeId> {
         self.table.live_members()
     }
 
-    /// The peer socket of `node`.
+    /// Returns the peer address of `node`.
     #[must_use]
     pub fn address(&self, node: NodeId) -> Option<SocketAddr> {
         self.get(node).map(|record| record.member.peer_address)
     }
 
-    /// Up to `count` random live members.
+    /// Returns up to `count` random live members.
     pub fn random_peers(&mut self, count: usize) -> Vec<NodeId> {
         let live = self.live_peers();
         live.sample(&mut self.random, count).copied().collect()
     }
 
-    /// Addresses where members may be found. They decide nothing.
+    /// Sets addresses at which members may be reachable. They don't define the membership.
     pub fn add_seeds(&mut self, now: Timestamp, seeds: Vec<SocketAddr>) {
         let own_address = self.own.member.peer_address;
         self.seeds = seeds
@@ -138,14 +141,15 @@
         }
     }
 
-    /// Makes the members of a generation known.
+    /// Adds the members of a generation that are unknown.
     pub fn add_members(&mut self, members: &[Member]) -> Vec<MembershipEffect> {
         let changes = self.table.add_members(members, self.own.member.node);
         changes.into_iter().map(MembershipEffect::Change).collect()
     }
 
-    /// A generation lacks `former`, which are members of an older one: whoever published it
-    /// took them for dead, if they have not announced to leave. If they live, they refute it.
+    /// Marks `former`, members of an older generation that a newer one lacks, as failed. Unless they
+    /// announced to leave, the publisher of the newer generation considered them failed. If they
+    /// are alive, they refute this; this node does so at once if it is one of them.
     pub fn fail_former_members(
         &mut self,
         now: Timestamp,
@@ -167,7 +171,7 @@
         effects
     }
 
-    /// `node` has acknowledged `generation`.
+    /// Records that `node` has acknowledged `generation`.
     pub fn record_acknowledgement(&mut self, node: NodeId, generation: GenerationNumber) {
         if node == self.own.member.node {
             self.own.acknowledged = generation.max(self.own.acknowledged);
@@ -176,13 +180,13 @@
         }
     }
 
-    /// Announces that this node will stop.
+    /// Announces that this node will leave.
     pub fn leave(&mut self) {
         self.own.leaving = true;
         self.publish_own();
     }
 
-    /// Announces that this node stops now, to a few members directly.
+    /// Announces to a few members directly that this node leaves now.
     pub fn announce_left(&mut self) -> Vec<MembershipEffect> {
         self.own.state = MemberState::Left;
         self.publish_own();
@@ -193,7 +197,7 @@
         peers.into_iter().filter_map(send).collect()
     }
 
-    /// Takes in a message of the node `from`.
+    /// Processes a message from the node `from`.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Performs all actions that are due at `now`.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
         self.handle_pause(now);
         let mut effects = self.fail_suspects(now);
@@ -246,7 +250,7 @@
         effects
     }
 
-    /// When [`Self::timeout`] has something to do.
+    /// Returns the time at which [`Self::timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Timestamp {
         let indirect = self.prober.current().and_then(|probe| probe.indirect_at);
@@ -254,8 +258,8 @@
         optional.fold(self.next_probe_at.min(self.next_contact_at), Timestamp::min)
     }
 
-    /// A process that did not run for longer than two periods has no right to suspect others
-    /// of what happened meanwhile.
+    /// Cancels the pending probe and postpones deadlines after this process was paused for more
+    /// than two periods, since it couldn't receive answers or refutations meanwhile.
     fn handle_pause(&mut self, now: Timestamp) {
         let Some(last_run_at) = self.last_run_at.replace(now) else {
             self.schedule_first_probe(now);
@@ -268,7 +272,8 @@
         }
     }
 
-    /// Draws when the first probe is sent, so that nodes started together don't probe together.
+    /// Schedules the first probe at a random time within a period, which spreads the probes of
+    /// nodes that start at the same time.
     fn schedule_first_probe(&mut self, now: Timestamp) {
         let period = self.settings.probe_period;
         self.next_probe_at = now.after(self.random_share_of(period));
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Others say that this node is suspected or dead: it is not.
+    /// Refutes an update that reports this node as suspected or failed.
     fn refute(&mut self, update: &MemberUpdate) {
         let stale = update.incarnation < self.own.incarnation;
         if stale || !update.supersedes(&self.own) {
@@ -345,7 +350,7 @@
         self.updates.add(self.own.member.node, times);
     }
 
-    /// News to send to `receiver`; first of all what it must refute itself.
+    /// Returns updates to send to `receiver`, starting with one that it must refute itself.
     fn updates_for(&mut self, receiver: NodeId) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         let not_alive = |record: &&MemberRecord| record.state != MemberState::Alive;
@@ -383,17 +388,18 @@
         }))
     }
 
-    /// Decimal logarithm of the cluster's size, rounded up; at least one.
-    fn cluster_size_log10(&self) -> u32 {
+    /// Returns the decimal logarithm of the cluster size, rounded down, plus one: the number of its
+    /// decimal digits.
+    fn cluster_size_digits(&self) -> u32 {
         let size = self.live_peers().len() + 1;
         size.ilog10() + 1
     }
 
     fn retransmission_count(&self) -> u32 {
-        self.settings.retransmit_multiplier * self.cluster_size_log10()
+        self.settings.retransmit_multiplier * self.cluster_size_digits()
     }
 
     fn suspicion_duration(&self) -> Duration {
-        self.settings.suspicion_multiplier * self.cluster_size_log10() * self.settings.probe_period
+        self.settings.suspicion_multiplier * self.cluster_size_digits() * self.settings.probe_period
     }
 }
--- a/crates/bellyoke-core/src/node/membership/prober.rs
+++ b/crates/bellyoke-core/src/node/membership/prober.rs
@@ -1,4 +1,4 @@
-//! Whom to probe next, and the probes under way.
+//! Selection of probe targets, and pending probes.
 
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -6,31 +6,31 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Probes that may be under way on behalf of others.
+/// Maximum number of pending probes on behalf of other members.
 const MAXIMUM_RELAYED_PROBES: usize = 256;
 
-/// A probe of this node's own that is not yet answered.
+/// A pending probe on this node's own behalf.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    /// The member probed.
+    /// The probed member.
     pub target: NodeId,
-    /// Number that its answer carries.
+    /// Sequence number repeated in the answer.
     pub sequence: u32,
-    /// When to ask others to probe it, unless that was done.
+    /// Time at which to request indirect probes; `None` if that was done.
     pub indirect_at: Option<Timestamp>,
 }
 
-/// A probe that another member asked for.
+/// A probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayedProbe {
-    /// Who asked.
+    /// The requesting member.
     pub origin: NodeId,
-    /// The number under which it asked.
+    /// Sequence number of its request.
     pub origin_sequence: u32,
     expires_at: Timestamp,
 }
 
-/// Goes round all members in an order that is shuffled for each round (SWIM, 4.3).
+/// Selects all members in turn, in an order shuffled for each round (SWIM, section 4.3).
 #[derive(Debug, Default)]
 pub struct Prober {
     pending_targets: Vec<NodeId>,
@@ -40,7 +40,7 @@
 }
 
 impl Prober {
-    /// The next member to probe of those that `live` lists.
+    /// Returns the next member of `live` to probe. `live` must be sorted.
     pub fn next_target(&mut self, live: &[NodeId], random: &mut ChaCha8Rng) -> Option<NodeId> {
         if live.is_empty() {
             return None;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Starts a probe and returns its number.
+    /// Starts a probe and returns its sequence number.
     pub fn start(&mut self, target: NodeId, indirect_at: Timestamp) -> u32 {
         let sequence = self.next_sequence();
         self.current = Some(Probe {
@@ -68,23 +68,24 @@
         sequence
     }
 
-    /// The probe under way.
+    /// Returns the pending probe for modification.
     pub fn current_mut(&mut self) -> Option<&mut Probe> {
         self.current.as_mut()
     }
 
-    /// The probe under way.
+    /// Returns the pending probe.
     #[must_use]
     pub fn current(&self) -> Option<Probe> {
         self.current
     }
 
-    /// Gives up the probe under way, and returns it.
+    /// Removes and returns the pending probe.
     pub fn finish(&mut self) -> Option<Probe> {
         self.current.take()
     }
 
-    /// Starts a probe for `origin`; none, if too many are under way.
+    /// Starts a probe on behalf of `origin` and returns its sequence number, or `None` if too many
+    /// are pending.
     pub fn start_relayed(
         &mut self,
         origin: NodeId,
@@ -104,12 +105,12 @@
         Some(sequence)
     }
 
-    /// The relayed probe that an answer with `sequence` belongs to.
+    /// Removes and returns the relayed probe with this sequence number.
     pub fn take_relayed(&mut self, sequence: u32) -> Option<RelayedProbe> {
         self.relayed.remove(&sequence)
     }
 
-    /// Forgets relayed probes that nobody waits for any more.
+    /// Removes expired relayed probes.
     pub fn expire_relayed(&mut self, now: Timestamp) {
         self.relayed.retain(|_, relayed| relayed.expires_at > now);
     }
--- a/crates/bellyoke-core/src/node/membership/probing.rs
+++ b/crates/bellyoke-core/src/node/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes, direct and through other members, and what follows when none is answered.
+//! Direct and indirect probes, and suspicion of members that don't answer.
 
 use super::message::MembershipMessage;
 use super::record::MemberState;
--- a/crates/bellyoke-core/src/node/membership/record.rs
+++ b/crates/bellyoke-core/src/node/membership/record.rs
@@ -1,54 +1,54 @@
-//! What one member says about itself, and what others say about it.
+//! Records of members and updates of their states.
 
 use crate::generation::Member;
 use crate::identity::{GenerationNumber, NodeId};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What is known of a member. Later variants win at the same incarnation.
+/// State of a member. At equal incarnations, the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and has not refuted that yet.
+    /// The member did not answer a probe and has not refuted the suspicion yet.
     Suspected,
-    /// It is taken for dead. A process that was only paused refutes this when it is back.
+    /// The member is considered failed. A paused process refutes this when it resumes.
     Failed,
-    /// It has stopped as planned and never comes back.
+    /// The member has left as planned and never returns.
     Left,
 }
 
-/// A change of a member's state, as it rides on other messages.
+/// Update of a member's state, piggybacked on other messages.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member.
     pub node: NodeId,
-    /// Raised by the member alone, to refute what others say.
+    /// Incarnation, raised only by the member itself in order to refute updates by others.
     pub incarnation: u64,
-    /// What is known of it.
+    /// State of the member.
     pub state: MemberState,
-    /// It has announced that it will stop.
+    /// Whether the member has announced that it will leave.
     pub leaving: bool,
-    /// Zone and address, for those who don't know the member; only of one that is alive.
+    /// Zone and address, for receivers that don't know the member. Present only if it is alive.
     pub member: Option<Box<Member>>,
 }
 
-/// All that is known of a member.
+/// Record of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its identity, zone and address.
+    /// Node ID, zone and address.
     pub member: Member,
-    /// Raised by the member alone, to refute what others say.
+    /// Incarnation, raised only by the member itself in order to refute updates by others.
     pub incarnation: u64,
-    /// What is known of it.
+    /// State of the member.
     pub state: MemberState,
-    /// It has announced that it will stop. Never taken back.
+    /// Whether the member has announced that it will leave. Never reset.
     pub leaving: bool,
-    /// The newest generation that it is known to have acknowledged.
+    /// The newest generation known to be acknowledged by the member.
     pub acknowledged: GenerationNumber,
 }
 
 impl MemberRecord {
-    /// A member that was just started.
+    /// Returns the record of a newly started member.
     #[must_use]
     pub fn alive(member: Member) -> Self {
         Self {
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether it takes part: not known to be dead, though perhaps suspected.
+    /// Returns whether the member is alive or suspected.
     #[must_use]
     pub fn is_live(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspected)
     }
 
-    /// What to pass on.
+    /// Returns the update to be sent to other members.
     #[must_use]
     pub fn update(&self) -> MemberUpdate {
         let alive = self.state == MemberState::Alive;
@@ -81,7 +81,7 @@
 }
 
 impl MemberUpdate {
-    /// Whether `self` says something newer than `known` about the member's state.
+    /// Returns whether this update supersedes the state in `known`.
     #[must_use]
     pub fn supersedes(&self, known: &MemberRecord) -> bool {
         if known.state == MemberState::Left {
--- a/crates/bellyoke-core/src/node/membership/table.rs
+++ b/crates/bellyoke-core/src/node/membership/table.rs
@@ -1,4 +1,4 @@
-//! Records of all members that this node has heard of.
+//! Records of all known members.
 
 use crate::generation::Member;
 use crate::identity::{GenerationNumber, NodeId};
@@ -8,62 +8,63 @@
 use std::hash::Hasher;
 use twox_hash::XxHash3_64;
 
-/// Members that a node remembers, live or not.
+/// Maximum number of members recorded, live or not.
 const MAXIMUM_MEMBERS: usize = 8192;
 
 /// Seed of [`MemberTable::digest`].
 const DIGEST_SEED: u64 = 1;
 
-/// How a member's state has changed.
+/// Change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A member that was not known, or was taken for dead.
+    /// A member that was unknown or considered failed is alive.
     Joined(NodeId),
-    /// It answers again, or has refuted the suspicion.
+    /// A suspected member answers again or has refuted the suspicion.
     Recovered(NodeId),
-    /// It did not answer.
+    /// A member did not answer and is suspected.
     Suspected(NodeId),
-    /// It is taken for dead.
+    /// A member is considered failed.
     Failed(NodeId),
-    /// It has stopped as planned.
+    /// A member has left as planned.
     Left(NodeId),
-    /// Only its announcement to leave is new.
+    /// A member has announced that it will leave; its state is unchanged.
     Leaving(NodeId),
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: MemberRecord,
-    /// When a suspicion becomes a failure, or a dead member is forgotten.
+    /// Time at which a suspected member is considered failed, or the record of a failed member or
+    /// one that left is removed.
     deadline: Option<Timestamp>,
 }
 
-/// All members but this node itself.
+/// Records of all members except this node.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     entries: BTreeMap<NodeId, Entry>,
 }
 
 impl MemberTable {
-    /// The record of `node`.
+    /// Returns the record of `node`.
     #[must_use]
     pub fn get(&self, node: NodeId) -> Option<&MemberRecord> {
         self.entries.get(&node).map(|entry| &entry.record)
     }
 
-    /// All records, by node.
+    /// Returns all records, ordered by node.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Members that are not known to be dead, by node.
+    /// Returns the alive and suspected members, ordered by node.
     #[must_use]
     pub fn live_members(&self) -> Vec<NodeId> {
         let live = self.records().filter(|record| record.is_live());
         live.map(|record| record.member.node).collect()
     }
 
-    /// Takes in what was said about a member; the change, if it was update.
+    /// Applies an update and returns the resulting change, if any.
     pub fn apply_update(&mut self, update: &MemberUpdate) -> Option<MemberChange> {
         let node = update.node;
         let Some(entry) = self.entries.get_mut(&node) else {
@@ -82,21 +83,21 @@
         Some(change(node, before, update.state))
     }
 
-    /// Sets when the suspicion of `node` ends, or when it is forgotten.
+    /// Sets the deadline of the suspicion of `node`, or of its record.
     pub fn set_deadline(&mut self, node: NodeId, deadline: Timestamp) {
         if let Some(entry) = self.entries.get_mut(&node) {
             entry.deadline = Some(deadline);
         }
     }
 
-    /// Puts all deadlines off by the time during which this node itself did not run.
+    /// Postpones all deadlines by `gap`, the time for which this node was paused.
     pub fn postpone_deadlines(&mut self, gap: std::time::Duration) {
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|deadline| deadline.after(gap));
         }
     }
 
-    /// Records whose suspicion has ended unrefuted.
+    /// Returns suspected members whose deadline has passed.
     #[must_use]
     pub fn overdue_suspects(&self, now: Timestamp) -> Vec<MemberRecord> {
         self.entries
@@ -107,14 +108,14 @@
             .collect()
     }
 
-    /// Forgets dead members whose time is over.
+    /// Removes records of failed members and of members that left, after their deadlines.
     pub fn remove_expired(&mut self, now: Timestamp) {
         self.entries.retain(|_, entry| {
             entry.record.is_live() || entry.deadline.is_none_or(|deadline| deadline > now)
         });
     }
 
-    /// The next deadline of a suspicion.
+    /// Returns the next deadline of a suspicion.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let suspected = |entry: &&Entry| entry.record.state == MemberState::Suspected;
@@ -122,7 +123,7 @@
         suspects.filter_map(|entry| entry.deadline).min()
     }
 
-    /// `node` has acknowledged `generation`.
+    /// Records that `node` has acknowledged `generation`.
     pub fn record_acknowledgement(&mut self, node: NodeId, generation: GenerationNumber) {
         if let Some(entry) = self.entries.get_mut(&node) {
             let known = &mut entry.record.acknowledged;
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A digest of who lives, by which two nodes see whether they agree. `own` is this node.
+    /// Returns a digest of the live members including `own`, the record of this node. Two nodes
+    /// compare digests to find out whether they agree.
     #[must_use]
     pub fn digest(&self, own: &MemberRecord) -> u64 {
         let mut live: Vec<&MemberRecord> = self.records().filter(|one| one.is_live()).collect();
@@ -144,7 +146,7 @@
         hasher.finish()
     }
 
-    /// Makes members known that a generation lists.
+    /// Adds unknown members listed by a generation.
     pub fn add_members(&mut self, members: &[Member], own: NodeId) -> Vec<MemberChange> {
         let unknown = members
             .iter()
--- a/crates/bellyoke-core/src/node/membership/updates.rs
+++ b/crates/bellyoke-core/src/node/membership/updates.rs
@@ -1,26 +1,27 @@
-//! Which updates ride on the next messages, and how often each has.
+//! Queue of the updates to be piggybacked on messages.
 
 use crate::identity::NodeId;
 use std::collections::BTreeMap;
 
-/// Members whose records are yet to be passed on.
+/// Members whose updates are to be sent, with the remaining number of transmissions.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     remaining: BTreeMap<NodeId, u32>,
 }
 
 impl UpdateQueue {
-    /// The record of `node` has changed: pass it on `times` times.
+    /// Schedules the update of `node` for `times` transmissions.
     pub fn add(&mut self, node: NodeId, times: u32) {
         self.remaining.insert(node, times);
     }
 
-    /// Nothing more is to be said about `node`.
+    /// Removes `node` from the queue.
     pub fn remove(&mut self, node: NodeId) {
         self.remaining.remove(&node);
     }
 
-    /// At most `count` members, those passed on least first.
+    /// Takes one transmission each of at most `count` members, starting with those with the most
+    /// remaining transmissions.
     pub fn take(&mut self, count: usize) -> Vec<NodeId> {
         let mut ranked: Vec<(u32, NodeId)> = self
             .remaining
--- a/crates/bellyoke-core/src/node/message.rs
+++ b/crates/bellyoke-core/src/node/message.rs
@@ -1,4 +1,4 @@
-//! What balancers say to each other, and its encoding.
+//! Messages between balancers and their encoding.
 
 use crate::identity::{GenerationNumber, NodeId};
 use crate::node::barrier::BarrierMessage;
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Version of the peer protocol that this crate speaks.
+/// Version of the peer protocol implemented by this crate.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Longest control message, bytes: it fits one datagram on any usual path.
+/// Maximum length of a control message. It fits into a single datagram on common paths.
 pub const MAXIMUM_CONTROL_MESSAGE_BYTES: usize = 1200;
 
-/// Longest message of all, bytes: one that carries a relayed packet.
+/// Maximum length of any message. The longest ones contain a relayed packet.
 pub const MAXIMUM_MESSAGE_BYTES: usize = 65_536 + MAXIMUM_CONTROL_MESSAGE_BYTES;
 
-/// Bytes of the UDP header, and of version, nonce and tag of the sealed envelope
-/// (XChaCha20-Poly1305), around an encoded message.
+/// Overhead around an encoded message: the UDP header, and the version, nonce and tag of the
+/// sealed envelope (XChaCha20-Poly1305).
 const ENVELOPE_BYTES: usize = 8 + 1 + 24 + 16;
 
-/// Bytes that sending a message to `address` costs besides its encoding.
+/// Returns the bytes sent to `address` in addition to an encoded message.
 #[must_use]
 pub const fn datagram_overhead(address: SocketAddr) -> usize {
     match address {
@@ -33,67 +33,67 @@
     }
 }
 
-/// What a message is about.
+/// Content of a message, by protocol.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Who takes part.
+    /// Membership of the cluster.
     Membership(MembershipMessage),
-    /// Whether the sender may open flows.
+    /// Renewal of leases for opening flows.
     Lease(LeaseMessage),
-    /// Contents of generations.
+    /// Transfer of generations.
     Dissemination(DisseminationMessage),
     /// Acknowledgements of generations.
     Barrier(BarrierMessage),
-    /// Pins of flows and relayed packets. Boxed, since an encoded variant takes the room of
-    /// the largest.
+    /// Pins of flows, and relayed packets. Boxed, since every encoded variant takes the size of
+    /// the largest one.
     Ownership(Box<OwnershipMessage>),
 }
 
-/// A message between two balancers: a body and what every message tells.
+/// A message between two balancers: a common header and a body.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Message {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub version: u16,
-    /// Who sent it.
+    /// The sender.
     pub sender: NodeId,
-    /// The newest generation that the sender holds.
+    /// The newest generation known to the sender.
     pub generation: GenerationNumber,
-    /// The newest generation that the sender has acknowledged.
+    /// The newest generation acknowledged by the sender.
     pub acknowledged: GenerationNumber,
-    /// The newest generation whose barrier is known to have passed.
+    /// The newest generation whose barrier has passed, as known to the sender.
     pub barrier: GenerationNumber,
-    /// What it is about.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// Why a message could not be encoded.
+/// Error of encoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
-    /// It is longer than peers accept.
-    #[error("a message of {length} bytes is longer than {MAXIMUM_MESSAGE_BYTES}")]
+    /// The message is longer than peers accept.
+    #[error("message of {length} bytes exceeds the limit of {MAXIMUM_MESSAGE_BYTES}")]
     TooLong {
-        /// Its length, bytes.
+        /// Length of the message in bytes.
         length: usize,
     },
     /// The serializer failed.
-    #[error("the message cannot be encoded: {0}")]
+    #[error("message cannot be encoded: {0}")]
     Serializer(String),
 }
 
-/// Why bytes are no message.
+/// Error of decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Longer than a message may be.
-    #[error("{length} bytes are more than a message of this kind may have")]
+    /// The input is longer than a message may be.
+    #[error("{length} bytes exceed the limit for a message of this kind")]
     TooLong {
-        /// Number of bytes.
+        /// Length of the input in bytes.
         length: usize,
     },
-    /// Not the encoding of a message.
-    #[error("not a valid message: {0}")]
+    /// The input is not an encoded message.
+    #[error("invalid message: {0}")]
     Invalid(String),
-    /// From a node that speaks another version.
-    #[error("protocol version {version}, not {PROTOCOL_VERSION}")]
+    /// The sender uses another protocol version.
+    #[error("unsupported protocol version {version}, expected {PROTOCOL_VERSION}")]
     Version {
         /// The sender's version.
         version: u16,
@@ -101,7 +101,7 @@
 }
 
 impl Message {
-    /// Whether it carries a caller's packet, and so is traffic rather than control.
+    /// Returns whether the message contains a client's packet and is traffic, not control.
     #[must_use]
     pub fn carries_packet(&self) -> bool {
         match &self.body {
@@ -110,11 +110,11 @@
         }
     }
 
-    /// The bytes of this message.
+    /// Encodes this message.
     ///
     /// # Errors
     ///
-    /// [`EncodeError`] if it is too long for a peer to accept.
+    /// Returns [`EncodeError`] if the message is longer than peers accept.
     pub fn encode(&self) -> Result<Vec<u8>, EncodeError> {
         let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(self)
             .map_err(|error| EncodeError::Serializer(error.to_string()))?;
@@ -126,11 +126,11 @@
         Ok(bytes.into_vec())
     }
 
-    /// The message that `bytes` encode. Nothing in them is trusted.
+    /// Decodes a message from untrusted `bytes`.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if they are too long, malformed or of another version.
+    /// Returns [`DecodeError`] if the input is too long, malformed or of another version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let length = bytes.len();
         if length > MAXIMUM_MESSAGE_BYTES {
@@ -151,7 +151,7 @@
         Ok(message)
     }
 
-    /// Longest encoding that a message of this kind may have, bytes.
+    /// Returns the maximum length of an encoded message of this kind.
     fn maximum_bytes(&self) -> usize {
         match &self.body {
             MessageBody::Ownership(_) => MAXIMUM_MESSAGE_BYTES,
--- a/crates/bellyoke-core/src/node/mod.rs
+++ b/crates/bellyoke-core/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! What lives for the process: the state machine of the control thread.
+//! The state machine of the control thread.
 //!
-//! Everything enters as an [`Input`] and leaves as [`Output`]s. The caller owns sockets,
-//! the clock, the store client and the traffic threads.
+//! It performs no I/O: the caller passes [`Input`]s, carries out the returned [`Output`]s, and
+//! owns the sockets, the clock, the store client and the traffic threads.
 
 mod barrier;
 mod budget;
--- a/crates/bellyoke-core/src/node/node.rs
+++ b/crates/bellyoke-core/src/node/node.rs
@@ -1,4 +1,4 @@
-//! The state machine of the control thread: all parts put together.
+//! The state machine of the control thread, composed of its protocols.
 
 mod effects;
 mod outgoing;
@@ -21,18 +21,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Who a node is. A process that starts again draws another [`NodeId`].
+/// Identity of a node. A restarted process draws a new [`NodeId`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// The process.
+    /// Identifies the process.
     pub node: NodeId,
-    /// The zone it stands in.
+    /// Zone in which the node is located.
     pub zone: Zone,
-    /// UDP address of its peer socket, as peers reach it.
+    /// UDP address at which peers reach its peer socket.
     pub peer_address: SocketAddr,
 }
 
-/// The state machine of one balancer's control thread.
+/// State machine of one balancer's control thread.
 #[derive(Debug)]
 pub struct Node {
     identity: NodeIdentity,
@@ -56,7 +56,7 @@
 }
 
 impl Node {
-    /// A node that has just started. `seed` is the source of all its randomness.
+    /// Returns a newly started node. All its randomness derives from `seed`.
     #[must_use]
     pub fn new(identity: NodeIdentity, settings: NodeSettings, seed: u64) -> Self {
         let node = identity.node;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes in `input` at `now`; what is to be done about it.
+    /// Processes `input` at `now` and returns the actions for the caller.
     pub fn handle(&mut self, now: Timestamp, input: Input<Message>) -> Vec<Output<Message>> {
         match input {
             Input::Message { from, message } => self.receive(now, from, message),
@@ -117,7 +117,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When to hand in [`Input::Timeout`].
+    /// Returns the time at which [`Input::Timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Timestamp {
         let optional = [
@@ -135,13 +135,13 @@
         optional.into_iter().flatten().fold(first, Timestamp::min)
     }
 
-    /// The newest generation it holds.
+    /// Returns the newest generation known to this node.
     #[must_use]
     pub const fn generation(&self) -> Option<&Arc<Generation>> {
         self.known.as_ref()
     }
 
-    /// The state of this node.
+    /// Returns the state of this node.
     #[must_use]
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// A generation has come from the store or a peer.
+    /// Applies a generation received from the store or a peer, unless it is known.
     fn apply_generation(
         &mut self,
         now: Timestamp,
@@ -261,7 +261,7 @@
         self.send_to_random_peers(MessageBody::Dissemination(announce));
     }
 
-    /// The traffic threads forward by a generation.
+    /// Handles the report that the traffic threads use a generation.
     fn handle_adoption(&mut self, now: Timestamp, report: AdoptionReport) {
         let generation = report.generation;
         if generation == self.known_number() && generation > self.adopted {
@@ -345,7 +345,7 @@
         members.into_iter().any(|member| member.node == node)
     }
 
-    /// A leaving node may stop when a generation without it has passed its barrier.
+    /// Completes leaving once the barrier of a generation without this node has passed.
     fn finish_leaving(&mut self) {
         let passed = self.barrier.passed() >= self.known_number();
         let released = !self.is_member() && passed;
@@ -361,7 +361,7 @@
         self.outputs.push(Output::Event(NodeEvent::LeaveComplete));
     }
 
-    /// Passes on that a barrier has passed, once this node forwards by that generation.
+    /// Reports that a barrier has passed, once this node has adopted that generation.
     fn report_barrier(&mut self, now: Timestamp) {
         let passed = self.barrier.passed();
         if passed <= self.reported_barrier || passed > self.adopted {
@@ -375,7 +375,7 @@
     }
 }
 
-/// Members of `previous` that `generation` lacks.
+/// Returns the members of `previous` that are not in `generation`.
 fn former_members(previous: Option<&Generation>, generation: &Generation) -> Vec<NodeId> {
     let members = previous.into_iter().flat_map(|previous| &previous.members);
     let remains = |node| generation.members.iter().any(|member| member.node == node);
@@ -383,14 +383,14 @@
     nodes.filter(|node| !remains(*node)).collect()
 }
 
-/// Ownership's times follow from the node's.
+/// Derives the ownership timeouts from the node settings.
 fn ownership_settings(settings: &NodeSettings, seed: u64) -> OwnershipSettings {
     let fenced_after = settings.lease_time + settings.delay_horizon;
     OwnershipSettings {
         packet_wait: settings.delay_horizon * 3 / 4,
         delay_horizon: settings.delay_horizon,
         abandon_after: fenced_after * 3,
-        // What waits for the control budget must not be sent again before it went out.
+        // A message queued by the control budget must not be resent before it was sent.
         retry_interval: settings.resend_interval / 2,
         seed,
         ..OwnershipSettings::default()
--- a/crates/bellyoke-core/src/node/node/effects.rs
+++ b/crates/bellyoke-core/src/node/node/effects.rs
@@ -1,4 +1,5 @@
-//! What the parts of a node want done becomes outputs, messages and inputs of other parts.
+//! Converts the effects of a node's protocols into outputs, messages and inputs of other
+//! protocols.
 
 use super::Node;
 use crate::identity::GenerationNumber;
--- a/crates/bellyoke-core/src/node/node/outgoing.rs
+++ b/crates/bellyoke-core/src/node/node/outgoing.rs
@@ -1,4 +1,4 @@
-//! How messages leave a node: by priority, within the control budget.
+//! Sending of messages, by priority and within the control budget.
 
 use super::Node;
 use crate::identity::NodeId;
@@ -9,7 +9,8 @@
 use crate::time::Timestamp;
 
 impl Node {
-    /// Relayed packets are traffic, not control: they don't count against the budget.
+    /// Sends a message of the ownership protocol. Relayed packets are traffic and don't count
+    /// against the control budget.
     pub(super) fn send_ownership(&mut self, to: NodeId, message: OwnershipMessage) {
         let is_traffic = matches!(message, OwnershipMessage::Relay(_));
         let body = MessageBody::Ownership(Box::new(message));
@@ -76,7 +77,7 @@
         self.report_exhaustion(now);
     }
 
-    /// Tells at most once a probe period that messages had to wait.
+    /// Reports queued messages, at most once per probe period.
     fn report_exhaustion(&mut self, now: Timestamp) {
         let waits = self.budget.next_timeout().is_some();
         let silent_until = self
--- a/crates/bellyoke-core/src/node/proposer.rs
+++ b/crates/bellyoke-core/src/node/proposer.rs
@@ -1,4 +1,4 @@
-//! When the members of the next generation should be others.
+//! Proposals of membership changes for the next generation.
 
 use crate::generation::{Generation, MemberObject};
 use crate::identity::NodeId;
@@ -7,20 +7,20 @@
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// How this node stands to the newest generation.
+/// Whether and when this node may propose members, given the newest generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposerStatus {
-    /// A member with a valid lease, or there is no generation yet.
+    /// This node is a member with a valid lease, or there is no generation yet.
     Entitled,
-    /// A member without a lease.
+    /// This node is a member without a valid lease.
     Fenced,
-    /// No member, and never was one; no member of the generation is known to live.
+    /// This node has never been a member, and no member of the generation is known to be alive.
     Orphaned,
-    /// No member: others decide.
+    /// This node is not a member and leaves proposals to the members.
     NonMember,
 }
 
-/// Proposes members, once they have differed from the generation's for long enough.
+/// Proposes members once they have differed from the generation's for a settling time.
 #[derive(Debug)]
 pub struct MembershipProposer {
     settings: NodeSettings,
@@ -35,7 +35,7 @@
 }
 
 impl MembershipProposer {
-    /// A proposer that wants nothing.
+    /// Returns a proposer without a pending proposal.
     #[must_use]
     pub fn new(settings: NodeSettings) -> Self {
         Self {
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Compares the live members with the generation's; the members to propose, if it is time.
+    /// Compares the live members with the generation's and returns the members to propose, if a
+    /// proposal is due.
     pub fn propose<'records>(
         &mut self,
         now: Timestamp,
@@ -75,7 +76,7 @@
         Some(members)
     }
 
-    /// When [`Self::propose`] may have something to propose.
+    /// Returns the time at which [`Self::propose`] may return a proposal.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.pending.as_ref().map(|pending| pending.propose_at)
--- a/crates/bellyoke-core/src/node/publisher.rs
+++ b/crates/bellyoke-core/src/node/publisher.rs
@@ -1,11 +1,10 @@
-//! Writing the next generation to the store: when, by whom, and what an answer means.
+//! Publication of the next generation in the store.
 //!
-//! Any reader of the store may publish. All of them see the same change at about the same
-//! time, so each waits for a short time by chance; the first writes, the others then find
-//! that nothing is left to change. Two that write at once are told apart by the store, which
-//! takes a generation only if it follows the one before. A lost answer is never guessed at: the
-//! newest generation is read back, and one with another digest under the same number means that
-//! this write was not taken.
+//! Every reader of the store may publish. All readers observe a change at about the same time, so
+//! each waits for a short random delay. The first one writes, and the others then find nothing
+//! left to change. The store resolves concurrent writes, since it accepts a generation only if it
+//! follows the current one. If an answer is lost, the newest generation is read back; a generation
+//! with the same number but another digest means that this write was not accepted.
 
 use crate::flow::SettledBucket;
 use crate::generation::{
@@ -23,18 +22,18 @@
 /// Settings of a publisher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublisherSettings {
-    /// What is fixed for the cluster.
+    /// Fixed parameters of the cluster.
     pub parameters: ClusterParameters,
-    /// Longest wait by chance before a write.
+    /// Maximum random delay before a write.
     pub maximum_write_delay: Duration,
-    /// Wait after a write of unknown outcome, doubled each time.
+    /// Delay after a write with an unknown outcome. It doubles each time.
     pub initial_backoff: Duration,
-    /// Longest such wait.
+    /// Maximum delay after a write with an unknown outcome.
     pub maximum_backoff: Duration,
 }
 
 impl PublisherSettings {
-    /// Settings that fit a store which answers within milliseconds.
+    /// Returns settings for a store that answers within milliseconds.
     #[must_use]
     pub const fn new(parameters: ClusterParameters) -> Self {
         Self {
@@ -46,45 +45,46 @@
     }
 }
 
-/// What a publisher is told.
+/// Input of a publisher.
 #[derive(Clone, Debug)]
 pub enum PublisherInput {
-    /// The operators' objects, as the store holds them now.
+    /// The operators' objects currently in the store.
     Objects(DesiredState),
-    /// A generation that the store holds; one no newer than the newest known is ignored.
+    /// A generation in the store. It is ignored unless it is newer than the newest known one.
     Stored(Arc<Generation>),
-    /// The node wants a change.
+    /// The node proposes a change.
     Proposed(Proposal),
-    /// The write in flight was answered.
+    /// The outcome of the write in flight.
     Answered(WriteOutcome),
-    /// The time that the publisher asked for has come.
+    /// The time returned by [`Publisher::next_timeout`] has been reached.
     Timeout,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The store holds the generation.
+    /// The store contains the generation.
     Accepted,
-    /// The store holds this one instead.
+    /// The store contains this generation instead.
     Conflict(Arc<Generation>),
-    /// No answer, or one that leaves open whether the write took effect.
+    /// There is no answer, or the answer doesn't show whether the write took effect.
     Unknown,
 }
 
-/// What a publisher wants done.
+/// Output of a publisher.
 #[derive(Clone, Debug)]
 pub enum PublisherOutput {
-    /// Write this generation on condition that the store holds the one before; answer with
-    /// [`PublisherInput::Answered`].
+    /// Writes this generation on condition that the store contains the preceding one. The caller
+    /// answers with [`PublisherInput::Answered`].
     Write(Arc<Generation>),
-    /// Read the newest generation in the store; answer with [`PublisherInput::Stored`].
+    /// Reads the newest generation in the store. The caller answers with
+    /// [`PublisherInput::Stored`].
     ReadBack,
-    /// The store holds this generation: hand it to the node.
+    /// The store contains this generation, to be passed to the node.
     Published(Arc<Generation>),
-    /// Objects that are not served as they were written.
+    /// Objects that cannot be served as written.
     Problems(Vec<Problem>),
-    /// Nothing can be published as things stand.
+    /// The current objects and members cannot be compiled into a generation.
     Failed(CompileError),
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl Publisher {
-    /// A publisher that knows nothing yet. `seed` is the source of its waits.
+    /// Returns a publisher without any data. Its random delays derive from `seed`.
     #[must_use]
     pub fn new(settings: PublisherSettings, seed: u64) -> Self {
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes in `input` at `now`; what is to be done about it.
+    /// Processes `input` at `now` and returns the actions for the caller.
     pub fn handle(&mut self, now: Timestamp, input: PublisherInput) -> Vec<PublisherOutput> {
         match input {
             PublisherInput::Objects(desired) => self.handle_objects(now, desired),
@@ -135,13 +135,13 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When to hand in [`PublisherInput::Timeout`].
+    /// Returns the time at which [`PublisherInput::Timeout`] is due.
     #[must_use]
     pub const fn next_timeout(&self) -> Option<Timestamp> {
         self.next_action_at
     }
 
-    /// The newest generation that the store is known to hold.
+    /// Returns the newest generation known to be in the store.
     #[must_use]
     pub const fn newest(&self) -> Option<&Arc<Generation>> {
         self.newest.as_ref()
@@ -259,7 +259,8 @@
         self.outputs.push(PublisherOutput::Write(generation));
     }
 
-    /// Members as last proposed, else as they are. A cluster without any is not founded.
+    /// Returns the members last proposed, or else those of the newest generation. Without either,
+    /// the cluster is not created.
     fn members_to_publish(&self) -> Option<Vec<MemberObject>> {
         let from_newest = || {
             let newest = self.newest.as_ref()?;
@@ -273,8 +274,8 @@
         self.members.clone().or_else(from_newest)
     }
 
-    /// Takes note of a generation in the store. What was proposed under an older one is
-    /// void: the node proposes again what still holds.
+    /// Records a generation in the store. Proposals made under an older one are discarded, as the
+    /// node repeats those that still apply.
     fn record_newest(&mut self, generation: &Arc<Generation>) {
         if self.newest_number() >= Some(generation.number) {
             return;
--- a/crates/bellyoke-core/src/node/rendezvous.rs
+++ b/crates/bellyoke-core/src/node/rendezvous.rs
@@ -1,21 +1,22 @@
-//! Choice of members by rendezvous hashing (Thaler, Ravishankar 1996), spread over zones.
+//! Selection of members by rendezvous hashing (Thaler, Ravishankar 1996), spread over zones.
 
 use crate::generation::Zone;
 use crate::identity::NodeId;
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
 
-/// Keeps the choice apart from others that hash the same nodes.
+/// Seed of the hash. It makes the selection independent of others that hash the same nodes.
 const LEASE_HASH_SEED: u64 = 0x6c65_6173_6500_0001;
 
 /// Number of members in a lease quorum.
 pub const LEASE_QUORUM_SIZE: usize = 5;
 
-/// The members that grant leases to `holder`: the first five of the others by rendezvous
-/// hash, spread over zones, or all members, if they are no more than five.
+/// Returns the members that grant leases to `holder`: the first [`LEASE_QUORUM_SIZE`] other
+/// members by rendezvous hash, spread over zones. Returns all members if the cluster is no larger
+/// than that.
 ///
-/// The hash depends on the holder, so that granting costs each member the same however
-/// large the cluster is.
+/// The hash depends on the holder, which keeps each member's cost of granting leases independent
+/// of the cluster size.
 #[must_use]
 pub fn lease_quorum<'members>(
     members: impl Iterator<Item = (&'members Zone, NodeId)>,
@@ -29,7 +30,7 @@
     spread_over_zones(others, holder, LEASE_QUORUM_SIZE)
 }
 
-/// Smallest number of members that is more than half of `size`.
+/// Returns the smallest number greater than half of `size`.
 #[must_use]
 pub const fn majority(size: usize) -> usize {
     size / 2 + 1
--- a/crates/bellyoke-core/src/node/settings.rs
+++ b/crates/bellyoke-core/src/node/settings.rs
@@ -1,26 +1,26 @@
-//! Settings of the control state machine, checked when they are built.
+//! Settings of the control state machine, validated when they are built.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// A setting that cannot work.
+/// Error for an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A value lies outside of its range.
+    /// A value is outside its permitted range.
     #[error("{key} = {value} is out of range: {range}")]
     OutOfRange {
         /// Name of the setting.
         key: &'static str,
-        /// What it was set to.
+        /// The rejected value.
         value: String,
-        /// What it may be.
+        /// The permitted range.
         range: String,
     },
 }
 
 macro_rules! settings {
     ($($(#[$attribute:meta])* $key:ident: $kind:ty = $default:expr, $low:expr, $high:expr;)*) => {
-        /// Checked settings of a [`Node`](super::Node).
+        /// Validated settings of a [`Node`](super::Node).
         #[derive(Clone, Debug, PartialEq, Eq)]
         pub struct NodeSettings {
             $(pub(crate) $key: $kind,)*
@@ -40,7 +40,7 @@
             }
         }
 
-        /// Collects settings; [`build`](Self::build) checks them.
+        /// Builder of [`NodeSettings`]. [`build`](Self::build) validates the values.
         #[derive(Clone, Debug, Default)]
         pub struct NodeSettingsBuilder {
             settings: NodeSettings,
@@ -54,11 +54,11 @@
                 self
             })*
 
-            /// The settings.
+            /// Validates and returns the settings.
             ///
             /// # Errors
             ///
-            /// [`SettingsError`] names the first setting that is out of its range.
+            /// Returns [`SettingsError`] for the first setting that is out of range.
             pub fn build(self) -> Result<NodeSettings, SettingsError> {
                 $(check(stringify!($key), self.settings.$key, $low, $high)?;)*
                 self.check_together()?;
@@ -72,46 +72,47 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 settings! {
-    /// Time between two probes of this node.
+    /// Interval between two probes by this node.
     probe_period: Duration = Duration::from_secs(1), 10 * MILLISECOND, MINUTE;
-    /// How long a direct probe may stay unanswered before others probe indirectly.
+    /// Time after which an unanswered direct probe is followed by indirect probes.
     probe_timeout: Duration = Duration::from_millis(300), MILLISECOND, MINUTE;
-    /// Number of members that are asked to probe indirectly.
+    /// Number of members that are asked for an indirect probe.
     indirect_probes: usize = 3, 0, 16;
-    /// A suspicion lasts this many probe periods times the decimal logarithm of the
-    /// cluster's size.
+    /// Duration of a suspicion, in probe periods times the decimal logarithm of the cluster size.
     suspicion_multiplier: u32 = 3, 1, 100;
-    /// An update is passed on this many times the decimal logarithm of the cluster's size.
+    /// Number of times an update is sent, per decimal logarithm of the cluster size.
     retransmit_multiplier: u32 = 4, 1, 100;
-    /// How long a lease lasts from the time its renewal was sent.
+    /// Duration of a lease, counted from the time at which its renewal was sent.
     lease_time: Duration = Duration::from_secs(3), 100 * MILLISECOND, MINUTE;
-    /// How much earlier the holder stops, for clocks that run at different speed.
+    /// Time by which the holder considers its lease expired early, to allow for clocks that run at
+    /// different speeds.
     lease_margin: Duration = Duration::from_millis(300), MILLISECOND, MINUTE;
-    /// Time between two renewals of the lease.
+    /// Interval between two renewals of the lease.
     lease_renewal: Duration = Duration::from_secs(1), 10 * MILLISECOND, MINUTE;
-    /// The longest time that a packet may stay in the network.
+    /// Maximum time that a packet may spend in the network.
     delay_horizon: Duration = Duration::from_secs(2), 10 * MILLISECOND, MINUTE;
-    /// Bytes of control messages that this node may send a second, headers included.
+    /// Bytes of control messages that this node may send per second, including headers.
     control_budget: u32 = 4096, 2048, 100_000_000;
-    /// How much unused budget is saved, as the time in which it is earned.
+    /// Maximum saved unused budget, as the time in which it accumulates.
     control_burst: Duration = Duration::from_secs(16), Duration::from_secs(1), MINUTE;
-    /// Number of peers that are told at once of a new generation or a passed barrier.
+    /// Number of random peers to which a new generation or a passed barrier is announced, and of
+    /// peers that may fetch a generation from this node at the same time.
     fan_out: usize = 3, 1, 16;
-    /// Time after which an unanswered request of dissemination or barrier is sent again.
+    /// Time after which an unanswered dissemination request or barrier report is sent again.
     resend_interval: Duration = Duration::from_secs(1), 10 * MILLISECOND, MINUTE;
-    /// How long membership must differ from the generation before a change is proposed.
+    /// Time for which the members must differ from the generation's before a change is proposed.
     membership_settle: Duration = Duration::from_secs(1), MILLISECOND, 10 * MINUTE;
-    /// How long a member that has no lease, or a newcomer that knows no live member of the
-    /// generation, waits before it proposes a change.
+    /// Time after which a change is proposed by a member without a valid lease, or by a new node
+    /// that knows no live member of the generation.
     fenced_proposal_wait: Duration = Duration::from_secs(30), 100 * MILLISECOND, 60 * MINUTE;
-    /// Time between two attempts to reach seeds or members that were taken for dead.
+    /// Mean interval between two attempts to reach a seed or a failed member.
     contact_interval: Duration = Duration::from_secs(10), 10 * MILLISECOND, 10 * MINUTE;
-    /// How long members that have failed or left are remembered.
+    /// Time after which records of failed members and of members that left are removed.
     forget_after: Duration = Duration::from_secs(600), 100 * MILLISECOND, 1440 * MINUTE;
 }
 
 impl NodeSettings {
-    /// A builder that starts with the defaults.
+    /// Returns a builder with the default settings.
     #[must_use]
     pub fn builder() -> NodeSettingsBuilder {
         NodeSettingsBuilder::default()
--- a/crates/bellyoke-core/src/node/status.rs
+++ b/crates/bellyoke-core/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself.
+//! Status report of a node.
 
 use crate::identity::{GenerationNumber, NodeId};
 use crate::node::barrier::BarrierWait;
@@ -7,12 +7,12 @@
 use crate::node::membership::MemberRecord;
 use crate::time::Timestamp;
 
-/// A transfer of a generation that was of no use.
+/// A rejected transfer of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedTransfer {
     /// The peer that sent it.
     pub from: NodeId,
-    /// What is wrong with it.
+    /// Reason for the rejection.
     pub error: TransferError,
 }
 
@@ -21,26 +21,26 @@
 pub struct NodeStatus {
     /// The node.
     pub node: NodeId,
-    /// The newest generation it holds; zero if none.
+    /// The newest generation known to the node; zero if there is none.
     pub known: GenerationNumber,
-    /// The generation that its traffic threads forward by.
+    /// The generation used by its traffic threads.
     pub adopted: GenerationNumber,
-    /// The newest generation it has acknowledged.
+    /// The newest generation acknowledged by the node.
     pub acknowledged: GenerationNumber,
-    /// The newest generation whose barrier it knows to have passed.
+    /// The newest generation whose barrier is known to have passed.
     pub barrier: GenerationNumber,
-    /// What the barrier of the newest generation waits for.
+    /// Condition that the barrier of the newest generation waits for.
     pub barrier_waits_for: BarrierWait,
-    /// Until when it may open flows.
+    /// Time until which the node may open flows.
     pub lease_until: Timestamp,
-    /// Whether it has announced to leave.
+    /// Whether the node has announced that it will leave.
     pub leaving: bool,
-    /// All members that it remembers, itself first.
+    /// All known members, starting with the node itself.
     pub members: Vec<MemberRecord>,
-    /// What it has sent.
+    /// Counters of the control budget.
     pub budget: BudgetCounters,
-    /// The last transfer of a generation that was damaged or malformed.
+    /// The latest transfer of a generation that was damaged or malformed.
     pub rejected_transfer: Option<RejectedTransfer>,
-    /// Messages dropped because they contradict themselves or are too long.
+    /// Messages dropped because they are inconsistent or too long.
     pub rejected_messages: u64,
 }
--- a/crates/bellyoke-core/tests/decider.rs
+++ b/crates/bellyoke-core/tests/decider.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread does with packets.
+//! Decisions of a traffic thread for packets.
 
 mod flow_support;
 
@@ -149,7 +149,7 @@
             Decision::Reset
         );
     }
-    // Within the delay horizon a SYN may be the one that opened it.
+    // Within the delay horizon, a SYN may be a late copy of the one that opened the flow.
     assert_eq!(
         decide(&mut decider, 2, &next, &tcp(1, SYN)),
         Decision::Reset
@@ -192,7 +192,7 @@
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let mut next = clean(2);
     next.backends.get_mut(&FIRST).unwrap().service = Some(UDP_SERVICE);
-    // Of a held flow, and of an unknown one.
+    // A recorded flow and an unknown one.
     for port in [1, 2] {
         let decision = decide(&mut decider, 1, &next, &tcp(port, ACK));
         assert_eq!(decision, Decision::Reset);
@@ -225,14 +225,14 @@
         decide(&mut decider, 1, &clean(1), &tcp(1, ACK));
         decide(&mut decider, 2, &clean(1), &tcp(1, ending));
         let next = contested(2);
-        // A late copy of the SYN that opened it, and packets sent again.
+        // A late copy of the SYN that opened the flow, and a retransmitted packet.
         for packet in [tcp(1, SYN), tcp(1, ACK)] {
             assert_eq!(decide(&mut decider, 3, &next, &packet), TO_FIRST);
         }
         let syn = tcp(1, SYN);
         let expected = escalation(&next, &syn, EscalationKind::Opening);
         assert_eq!(decide(&mut decider, 5, &next, &syn), expected);
-        // The new flow's next packet comes before the owner's answer.
+        // The next packet of the new flow arrives before the owner's answer.
         let expected = escalation(&next, &tcp(1, ACK), EscalationKind::Other);
         assert_eq!(decide(&mut decider, 5, &next, &tcp(1, ACK)), expected);
         let decision = decider.decide(second(5), &clean(3), LeaseState::Fenced, &syn);
@@ -302,7 +302,7 @@
         decide(&mut decider, 0, &forwarding, &tcp(port, ACK));
     }
     let mut expired = 0;
-    // A slot is looked at again when its flow was forgotten.
+    // A slot is visited again after its flow was removed.
     let visits = decider.table().capacity() * 3 / 2 + 1 + 25;
     for left in (0..=visits / 10).rev() {
         let report = decider.sweep(second(61), &forwarding, 10);
--- a/crates/bellyoke-core/tests/node_cost.rs
+++ b/crates/bellyoke-core/tests/node_cost.rs
@@ -1,4 +1,4 @@
-//! What membership costs a node does not depend on the size of the cluster.
+//! The cost of membership per node doesn't grow with the cluster size.
 
 mod support;
 
@@ -15,7 +15,7 @@
     (1..=count).map(|node| member(node, ZONES)).collect()
 }
 
-/// Bytes that the busiest node sends a second, with nothing going on.
+/// Returns the bytes per second sent by the busiest node of an idle cluster.
 fn idle_bytes_per_second(count: u64) -> u64 {
     let settings = NodeSettings::default();
     let mut network = VirtualNetwork::new(count, settings);
@@ -34,7 +34,7 @@
     network.run(Duration::from_secs(20));
     let after = network.hosts.values().map(|host| host.sent_bytes);
     let spent = after.zip(before).map(|(after, before)| after - before);
-    spent.max().expect("a host") / 20
+    spent.max().expect("at least one host") / 20
 }
 
 #[test]
@@ -61,12 +61,12 @@
         let zone = |node: &NodeId| node.0 % ZONES;
         let zones: BTreeSet<u64> = quorum.iter().map(zone).collect();
         assert_eq!(zones.len(), 3, "{quorum:?}");
-        let most = zones
+        let nodes_per_zone = zones
             .iter()
             .map(|one| quorum.iter().filter(|node| zone(node) == *one).count());
         assert!(
-            most.max() < Some(majority(5)),
-            "one zone is a majority of {quorum:?}"
+            nodes_per_zone.max() < Some(majority(5)),
+            "one zone has a majority of {quorum:?}"
         );
     }
 }
--- a/crates/bellyoke-core/tests/node_membership.rs
+++ b/crates/bellyoke-core/tests/node_membership.rs
@@ -1,4 +1,4 @@
-//! Membership, dissemination, leases and barriers of many nodes in virtual time.
+//! Membership, dissemination, leases and barriers of a cluster in virtual time.
 
 mod support;
 
@@ -14,7 +14,8 @@
     (1..=count).map(|node| member(node, ZONES)).collect()
 }
 
-/// A cluster of `count` nodes, two of which read the store, with one generation in force.
+/// Returns a cluster of `count` nodes with two store readers. The barrier of its first generation
+/// has passed.
 fn cluster(seed: u64, count: u64) -> VirtualNetwork {
     let mut network = VirtualNetwork::new(seed, NodeSettings::default());
     let members = members(count);
@@ -29,7 +30,10 @@
     let passed = network.run_until(seconds(30), |network| {
         network.all_passed(GenerationNumber(1))
     });
-    assert!(passed, "the first generation is not in force after 30 s");
+    assert!(
+        passed,
+        "the barrier of the first generation has not passed after 30 s"
+    );
     network.run(seconds(3));
     network
 }
@@ -44,7 +48,10 @@
         let mut network = cluster(seed, 6);
         let next = network.publish_next();
         let passed = network.run_until(seconds(10), |network| network.all_passed(next));
-        assert!(passed, "generation {next} is not in force after 10 s");
+        assert!(
+            passed,
+            "the barrier of generation {next} has not passed after 10 s"
+        );
     }
 }
 
@@ -89,6 +96,6 @@
     assert_eq!(
         failed(&network.hosts[&NodeId(4)]),
         0,
-        "the thawed node accuses nobody"
+        "the resumed node considers members failed"
     );
 }
--- a/crates/bellyoke-core/tests/node_message.rs
+++ b/crates/bellyoke-core/tests/node_message.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages: bounded, and nothing in it is trusted.
+//! Encoding of messages with limited length, and decoding of untrusted bytes.
 
 use bellyoke_core::identity::{GenerationNumber, NodeId};
 use bellyoke_core::node::{
@@ -38,21 +38,21 @@
 #[test]
 fn messages_survive_encoding_and_decoding() {
     for message in [renewal(), chunk(1000)] {
-        let bytes = message.encode().expect("bytes");
+        let bytes = message.encode().expect("the message is encoded");
         assert_eq!(Message::decode(&bytes), Ok(message));
     }
 }
 
 #[test]
 fn a_renewal_fits_a_hundred_bytes() {
-    let length = renewal().encode().expect("bytes").len();
+    let length = renewal().encode().expect("the message is encoded").len();
     assert!(length <= 100, "{length} bytes");
 }
 
 #[test]
 fn a_control_message_longer_than_a_datagram_is_rejected() {
-    let length = chunk(1500).encode().expect_err("too long");
-    assert!(matches!(length, EncodeError::TooLong { length } if length > 1500));
+    let error = chunk(1500).encode().expect_err("the message is too long");
+    assert!(matches!(error, EncodeError::TooLong { length } if length > 1500));
 }
 
 #[test]
@@ -66,7 +66,7 @@
 fn another_protocol_version_is_rejected() {
     let mut newer = renewal();
     newer.version = PROTOCOL_VERSION + 1;
-    let bytes = newer.encode().expect("bytes");
+    let bytes = newer.encode().expect("the message is encoded");
     let version = newer.version;
     assert_eq!(
         Message::decode(&bytes),
@@ -77,7 +77,7 @@
 proptest! {
     #[test]
     fn damaged_bytes_never_panic(at in 0_usize..1000, value: u8, keep in 0_usize..1100) {
-        let mut bytes = chunk(900).encode().expect("bytes");
+        let mut bytes = chunk(900).encode().expect("the message is encoded");
         let index = at % bytes.len();
         bytes[index] = value;
         bytes.truncate(keep);
@@ -99,7 +99,7 @@
     let built = NodeSettings::builder()
         .lease_margin(Duration::from_secs(2))
         .build();
-    let SettingsError::OutOfRange { key, range, .. } = built.expect_err("too long");
+    let SettingsError::OutOfRange { key, range, .. } = built.expect_err("the margin is too long");
     assert_eq!((key, range.as_str()), ("lease_margin", "1ms to 1.5s"));
 }
 
--- a/crates/bellyoke-core/tests/node_schedules.rs
+++ b/crates/bellyoke-core/tests/node_schedules.rs
@@ -1,6 +1,7 @@
-//! Thousands of random schedules: delays, loss, duplication, pauses, cuts, deaths, joins and
-//! leaves. The virtual network checks after every step that no node goes back, that no barrier
-//! passes too early and that no budget is exceeded.
+//! Random schedules of delays, loss, duplication, pauses, partitions, crashes, joins and leaves.
+//!
+//! The virtual network checks continuously that no node adopts an older generation, that no barrier
+//! passes too early and that no control budget is exceeded.
 
 mod support;
 
@@ -13,7 +14,7 @@
 const ZONES: u64 = 3;
 const NODES: u64 = 6;
 
-/// How many of the hosts may be down, cut or leaving at a time.
+/// Maximum number of hosts that are down, isolated or leaving at the same time.
 const MAXIMUM_FAULTY_HOSTS: usize = 2;
 
 struct Schedule {
@@ -22,8 +23,8 @@
     next_node: u64,
     paused: Vec<NodeId>,
     isolated: Vec<NodeId>,
-    /// Whether a host may die while a barrier is barrier_pending. Then more than half of a lease
-    /// quorum may be lost, and by section 3 of the protocol that barrier never passes.
+    /// Whether a host may be killed while a barrier is pending. More than half of a lease quorum may
+    /// be lost then, in which case that barrier never passes (section 3 of the protocol).
     may_kill_during_barrier: bool,
 }
 
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A host that is healthy, if few enough are not.
+    /// Returns a random healthy host that is a member, unless too many hosts are faulty or too few
+    /// healthy ones read the store.
     fn choose_healthy_member(&mut self) -> Option<NodeId> {
         let published = self.network.store.current()?.members.clone();
         let is_member = |node| published.iter().any(|member| member.node == node);
@@ -150,7 +152,8 @@
         Some(healthy[index])
     }
 
-    /// With all faults over, the newest generation gets into force everywhere.
+    /// Ends all faults and checks that all running hosts adopt the newest generation and learn that
+    /// its barrier has passed.
     fn settle(&mut self) {
         while !self.paused.is_empty() {
             self.resume();
@@ -158,18 +161,26 @@
         self.heal();
         self.network.link.loss_per_thousand = 0;
         let settled = self.network.run_until(Duration::from_secs(180), |network| {
-            let newest = network.store.current().expect("a generation").number;
+            let newest = network
+                .store
+                .current()
+                .expect("a generation was published")
+                .number;
             network.all_adopted(newest)
                 && network.all_passed(newest)
                 && generation_lists_running_hosts(network)
         });
-        assert!(settled, "not settled 180 s after the last fault");
+        assert!(
+            settled,
+            "the cluster has not settled 180 s after the last fault"
+        );
     }
 }
 
-/// The generation's members are just those that run and don't leave.
+/// Returns whether the members of the newest generation are exactly the running hosts that are not
+/// leaving.
 fn generation_lists_running_hosts(network: &VirtualNetwork) -> bool {
-    let current = network.store.current().expect("a generation");
+    let current = network.store.current().expect("a generation was published");
     let listed: Vec<NodeId> = current.members.iter().map(|member| member.node).collect();
     let hosts = network.hosts.values();
     let wanted: Vec<NodeId> = hosts
@@ -222,7 +233,7 @@
     run_schedules(3 * SCHEDULES_PER_BLOCK..4 * SCHEDULES_PER_BLOCK);
 }
 
-/// Schedules of one block; the blocks run at the same time.
+/// Number of schedules per block. The blocks run in parallel.
 const SCHEDULES_PER_BLOCK: u64 = 30;
 
 #[test]
--- a/crates/bellyoke-core/tests/support/checks.rs
+++ b/crates/bellyoke-core/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step of every run.
+//! Invariants checked in every run.
 
 use crate::support::host::Host;
 use crate::support::store::Store;
@@ -8,17 +8,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A node never hands its traffic threads an older generation.
+/// Checks that a node doesn't pass an older generation to its traffic threads.
 pub fn check_adoption_is_newer(host: &Host, adopts: GenerationNumber) {
     let newest = host.generations.keys().next_back().copied();
     assert!(
         newest.is_none_or(|newest| adopts > newest),
-        "node {} goes back from {newest:?} to {adopts}",
+        "node {} reverts from generation {newest:?} to {adopts}",
         host.identity.node
     );
 }
 
-/// Counts `bytes` against what the budget allows, of which `burst` seconds' worth may go at once.
+/// Checks that `bytes` are within the budget, and deducts them. The unused budget of up to `burst`
+/// seconds may be sent at once.
 pub fn charge_budget(host: &mut Host, now: Timestamp, bytes: u64, budget: u64, burst: u64) {
     let elapsed = now.since(host.allowance_updated_at).as_micros() as u64;
     let capacity = budget * burst * 1_000_000;
@@ -27,14 +28,14 @@
     let cost = bytes * 1_000_000;
     assert!(
         cost <= host.allowance_microbytes,
-        "node {} exceeds its budget of {budget} bytes a second",
+        "node {} exceeds its budget of {budget} bytes per second",
         host.identity.node
     );
     host.allowance_microbytes -= cost;
 }
 
-/// When a barrier is said to have passed, every member has acknowledged, and no former member
-/// can open a flow by an older generation any more, nor did so within the delay horizon.
+/// Checks that a barrier passed correctly: every member has acknowledged the generation, and no
+/// former member can open a flow with an older generation or did so within the delay horizon.
 pub fn check_barrier_is_safe(
     hosts: &BTreeMap<NodeId, Host>,
     store: &Store,
@@ -43,7 +44,11 @@
     delay_horizon: Duration,
 ) {
     let find = |generation: &&std::sync::Arc<Generation>| generation.number == passed;
-    let generation = store.history.iter().find(find).expect("a published one");
+    let generation = store
+        .history
+        .iter()
+        .find(find)
+        .expect("the generation was published");
     for member in &generation.members {
         let acknowledged = hosts[&member.node].node.status().acknowledged;
         assert!(
@@ -60,7 +65,7 @@
         let fenced = !host.alive || ended.is_none_or(|end| end.after(delay_horizon) <= now);
         assert!(
             acknowledged || fenced,
-            "barrier {passed} passes, but former member {} may open flows by {} until {ended:?}",
+            "barrier {passed} passes, but former member {} may open flows with generation {} until {ended:?}",
             host.identity.node,
             host.forwarding_generation
         );
--- a/crates/bellyoke-core/tests/support/host.rs
+++ b/crates/bellyoke-core/tests/support/host.rs
@@ -1,4 +1,4 @@
-//! One machine of the virtual network.
+//! Host of the virtual network.
 
 use bellyoke_core::generation::Generation;
 use bellyoke_core::identity::GenerationNumber;
@@ -8,44 +8,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A node and all that the caller of its state machine keeps.
+/// A node and the state kept by the caller of its state machine.
 pub struct Host {
-    /// The state machine.
+    /// State machine of the node.
     pub node: Node,
-    /// Who it is.
+    /// Identity of the node.
     pub identity: NodeIdentity,
-    /// False once it was killed.
+    /// Whether the process exists. False once it was killed or has left.
     pub alive: bool,
-    /// True while it is paused.
+    /// Whether the process is paused.
     pub paused: bool,
-    /// Whether it reads the store.
+    /// Whether the node reads the store.
     pub reads_store: bool,
-    /// What arrived while it was paused.
+    /// Inputs that arrived while the process was paused.
     pub backlog: VecDeque<Input<Message>>,
-    /// Generation that its traffic threads forward by.
+    /// Generation used by its traffic threads.
     pub forwarding_generation: GenerationNumber,
-    /// All events, with the true time of each.
+    /// All events, each with its network time.
     pub events: Vec<(Timestamp, NodeEvent)>,
-    /// Bytes sent, headers included.
+    /// Bytes sent, including headers.
     pub sent_bytes: u64,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Bytes that the budget would allow at `allowance_updated_at`, in millionths.
+    /// Remaining budget at `allowance_updated_at`, in millionths of a byte.
     pub allowance_microbytes: u64,
-    /// See `allowance_microbytes`.
+    /// Network time of the latest update of `allowance_microbytes`.
     pub allowance_updated_at: Timestamp,
-    /// True time of the next wake-up.
+    /// Network time of the next wake-up.
     pub next_wake_at: Timestamp,
-    /// Wake-ups in a row that were due at once.
+    /// Number of consecutive wake-ups that were due immediately.
     pub immediate_wakes: u32,
-    /// Members of the generations that it has forwarded by.
+    /// Generations passed to its traffic threads.
     pub generations: BTreeMap<GenerationNumber, Arc<Generation>>,
     lease_until: Timestamp,
     clock_offset: Duration,
 }
 
 impl Host {
-    /// A host whose clock was started `clock_offset` before the network's.
+    /// Returns a host whose clock is ahead of the network time by `clock_offset`.
     pub fn new(
         identity: NodeIdentity,
         settings: NodeSettings,
@@ -75,39 +75,39 @@
         }
     }
 
-    /// What this host's clock shows at the true time `now`.
+    /// Converts a network time to this host's clock.
     pub fn local_time(&self, now: Timestamp) -> Timestamp {
         now.after(self.clock_offset)
     }
 
-    /// The true time at which this host's clock shows `local`.
+    /// Converts a time of this host's clock to network time.
     pub fn network_time(&self, local: Timestamp) -> Timestamp {
         let start = self.clock_offset.as_micros() as u64;
         Timestamp::from_micros(local.as_micros().saturating_sub(start))
     }
 
-    /// The traffic threads are told until when, by this host's clock, they may open flows.
+    /// Sets the time, on this host's clock, until which its traffic threads may open flows.
     pub fn set_lease(&mut self, until: Timestamp) {
         self.lease_until = until;
     }
 
-    /// Whether its traffic threads may open a flow at the true time `now`.
+    /// Returns whether its traffic threads may open flows at the network time `now`.
     pub fn may_open_flows(&self, now: Timestamp) -> bool {
         self.alive && self.local_time(now) < self.lease_until
     }
 
-    /// The true time at which the lease ends or ended; none, if there never was one.
+    /// Returns the network time at which the lease expires or expired, or `None` if there was none.
     pub fn lease_end(&self) -> Option<Timestamp> {
         let had_one = self.lease_until > Timestamp::ZERO;
         had_one.then(|| self.network_time(self.lease_until))
     }
 
-    /// Whether it runs and is reached.
+    /// Returns whether the process exists and is not paused.
     pub fn is_running(&self) -> bool {
         self.alive && !self.paused
     }
 
-    /// One line about its state.
+    /// Returns a one-line summary of its state.
     pub fn summary(&self, now: Timestamp) -> String {
         let status = self.node.status();
         let members: Vec<String> = status
@@ -136,7 +136,7 @@
         )
     }
 
-    /// How often `event` has happened.
+    /// Returns the number of occurrences of `event`.
     pub fn count_events(&self, event: &NodeEvent) -> usize {
         let same = |(_, other): &&(Timestamp, NodeEvent)| other == event;
         self.events.iter().filter(same).count()
--- a/crates/bellyoke-core/tests/support/mod.rs
+++ b/crates/bellyoke-core/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A deterministic network of nodes in virtual time: the same seed gives the same run.
+//! Deterministic network of nodes in virtual time: the same seed gives the same run.
 //!
-//! Messages are encoded and decoded, delayed, lost, duplicated and cut by seeded chance. Hosts
-//! have clocks that start at different times, and can be paused or killed. After every step
-//! the network checks what must always hold; when a test fails, seed and trace are printed.
+//! Messages are encoded, decoded, and delayed, lost or duplicated at random. Hosts have clocks with
+//! different offsets, and can be paused, killed or isolated. The network checks invariants during
+//! the run. When a test fails, it prints the seed and a trace.
 
 #![allow(dead_code, unused_imports)]
 
@@ -18,7 +18,7 @@
 use bellyoke_core::generation::{ClusterParameters, Generation, Member, StoreRevision, Zone};
 use bellyoke_core::identity::{BackendId, GenerationNumber, NodeId, ServiceId};
 
-/// A generation without services.
+/// Returns a generation without services.
 pub fn generation(number: u64, members: Vec<Member>) -> Generation {
     Generation {
         number: GenerationNumber(number),
@@ -35,13 +35,13 @@
     }
 }
 
-/// The member that `node` is in tests: one of `zones` zones, at an address of its own.
+/// Returns the test member for `node`, in one of `zones` zones and with a unique address.
 pub fn member(node: u64, zones: u64) -> Member {
     let [.., high, low] = node.to_be_bytes();
     let address = format!("192.0.{high}.{low}:7000");
     Member {
         node: NodeId(node),
         zone: Zone(format!("zone-{}", node % zones)),
-        peer_address: address.parse().expect("an address"),
+        peer_address: address.parse().expect("a valid address"),
     }
 }
--- a/crates/bellyoke-core/tests/support/network.rs
+++ b/crates/bellyoke-core/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! The wires between hosts, and the order of all that happens.
+//! Virtual network: links between hosts, and the event queue.
 
 use crate::support::checks;
 use crate::support::host::Host;
@@ -18,21 +18,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Maximum number of trace lines kept for a failing test.
 const MAXIMUM_TRACE_LINES: usize = 400;
 
-/// Shortest time that traffic threads or the store take to answer.
+/// Minimum delay of answers by traffic threads and the store.
 const LOCAL_DELAY: Duration = Duration::from_millis(1);
 
-/// How messages fare.
+/// Properties of the links between hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    /// Shortest delay one way.
+    /// Minimum one-way delay.
     pub delay: Duration,
-    /// Longest random addition to the delay.
+    /// Maximum random addition to the delay.
     pub jitter: Duration,
-    /// Messages lost of a thousand.
+    /// Lost messages per thousand.
     pub loss_per_thousand: u32,
-    /// Messages that arrive twice of a thousand.
+    /// Duplicated messages per thousand.
     pub duplication_per_thousand: u32,
 }
 
@@ -63,13 +64,13 @@
     },
 }
 
-/// Hosts, wires and a store.
+/// Hosts, the links between them, and a store.
 pub struct VirtualNetwork {
-    /// The hosts, dead ones too.
+    /// All hosts, including killed ones.
     pub hosts: BTreeMap<NodeId, Host>,
     /// The store.
     pub store: Store,
-    /// How messages fare from now on.
+    /// Properties of the links for messages sent from now on.
     pub link: Link,
     settings: NodeSettings,
     seed: u64,
@@ -85,7 +86,7 @@
 }
 
 impl VirtualNetwork {
-    /// A network without hosts.
+    /// Returns a network without hosts.
     pub fn new(seed: u64, settings: NodeSettings) -> Self {
         Self {
             hosts: BTreeMap::new(),
@@ -105,17 +106,17 @@
         }
     }
 
-    /// The true time.
+    /// Returns the network time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// A random number below `bound`, for the test's own choices.
+    /// Returns a random number below `bound`.
     pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..bound)
     }
 
-    /// Starts a host that knows `seeds`.
+    /// Starts a host with the given seed addresses.
     pub fn start(&mut self, member: &Member, reads_store: bool, seeds: Vec<SocketAddr>) {
         let identity = NodeIdentity {
             node: member.node,
@@ -134,16 +135,19 @@
         }
     }
 
-    /// Accepts a generation in the store and tells its readers.
+    /// Writes a generation to the store and notifies its readers.
     pub fn publish(&mut self, generation: Generation) {
         let number = generation.number;
-        assert!(self.store.write(generation), "the store refuses {number}");
+        assert!(
+            self.store.write(generation),
+            "the store rejects generation {number}"
+        );
         self.notify_readers();
     }
 
-    /// Accepts the next generation, with the same content as the newest.
+    /// Publishes the next generation, with the same content as the newest one.
     pub fn publish_next(&mut self) -> GenerationNumber {
-        let current = self.store.current().expect("a generation");
+        let current = self.store.current().expect("a generation was published");
         let mut next = Generation::clone(current);
         next.number.0 += 1;
         let number = next.number;
@@ -151,29 +155,29 @@
         number
     }
 
-    /// Cuts the hosts of `group` off from all others; none heals the network.
+    /// Isolates the hosts in `group` from all others. An empty group heals the partition.
     pub fn partition(&mut self, group: impl IntoIterator<Item = NodeId>) {
         self.isolated = group.into_iter().collect();
-        self.record_milestone(format!("cut {:?}", self.isolated));
+        self.record_milestone(format!("partition {:?}", self.isolated));
     }
 
-    /// Kills a host.
+    /// Kills the process of a host.
     pub fn kill(&mut self, node: NodeId) {
         self.record_milestone(format!("kill {node}"));
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         host.alive = false;
     }
 
-    /// Stops a host's process without telling it.
+    /// Pauses the process of a host without notice.
     pub fn pause(&mut self, node: NodeId) {
         self.record_milestone(format!("pause {node}"));
-        self.hosts.get_mut(&node).expect("a host").paused = true;
+        self.hosts.get_mut(&node).expect("the host exists").paused = true;
     }
 
-    /// Lets a paused host go on. All that arrived meanwhile comes first.
+    /// Resumes a paused host. Inputs that arrived meanwhile are processed first.
     pub fn resume(&mut self, node: NodeId) {
         self.record_milestone(format!("resume {node}"));
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         host.paused = false;
         let backlog = std::mem::take(&mut host.backlog);
         for input in backlog {
@@ -191,7 +195,7 @@
         self.now = end;
     }
 
-    /// Runs until `done`, for at most `limit`; whether it was done in time.
+    /// Runs until `done` returns true, for at most `limit`. Returns whether it did so in time.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now.after(limit);
         while !done(self) {
@@ -205,22 +209,22 @@
         true
     }
 
-    /// Whether all hosts that run forward by `generation` or a newer one.
+    /// Returns whether all running hosts use `generation` or a newer one.
     pub fn all_adopted(&self, generation: GenerationNumber) -> bool {
         let mut running = self.hosts.values().filter(|host| host.is_running());
         running.all(|host| host.forwarding_generation >= generation)
     }
 
-    /// Whether all hosts that run know that the barrier of `generation` has passed.
+    /// Returns whether all running hosts know that the barrier of `generation` has passed.
     pub fn all_passed(&self, generation: GenerationNumber) -> bool {
         let mut running = self.hosts.values().filter(|host| host.is_running());
         running.all(|host| host.node.status().barrier >= generation)
     }
 
-    /// Hands `input` to a host.
+    /// Passes `input` to a host, or queues it while the host is paused.
     pub fn input(&mut self, node: NodeId, input: Input<Message>) {
         let now = self.now;
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         if !host.alive {
             return;
         }
@@ -240,7 +244,10 @@
             return;
         };
         self.now = at;
-        let event = self.scheduled.remove(&number).expect("an event");
+        let event = self
+            .scheduled
+            .remove(&number)
+            .expect("the event is scheduled");
         match event {
             ScheduledEvent::Arrival { to, from, bytes } => self.deliver(to, from, &bytes),
             ScheduledEvent::Wake(node) => self.handle_wake(node, at),
@@ -260,7 +267,7 @@
         if self.isolated.contains(&to) != self.isolated.contains(&from) {
             return;
         }
-        let message = Message::decode(bytes).expect("a peer's message is valid");
+        let message = Message::decode(bytes).expect("the peer's message is valid");
         self.record_trace(format!("{from} -> {to}: {:?}", message.body));
         self.input(to, Input::Message { from, message });
     }
@@ -272,7 +279,7 @@
     }
 
     fn handle_adopted(&mut self, node: NodeId, generation: GenerationNumber) {
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         if host.paused {
             self.schedule_local(ScheduledEvent::Adopted(node, generation));
             return;
@@ -307,7 +314,7 @@
             } => self.send(node, address, &message),
             Output::Adopt(forwarding) => self.start_adoption(node, forwarding.generation),
             Output::Lease(until) => {
-                let host = self.hosts.get_mut(&node).expect("a host");
+                let host = self.hosts.get_mut(&node).expect("the host exists");
                 host.set_lease(until);
             }
             Output::Propose(Proposal::Members(members)) => self.handle_proposal(node, members),
@@ -317,11 +324,11 @@
     }
 
     fn send(&mut self, from: NodeId, address: SocketAddr, message: &Message) {
-        let bytes = message.encode().expect("a message that can be sent");
+        let bytes = message.encode().expect("the message is encoded");
         let cost = (bytes.len() + datagram_overhead(address)) as u64;
         let budget = u64::from(self.settings.control_budget());
         let now = self.now;
-        let host = self.hosts.get_mut(&from).expect("a host");
+        let host = self.hosts.get_mut(&from).expect("the host exists");
         host.sent_bytes += cost;
         host.sent_messages += 1;
         let burst = self.settings.control_burst().as_secs();
@@ -351,8 +358,8 @@
             .history
             .iter()
             .find(|one| one.number == generation);
-        let published = Arc::clone(published.expect("a published generation"));
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let published = Arc::clone(published.expect("the generation was published"));
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         checks::check_adoption_is_newer(host, generation);
         host.generations.insert(generation, published);
         self.schedule_local(ScheduledEvent::Adopted(node, generation));
@@ -380,17 +387,17 @@
             let horizon = self.settings.delay_horizon();
             checks::check_barrier_is_safe(&self.hosts, &self.store, self.now, passed, horizon);
         }
-        let host = self.hosts.get_mut(&node).expect("a host");
-        // The process stops when it may.
+        let host = self.hosts.get_mut(&node).expect("the host exists");
+        // The process exits once it has completed leaving.
         host.alive &= event != NodeEvent::LeaveComplete;
         host.events.push((self.now, event));
     }
 
     fn schedule_wake(&mut self, node: NodeId) {
         let now = self.now;
-        let host = self.hosts.get_mut(&node).expect("a host");
+        let host = self.hosts.get_mut(&node).expect("the host exists");
         let at = host.network_time(host.node.next_timeout()).max(now);
-        // A timeout that is always due would stop the clock.
+        // Virtual time would not advance if a timeout was always due.
         host.immediate_wakes = if at == now {
             host.immediate_wakes + 1
         } else {
@@ -424,7 +431,7 @@
         self.scheduled.insert(number, event);
     }
 
-    /// Notes what a reader of the trace looks for first.
+    /// Records an event of importance for analyzing the trace.
     fn record_milestone(&mut self, line: String) {
         let seconds = self.now.as_micros() as f64 / 1e6;
         self.milestones.push(format!("{seconds:10.6} {line}"));
--- a/crates/bellyoke-core/tests/support/store.rs
+++ b/crates/bellyoke-core/tests/support/store.rs
@@ -1,25 +1,25 @@
-//! The platform's store: one generation, written on condition.
+//! The platform's store, with conditional writes of the generation.
 
 use bellyoke_core::generation::{Generation, Member, MemberObject};
 use bellyoke_core::identity::GenerationNumber;
 use std::sync::Arc;
 
-/// Holds the newest generation and all that came before.
+/// Stores the newest generation and all earlier ones.
 #[derive(Default)]
 pub struct Store {
-    /// All generations that were ever accepted, oldest first.
+    /// All accepted generations, oldest first.
     pub history: Vec<Arc<Generation>>,
-    /// While true, nothing is read or written.
+    /// Whether the store is unavailable for reads and writes.
     pub down: bool,
 }
 
 impl Store {
-    /// The newest generation.
+    /// Returns the newest generation.
     pub fn current(&self) -> Option<&Arc<Generation>> {
         self.history.last()
     }
 
-    /// Writes `next`, if its number follows on the newest.
+    /// Writes `next` if its number follows the newest one. Returns whether it was written.
     pub fn write(&mut self, next: Generation) -> bool {
         let newest = self.current().map_or(GenerationNumber(0), |one| one.number);
         if self.down || next.number.0 != newest.0 + 1 {
@@ -29,7 +29,8 @@
         true
     }
 
-    /// Writes the generation that differs from `base` by its members.
+    /// Writes the generation that follows `base` and differs only in its members. Returns whether it
+    /// was written.
     pub fn write_members(&mut self, base: GenerationNumber, members: &[MemberObject]) -> bool {
         let Some(current) = self.current().filter(|current| current.number == base) else {
             return false;
