--- a/crates/bellyoke-core/src/node/barrier.rs
+++ b/crates/bellyoke-core/src/node/barrier.rs
@@ -214,8 +214,8 @@
         generation: GenerationNumber,
         member_sets: Vec<GenerationNumber>,
     ) {
-        let full = self.reports.len() >= MAXIMUM_REPORTS && !self.reports.contains_key(&from);
-        if generation < self.number() || full || member_sets.len() > MAXIMUM_MEMBER_SETS {
+        let is_full = self.reports.len() >= MAXIMUM_REPORTS && !self.reports.contains_key(&from);
+        if generation < self.number() || is_full || member_sets.len() > MAXIMUM_MEMBER_SETS {
             return;
         }
         if self.has_reported(from) {
@@ -383,7 +383,11 @@
         if pending.is_empty() {
             return self.record_passed(generation.number);
         }
-        let members: BTreeSet<NodeId> = generation.members.iter().map(|one| one.node).collect();
+        let members: BTreeSet<NodeId> = generation
+            .members
+            .iter()
+            .map(|member| member.node)
+            .collect();
         let all_fenced = pending
             .iter()
             .all(|former| !is_live(former.node) && self.cannot_renew(former, &members));
--- a/crates/bellyoke-core/src/node/budget.rs
+++ b/crates/bellyoke-core/src/node/budget.rs
@@ -1,8 +1,8 @@
 //! Limits the control traffic of a node to a number of bytes per second.
 //!
 //! The limit is a token bucket with priorities. Leases and probes have a constant cost and are
-//! sent first. Bulk messages have a fixed share of the remaining priorities, which prevents their
-//! starvation. Messages that exceed the budget are queued. When a queue is full, its oldest
+//! sent first. Among the remaining priorities, bulk messages get a fixed share, which prevents
+//! their starvation. Messages that exceed the budget are queued. When a queue is full, its oldest
 //! message is dropped and counted; its sender will send it again.
 
 use crate::identity::NodeId;
--- a/crates/bellyoke-core/src/node/membership/contact.rs
+++ b/crates/bellyoke-core/src/node/membership/contact.rs
@@ -22,8 +22,8 @@
         };
         let interval = interval / 2 + self.random_share_of(interval);
         self.next_contact_at = now.after(interval);
-        let lost = self.table.records().filter(|one| !one.is_live());
-        let mut contacts: Vec<(Option<NodeId>, SocketAddr)> = lost
+        let not_live = self.table.records().filter(|record| !record.is_live());
+        let mut contacts: Vec<(Option<NodeId>, SocketAddr)> = not_live
             .filter(|record| record.state == MemberState::Failed)
             .map(|record| (Some(record.member.node), record.member.peer_address))
             .collect();
@@ -66,8 +66,8 @@
     ) -> Vec<MembershipEffect> {
         let mut effects = self.apply_update(now, &record.update());
         let node = record.member.node;
-        let agreed = digest == self.table.digest(&self.own);
-        if agreed || node == self.own.member.node || self.get(node).is_none() {
+        let digests_match = digest == self.table.digest(&self.own);
+        if digests_match || node == self.own.member.node || self.get(node).is_none() {
             return effects;
         }
         if reply_requested {
@@ -83,7 +83,7 @@
     pub(super) fn send_state(&self, to: NodeId) -> Vec<MembershipEffect> {
         let live: Vec<MemberRecord> = self
             .records()
-            .filter(|one| one.is_live())
+            .filter(|record| record.is_live())
             .cloned()
             .collect();
         let parts =
--- a/crates/bellyoke-core/src/node/membership/table.rs
+++ b/crates/bellyoke-core/src/node/membership/table.rs
@@ -135,7 +135,8 @@
     /// compare digests to find out whether they agree.
     #[must_use]
     pub fn digest(&self, own: &MemberRecord) -> u64 {
-        let mut live: Vec<&MemberRecord> = self.records().filter(|one| one.is_live()).collect();
+        let mut live: Vec<&MemberRecord> =
+            self.records().filter(|record| record.is_live()).collect();
         live.push(own);
         live.sort_unstable_by_key(|record| record.member.node);
         let mut hasher = XxHash3_64::with_seed(DIGEST_SEED);
--- a/crates/bellyoke-core/src/node/node/outgoing.rs
+++ b/crates/bellyoke-core/src/node/node/outgoing.rs
@@ -79,11 +79,11 @@
 
     /// Reports queued messages, at most once per probe period.
     fn report_exhaustion(&mut self, now: Timestamp) {
-        let waits = self.budget.next_timeout().is_some();
-        let silent_until = self
+        let has_queued_messages = self.budget.next_timeout().is_some();
+        let suppressed_until = self
             .exhaustion_reported_at
-            .map(|told| told.after(self.settings.probe_period));
-        if !waits || silent_until.is_some_and(|until| now < until) {
+            .map(|reported_at| reported_at.after(self.settings.probe_period));
+        if !has_queued_messages || suppressed_until.is_some_and(|until| now < until) {
             return;
         }
         self.exhaustion_reported_at = Some(now);
--- a/crates/bellyoke-core/tests/node_membership.rs
+++ b/crates/bellyoke-core/tests/node_membership.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_paused_node_is_fenced_and_suspects_no_member_after_resuming() {
+fn a_paused_node_is_fenced_and_fails_no_member_after_resuming() {
     let mut network = cluster(2, 6);
     network.pause(NodeId(4));
     network.run(seconds(15));
--- a/crates/bellyoke-core/tests/node_schedules.rs
+++ b/crates/bellyoke-core/tests/node_schedules.rs
@@ -96,7 +96,11 @@
     }
 
     fn kill(&mut self) {
-        let newest = self.network.store.current().map(|one| one.number);
+        let newest = self
+            .network
+            .store
+            .current()
+            .map(|generation| generation.number);
         let barrier_pending = newest.is_some_and(|newest| !self.network.all_passed(newest));
         if barrier_pending && !self.may_kill_during_barrier {
             return;
--- a/crates/bellyoke-core/tests/support/checks.rs
+++ b/crates/bellyoke-core/tests/support/checks.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// Checks that a node doesn't pass an older generation to its traffic threads.
-pub fn check_adoption_is_newer(host: &Host, adopts: GenerationNumber) {
+pub fn check_adoption_is_newer(host: &Host, adopted: GenerationNumber) {
     let newest = host.generations.keys().next_back().copied();
     assert!(
-        newest.is_none_or(|newest| adopts > newest),
-        "node {} reverts from generation {newest:?} to {adopts}",
+        newest.is_none_or(|newest| adopted > newest),
+        "node {} reverts from generation {newest:?} to {adopted}",
         host.identity.node
     );
 }
@@ -43,11 +43,11 @@
     passed: GenerationNumber,
     delay_horizon: Duration,
 ) {
-    let find = |generation: &&std::sync::Arc<Generation>| generation.number == passed;
+    let is_passed = |generation: &&std::sync::Arc<Generation>| generation.number == passed;
     let generation = store
         .history
         .iter()
-        .find(find)
+        .find(is_passed)
         .expect("the generation was published");
     for member in &generation.members {
         let acknowledged = hosts[&member.node].node.status().acknowledged;
@@ -57,8 +57,8 @@
             member.node
         );
     }
-    let members = |node| generation.members.iter().any(|member| member.node == node);
-    let former = hosts.values().filter(|host| !members(host.identity.node));
+    let is_member = |node| generation.members.iter().any(|member| member.node == node);
+    let former = hosts.values().filter(|host| !is_member(host.identity.node));
     for host in former.filter(|host| host.forwarding_generation < passed) {
         let acknowledged = host.node.status().acknowledged >= passed;
         let ended = host.lease_end();
--- a/crates/bellyoke-core/tests/support/network.rs
+++ b/crates/bellyoke-core/tests/support/network.rs
@@ -357,7 +357,7 @@
             .store
             .history
             .iter()
-            .find(|one| one.number == generation);
+            .find(|candidate| candidate.number == generation);
         let published = Arc::clone(published.expect("the generation was published"));
         let host = self.hosts.get_mut(&node).expect("the host exists");
         checks::check_adoption_is_newer(host, generation);
@@ -459,7 +459,7 @@
             let newest = self
                 .store
                 .current()
-                .map(|one| (one.number, one.members.len()));
+                .map(|generation| (generation.number, generation.members.len()));
             eprintln!("seed {}, store {newest:?}", self.seed);
         }
     }
--- a/crates/bellyoke-core/tests/support/store.rs
+++ b/crates/bellyoke-core/tests/support/store.rs
@@ -21,7 +21,9 @@
 
     /// Writes `next` if its number follows the newest one. Returns whether it was written.
     pub fn write(&mut self, next: Generation) -> bool {
-        let newest = self.current().map_or(GenerationNumber(0), |one| one.number);
+        let newest = self
+            .current()
+            .map_or(GenerationNumber(0), |generation| generation.number);
         if self.down || next.number.0 != newest.0 + 1 {
             return false;
         }
