--- a/crates/bellyoke-core/src/node/member_history.rs
+++ b/crates/bellyoke-core/src/node/member_history.rs
@@ -1,7 +1,7 @@
 //! Members of the generations whose barrier has not passed.
 //!
 //! A member of such a generation may still open flows with it, until the member has acknowledged
-//! a newer generation or its lease has certainly expired.
+//! a newer generation or its lease must have expired.
 
 use crate::generation::{Member, Zone};
 use crate::identity::{GenerationNumber, NodeId};
