--- a/crates/bellyoke-core/tests/node_cost.rs
+++ b/crates/bellyoke-core/tests/node_cost.rs
@@ -61,12 +61,9 @@
         let zone = |node: &NodeId| node.0 % ZONES;
         let zones: BTreeSet<u64> = quorum.iter().map(zone).collect();
         assert_eq!(zones.len(), 3, "{quorum:?}");
-        let nodes_per_zone = zones.iter().map(|zone_index| {
-            quorum
-                .iter()
-                .filter(|node| zone(node) == *zone_index)
-                .count()
-        });
+        let nodes_per_zone = zones
+            .iter()
+            .map(|id| quorum.iter().filter(|node| zone(node) == *id).count());
         assert!(
             nodes_per_zone.max() < Some(majority(5)),
             "one zone has a majority of {quorum:?}"
