--- a/crates/bellyoke-core/src/node/barrier.rs
+++ b/crates/bellyoke-core/src/node/barrier.rs
@@ -1,13 +1,15 @@
-//! Whether every member has acknowledged a generation (section 3 of the protocol).
+//! Barrier of a generation, passed once every member has acknowledged it (section 3 of the
+//! protocol).
 //!
-//! Members form a tree that follows from the generation alone: one branch a zone, each node
-//! with few children. A node reports to its parent when its whole subtree has acknowledged,
-//! so that the cost a node doesn't grow with the cluster. A member of the tree that dies stops
-//! the barrier in any case, until a newer generation removes it: the tree needs no repair.
+//! Members form a tree that is determined by the generation: one branch per zone, and a bounded
+//! number of children per node. A node reports to its parent when its whole subtree has
+//! acknowledged, which keeps the cost per node independent of the cluster size. The tree needs no
+//! repair when a member dies: the barrier waits for that member in any case, until a newer
+//! generation removes it.
 
 use crate::generation::{Generation, Member};
 use crate::identity::{GenerationNumber, NodeId};
-use crate::node::lineage::{DepartedMember, Lineage, MAXIMUM_MEMBER_SETS, MemberSet};
+use crate::node::member_history::{FormerMember, MAXIMUM_MEMBER_SETS, MemberHistory, MemberSet};
 use crate::node::rendezvous::majority;
 use crate::node::settings::NodeSettings;
 use crate::time::Timestamp;
@@ -15,40 +17,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Children of a node in its zone's branch.
-const CHILDREN: usize = 8;
+/// Maximum number of children of a node within its zone's branch.
+const MAXIMUM_CHILDREN: usize = 8;
 
-/// Reporters that are remembered.
+/// Maximum number of nodes whose reports are kept.
 const MAXIMUM_REPORTS: usize = 8192;
 
-/// Messages about acknowledgements.
+/// Messages of the barrier protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum BarrierMessage {
-    /// The sender and all members below it have acknowledged the generation.
+    /// The sender and all members of its subtree have acknowledged the generation.
     Acknowledged {
         /// The generation.
         generation: GenerationNumber,
-        /// Member sets that they know of, by the generation in which each begins.
-        lineage: Vec<GenerationNumber>,
+        /// First generations of the member sets known to the sender.
+        member_sets: Vec<GenerationNumber>,
     },
-    /// A barrier has passed; its number is in the message's header.
+    /// A barrier has passed. The message header contains the generation number.
     Passed,
 }
 
-/// What the barrier wants done.
+/// Action requested by the barrier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarrierEffect {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// The receiver.
         to: NodeId,
-        /// What to say.
+        /// The message.
         message: BarrierMessage,
     },
-    /// Send a message to some members, whichever.
-    SendToSome(BarrierMessage),
-    /// Fetch the member sets that a peer has and this node lacks.
-    FetchLineage {
+    /// Sends a message to random live members.
+    SendToRandomPeers(BarrierMessage),
+    /// Fetches member sets that a peer has and this node lacks.
+    FetchMemberSets {
         /// The peer.
         from: NodeId,
     },
@@ -56,33 +58,34 @@
     Passed(GenerationNumber),
 }
 
-/// What the barrier of the newest generation waits for, as far as a node can tell.
+/// Condition that the barrier of the newest generation waits for, as known to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarrierWait {
-    /// Nothing: it has passed, or there is no generation.
+    /// The barrier has passed, or there is no generation.
     Nothing,
-    /// This node itself has not acknowledged.
-    Own,
-    /// These nodes have not reported that they and all below them have.
+    /// This node has not acknowledged the generation.
+    OwnAcknowledgement,
+    /// These children have not reported the acknowledgement of their subtrees.
     Reports(Vec<NodeId>),
-    /// A reporter knows former members that this node doesn't know.
-    Lineage(NodeId),
-    /// These former members may still open flows by an older generation.
+    /// A reporting node has member sets that this node lacks.
+    MemberSets(NodeId),
+    /// These former members may still open flows with an older generation.
     FormerMembers(Vec<NodeId>),
-    /// The parent has been told; it, or the news that the barrier has passed, is awaited.
+    /// This node has reported to its parent; the barrier has not passed yet.
     Parent(NodeId),
 }
 
 /// Position of a node in the tree of a generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TreePosition {
-    /// Where it reports to; none at the root.
+    /// The node to report to; `None` at the root.
     pub parent: Option<NodeId>,
-    /// Who reports to it, former members apart.
+    /// The members that report to the node. Former members are not listed.
     pub children: Vec<NodeId>,
 }
 
-/// The position of `node` among `members`. A node that is no member reports to the root.
+/// Returns the position of `node` in the tree of `members`. A node that is not a member reports to
+/// the root.
 #[must_use]
 pub fn tree_position(members: &[Member], node: NodeId) -> TreePosition {
     let mut sorted: Vec<&Member> = members.iter().collect();
@@ -99,7 +102,7 @@
         for (index, member) in branch.iter().enumerate() {
             let parent = match index {
                 0 => (member.node != root).then_some(root),
-                _ => Some(branch[(index - 1) / CHILDREN].node),
+                _ => Some(branch[(index - 1) / MAXIMUM_CHILDREN].node),
             };
             if member.node == node {
                 position.parent = parent;
@@ -115,7 +118,7 @@
 #[derive(Clone, Debug)]
 struct Report {
     generation: GenerationNumber,
-    lineage: Vec<GenerationNumber>,
+    member_sets: Vec<GenerationNumber>,
 }
 
 /// Tracks the acknowledgements of the newest generation.
@@ -125,17 +128,17 @@
     settings: NodeSettings,
     generation: Option<Arc<Generation>>,
     position: TreePosition,
-    lineage: Lineage,
+    history: MemberHistory,
     reports: BTreeMap<NodeId, Report>,
     acknowledged: GenerationNumber,
     passed: GenerationNumber,
-    /// When the newest report that counts came in.
+    /// Time of the latest relevant acknowledgement or report.
     newest_report: Timestamp,
     next_action: Option<Timestamp>,
 }
 
 impl Barrier {
-    /// A node that knows no generation.
+    /// Returns the state of a node without a generation.
     #[must_use]
     pub fn new(node: NodeId, settings: NodeSettings) -> Self {
         Self {
@@ -143,7 +146,7 @@
             settings,
             generation: None,
             position: TreePosition::default(),
-            lineage: Lineage::default(),
+            history: MemberHistory::default(),
             reports: BTreeMap::new(),
             acknowledged: GenerationNumber(0),
             passed: GenerationNumber(0),
@@ -152,30 +155,35 @@
         }
     }
 
-    /// The newest generation whose barrier is known to have passed.
+    /// Returns the newest generation whose barrier is known to have passed.
     #[must_use]
     pub fn passed(&self) -> GenerationNumber {
         self.passed
     }
 
-    /// The newest generation that this node has acknowledged.
+    /// Returns the newest generation acknowledged by this node.
     #[must_use]
     pub fn acknowledged(&self) -> GenerationNumber {
         self.acknowledged
     }
 
-    /// Member sets of generations that may still be in force somewhere.
+    /// Returns the member sets of older generations that may still be in use.
     #[must_use]
     pub fn older_sets(&self) -> Vec<MemberSet> {
-        self.lineage.older_sets(self.number())
+        self.history.older_sets(self.number())
     }
 
-    /// A newer generation is known, and what the sender knew of those before.
-    pub fn learn(&mut self, now: Timestamp, generation: &Arc<Generation>, sets: &[MemberSet]) {
+    /// Sets a newer generation and merges `sets`, the older member sets known to its sender.
+    pub fn set_generation(
+        &mut self,
+        now: Timestamp,
+        generation: &Arc<Generation>,
+        sets: &[MemberSet],
+    ) {
         let number = generation.number;
-        self.lineage.merge(sets);
-        self.lineage.add(number, &generation.members);
-        self.lineage.trim(self.passed);
+        self.history.merge(sets);
+        self.history.add(number, &generation.members);
+        self.history.trim(self.passed);
         self.position = tree_position(&generation.members, self.node);
         self.reports.retain(|_, report| report.generation >= number);
         self.generation = Some(Arc::clone(generation));
@@ -183,31 +191,31 @@
         self.next_action = None;
     }
 
-    /// Adds member sets that were fetched from a peer.
-    pub fn merge_lineage(&mut self, now: Timestamp, sets: &[MemberSet]) {
-        self.lineage.merge(sets);
-        self.lineage.trim(self.passed);
+    /// Adds member sets fetched from a peer.
+    pub fn merge_member_sets(&mut self, now: Timestamp, sets: &[MemberSet]) {
+        self.history.merge(sets);
+        self.history.trim(self.passed);
         self.next_action = Some(now);
     }
 
-    /// This node acknowledges `generation`.
+    /// Records that this node acknowledges `generation`.
     pub fn acknowledge(&mut self, now: Timestamp, generation: GenerationNumber) {
         self.acknowledged = generation.max(self.acknowledged);
         self.newest_report = now;
         self.next_action = Some(now);
     }
 
-    /// `from` and all members below it have acknowledged `generation`, and know the member
-    /// sets that begin with the generations of `lineage`.
-    pub fn reported(
+    /// Records that `from` and all members of its subtree have acknowledged `generation`, and
+    /// know the member sets that start with the generations in `member_sets`.
+    pub fn record_report(
         &mut self,
         now: Timestamp,
         from: NodeId,
         generation: GenerationNumber,
-        lineage: Vec<GenerationNumber>,
+        member_sets: Vec<GenerationNumber>,
     ) {
-        let full = self.reports.len() >= MAXIMUM_REPORTS && !self.reports.contains_key(&from);
-        if generation < self.number() || full || lineage.len() > MAXIMUM_MEMBER_SETS {
+        let is_full = self.reports.len() >= MAXIMUM_REPORTS && !self.reports.contains_key(&from);
+        if generation < self.number() || is_full || member_sets.len() > MAXIMUM_MEMBER_SETS {
             return;
         }
         if self.has_reported(from) {
@@ -215,20 +223,20 @@
         }
         let report = Report {
             generation,
-            lineage,
+            member_sets,
         };
         self.reports.insert(from, report);
         self.newest_report = now;
         self.next_action = Some(now);
     }
 
-    /// A message's header says that the barrier of `passed` has passed.
-    pub fn learn_passed(&mut self, passed: GenerationNumber) -> Vec<BarrierEffect> {
+    /// Records that the barrier of `passed` has passed, and announces it if that is new.
+    pub fn record_passed(&mut self, passed: GenerationNumber) -> Vec<BarrierEffect> {
         if passed <= self.passed {
             return Vec::new();
         }
         self.passed = passed;
-        self.lineage.trim(passed);
+        self.history.trim(passed);
         if passed >= self.number() {
             self.next_action = None;
         }
@@ -238,11 +246,12 @@
             to: *child,
             message: BarrierMessage::Passed,
         }));
-        effects.push(BarrierEffect::SendToSome(BarrierMessage::Passed));
+        effects.push(BarrierEffect::SendToRandomPeers(BarrierMessage::Passed));
         effects
     }
 
-    /// Lets time pass. `is_live` tells which nodes are not known to be dead.
+    /// Reports, or passes the barrier at the root, if that is due. `is_live` returns whether a node
+    /// is not known to be dead.
     pub fn timeout(
         &mut self,
         now: Timestamp,
@@ -255,18 +264,18 @@
         if !self.is_complete() {
             return Vec::new();
         }
-        let again = now.after(self.settings.resend_interval);
-        self.next_action = Some(again);
-        if let Some(from) = self.knows_more() {
-            return vec![BarrierEffect::FetchLineage { from }];
+        let retry_at = now.after(self.settings.resend_interval);
+        self.next_action = Some(retry_at);
+        if let Some(from) = self.reporter_with_unknown_sets() {
+            return vec![BarrierEffect::FetchMemberSets { from }];
         }
         match self.position.parent {
-            Some(parent) => vec![self.report_to(parent)],
-            None => self.pass_as_root(now, is_live),
+            Some(parent) => vec![self.report_to_parent(parent)],
+            None => self.try_pass_as_root(now, is_live),
         }
     }
 
-    /// When [`Self::timeout`] has something to do.
+    /// Returns the time at which [`Self::timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.next_action
@@ -282,7 +291,7 @@
         report.is_some_and(|report| report.generation == self.number())
     }
 
-    /// What the barrier of the newest generation waits for.
+    /// Returns the condition that the barrier of the newest generation waits for.
     #[must_use]
     pub fn waits_for(&self) -> BarrierWait {
         let Some(generation) = &self.generation else {
@@ -292,7 +301,7 @@
             return BarrierWait::Nothing;
         }
         if self.acknowledged != generation.number {
-            return BarrierWait::Own;
+            return BarrierWait::OwnAcknowledgement;
         }
         let children = self.position.children.iter().copied();
         let missing: Vec<NodeId> = children
@@ -301,30 +310,30 @@
         if !missing.is_empty() {
             return BarrierWait::Reports(missing);
         }
-        if let Some(from) = self.knows_more() {
-            return BarrierWait::Lineage(from);
+        if let Some(from) = self.reporter_with_unknown_sets() {
+            return BarrierWait::MemberSets(from);
         }
         match self.position.parent {
             Some(parent) => BarrierWait::Parent(parent),
-            None => BarrierWait::FormerMembers(self.silent_nodes(generation)),
+            None => BarrierWait::FormerMembers(self.pending_former_nodes(generation)),
         }
     }
 
-    fn silent_nodes(&self, generation: &Generation) -> Vec<NodeId> {
-        let silent = self.silent(generation).into_iter();
-        let nodes: BTreeSet<NodeId> = silent.map(|departed| departed.node).collect();
+    fn pending_former_nodes(&self, generation: &Generation) -> Vec<NodeId> {
+        let pending = self.pending_former_members(generation).into_iter();
+        let nodes: BTreeSet<NodeId> = pending.map(|former| former.node).collect();
         nodes.into_iter().collect()
     }
 
-    /// Former members that have not acknowledged the newest generation.
-    fn silent(&self, generation: &Generation) -> Vec<DepartedMember> {
-        let mut silent = self.lineage.departed(&generation.members);
-        silent.retain(|departed| !self.has_reported(departed.node));
-        silent
+    /// Returns former members that have not acknowledged the newest generation.
+    fn pending_former_members(&self, generation: &Generation) -> Vec<FormerMember> {
+        let mut pending = self.history.former_members(&generation.members);
+        pending.retain(|former| !self.has_reported(former.node));
+        pending
     }
 
-    /// Whether this node and all members below it have acknowledged, and nobody knows yet
-    /// that the barrier has passed.
+    /// Returns whether this node and all members of its subtree have acknowledged, and the barrier
+    /// is not known to have passed.
     fn is_complete(&self) -> bool {
         let number = self.number();
         let pending = self.generation.is_some() && self.passed < number;
@@ -332,10 +341,10 @@
         pending && self.acknowledged == number && children.all(|child| self.has_reported(*child))
     }
 
-    fn report_to(&self, parent: NodeId) -> BarrierEffect {
+    fn report_to_parent(&self, parent: NodeId) -> BarrierEffect {
         let message = BarrierMessage::Acknowledged {
             generation: self.number(),
-            lineage: self.lineage.numbers(),
+            member_sets: self.history.set_starts(),
         };
         BarrierEffect::Send {
             to: parent,
@@ -343,23 +352,23 @@
         }
     }
 
-    /// A reporter that knows a member set which this node lacks and which still matters.
-    fn knows_more(&self) -> Option<NodeId> {
-        let known: BTreeSet<GenerationNumber> = self.lineage.numbers().into_iter().collect();
+    /// Returns a reporting node with a relevant member set that this node lacks.
+    fn reporter_with_unknown_sets(&self) -> Option<NodeId> {
+        let known: BTreeSet<GenerationNumber> = self.history.set_starts().into_iter().collect();
         let number = self.number();
         let reports = self.reports.iter();
-        let mut current = reports.filter(|(_, report)| report.generation == number);
-        let matters = |since: &&GenerationNumber| **since >= self.passed && **since < number;
-        let lacking = |report: &Report| {
-            let mut older = report.lineage.iter().filter(matters);
+        let mut current_reports = reports.filter(|(_, report)| report.generation == number);
+        let is_relevant = |since: &&GenerationNumber| **since >= self.passed && **since < number;
+        let has_unknown_set = |report: &Report| {
+            let mut older = report.member_sets.iter().filter(is_relevant);
             older.any(|since| !known.contains(since))
         };
-        current
-            .find(|(_, report)| lacking(report))
+        current_reports
+            .find(|(_, report)| has_unknown_set(report))
             .map(|(node, _)| *node)
     }
 
-    fn pass_as_root(
+    fn try_pass_as_root(
         &mut self,
         now: Timestamp,
         is_live: impl Fn(NodeId) -> bool,
@@ -367,36 +376,40 @@
         let Some(generation) = self.generation.clone() else {
             return Vec::new();
         };
-        if self.lineage.is_overflowed() {
+        if self.history.is_overflowed() {
             return Vec::new();
         }
-        let silent = self.silent(&generation);
-        if silent.is_empty() {
-            return self.learn_passed(generation.number);
+        let pending = self.pending_former_members(&generation);
+        if pending.is_empty() {
+            return self.record_passed(generation.number);
         }
-        let members: BTreeSet<NodeId> = generation.members.iter().map(|one| one.node).collect();
-        let all_fenced = silent
+        let members: BTreeSet<NodeId> = generation
+            .members
+            .iter()
+            .map(|member| member.node)
+            .collect();
+        let all_fenced = pending
             .iter()
-            .all(|departed| !is_live(departed.node) && self.cannot_renew(departed, &members));
+            .all(|former| !is_live(former.node) && self.cannot_renew(former, &members));
         if !all_fenced {
             return Vec::new();
         }
         let wait = self.settings.lease_time + self.settings.delay_horizon;
         let fenced_at = self.newest_report.after(wait);
         if now >= fenced_at {
-            return self.learn_passed(generation.number);
+            return self.record_passed(generation.number);
         }
         self.next_action = self.next_action.min(Some(fenced_at));
         Vec::new()
     }
 
-    /// Those of its quorum that have not acknowledged the generation that lacks the former
-    /// member are too few to renew its lease. All `members` have acknowledged.
-    fn cannot_renew(&self, departed: &DepartedMember, members: &BTreeSet<NodeId>) -> bool {
-        let may_grant = departed
+    /// Returns whether a former member can no longer renew its lease: too few of its quorum have
+    /// not yet acknowledged the generation that lacks it. All `members` have acknowledged.
+    fn cannot_renew(&self, former: &FormerMember, members: &BTreeSet<NodeId>) -> bool {
+        let may_grant = former
             .quorum
             .iter()
             .filter(|node| !members.contains(node) && !self.has_reported(**node));
-        may_grant.count() < majority(departed.quorum.len())
+        may_grant.count() < majority(former.quorum.len())
     }
 }
--- a/crates/bellyoke-core/src/node/budget.rs
+++ b/crates/bellyoke-core/src/node/budget.rs
@@ -1,8 +1,9 @@
-//! Keeps what a node sends for control within a number of bytes a second.
+//! Limits the control traffic of a node to a number of bytes per second.
 //!
-//! A token bucket with priorities. Leases and probes, whose cost is constant, go first; of the
-//! rest, the less urgent gets a fixed share, so that it is never starved. What doesn't fit waits; only when a queue is full
-//! is its oldest message given up, and counted: every sender of such messages sends again.
+//! The limit is a token bucket with priorities. Leases and probes have a constant cost and are
+//! sent first. Among the remaining priorities, bulk messages get a fixed share, which prevents
+//! their starvation. Messages that exceed the budget are queued. When a queue is full, its oldest
+//! message is dropped and counted; its sender will send it again.
 
 use crate::identity::NodeId;
 use crate::node::message::{MessageBody, datagram_overhead};
@@ -11,22 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Messages that may wait in each priority.
-const QUEUE_LENGTH: usize = 256;
+/// Maximum number of queued messages of each priority.
+const MAXIMUM_QUEUED_MESSAGES: usize = 256;
 
-/// After this many messages of agreement, one of bulk may go.
-const AGREEMENT_BURST: u32 = 3;
+/// Messages of the priorities from [`Priority::Agreement`] on that are sent for each bulk message
+/// while bulk messages are queued.
+const AGREEMENT_MESSAGES_PER_BULK: u32 = 3;
 
-const MICROSECONDS: u64 = 1_000_000;
+const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-/// What is sent first.
+/// Priority of a message, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Renewals of leases and their answers.
+    /// Lease renewals and grants.
     Lease,
-    /// Probes of members.
+    /// Probes of members and their answers.
     Probe,
-    /// Acknowledgements, barriers and contents of generations.
+    /// Acknowledgements, barriers and transfers of generations.
     Agreement,
     /// Claims, pins and handover lists.
     Ownership,
@@ -34,31 +36,31 @@
     Bulk,
 }
 
-const PRIORITIES: usize = 5;
+const PRIORITY_COUNT: usize = 5;
 
-/// A message that is to be sent.
+/// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmission {
-    /// The receiver, if its identity is known.
+    /// The receiver, if its node ID is known.
     pub to: Option<NodeId>,
-    /// Its peer socket.
+    /// Address of its peer socket.
     pub address: SocketAddr,
-    /// How urgent it is.
+    /// Priority of the message.
     pub priority: Priority,
-    /// What to say.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a budget has counted since the process started.
+/// Counters of a budget since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetCounters {
     /// Bytes sent, headers included.
     pub sent_bytes: u64,
     /// Messages sent.
     pub sent_messages: u64,
-    /// Messages that had to wait.
+    /// Messages that were queued because of the budget.
     pub deferred: u64,
-    /// Messages given up because too many waited.
+    /// Messages dropped because a queue was full.
     pub overflowed: u64,
 }
 
@@ -69,22 +71,23 @@
     deferred: bool,
 }
 
-/// The token bucket and the messages that wait for it.
+/// Token bucket and queues of messages.
+///
+/// Tokens are counted in millionths of a byte, which makes refilling exact in microseconds.
 #[derive(Debug)]
 pub struct Budget {
     rate: u64,
     capacity: u64,
     tokens: u64,
-    refilled: Timestamp,
-    queues: [VecDeque<Queued>; PRIORITIES],
-    agreement_run: u32,
+    refilled_at: Timestamp,
+    queues: [VecDeque<Queued>; PRIORITY_COUNT],
+    messages_since_bulk: u32,
     counters: BudgetCounters,
 }
 
 impl Budget {
-    /// A budget of `rate` bytes a second. What isn't used is saved for up to `burst`, so
-    /// that a change of the configuration, which costs much at once and comes seldom, need
-    /// not wait.
+    /// Returns a budget of `rate` bytes per second. Unused budget is saved for up to `burst`,
+    /// since configuration changes are rare but need many messages at once.
     #[must_use]
     pub fn new(rate: u32, burst: Duration) -> Self {
         let rate = u64::from(rate);
@@ -94,21 +97,21 @@
             rate,
             capacity,
             tokens: capacity,
-            refilled: Timestamp::ZERO,
+            refilled_at: Timestamp::ZERO,
             queues: Default::default(),
-            agreement_run: 0,
+            messages_since_bulk: 0,
             counters: BudgetCounters::default(),
         }
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the process started.
     #[must_use]
     pub fn counters(&self) -> BudgetCounters {
         self.counters
     }
 
-    /// Lets `transmission`, whose message has `length` bytes, wait for its turn. An equal
-    /// one that waits already is enough.
+    /// Queues `transmission`, whose encoded message has `length` bytes, unless an equal one is
+    /// queued already.
     pub fn push(&mut self, transmission: Transmission, length: usize) {
         let queue = &mut self.queues[transmission.priority as usize];
         if queue
@@ -117,7 +120,7 @@
         {
             return;
         }
-        if queue.len() >= QUEUE_LENGTH {
+        if queue.len() >= MAXIMUM_QUEUED_MESSAGES {
             queue.pop_front();
             self.counters.overflowed += 1;
         }
@@ -129,7 +132,7 @@
         });
     }
 
-    /// Takes what may be sent now.
+    /// Removes and returns the messages that may be sent now.
     pub fn drain(&mut self, now: Timestamp) -> Vec<Transmission> {
         self.refill(now);
         let mut ready = Vec::new();
@@ -140,28 +143,29 @@
         ready
     }
 
-    /// When the next waiting message can be sent.
+    /// Returns the time at which the next queued message can be sent.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let head = self.queues[self.next_queue()?].front()?;
-        let missing = (head.cost * MICROSECONDS).saturating_sub(self.tokens);
+        let missing = (head.cost * MICROSECONDS_PER_SECOND).saturating_sub(self.tokens);
         let wait = missing.div_ceil(self.rate);
-        Some(self.refilled.after(Duration::from_micros(wait)))
+        Some(self.refilled_at.after(Duration::from_micros(wait)))
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let elapsed = now.since(self.refilled).as_micros();
+        let elapsed = now.since(self.refilled_at).as_micros();
         let elapsed = u64::try_from(elapsed).unwrap_or(u64::MAX);
         let earned = elapsed.saturating_mul(self.rate);
         self.tokens = self.tokens.saturating_add(earned).min(self.capacity);
-        self.refilled = self.refilled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// The queue whose head is to be sent next.
+    /// Returns the index of the queue to send from next.
     fn next_queue(&self) -> Option<usize> {
         let (agreement, bulk) = (Priority::Agreement as usize, Priority::Bulk as usize);
         let first = self.queues.iter().position(|queue| !queue.is_empty())?;
-        let bulk_is_due = self.agreement_run >= AGREEMENT_BURST && !self.queues[bulk].is_empty();
+        let bulk_is_due = self.messages_since_bulk >= AGREEMENT_MESSAGES_PER_BULK
+            && !self.queues[bulk].is_empty();
         Some(if first >= agreement && bulk_is_due {
             bulk
         } else {
@@ -172,13 +176,13 @@
     fn pop_affordable(&mut self) -> Option<Queued> {
         let index = self.next_queue()?;
         let cost = self.queues[index].front()?.cost;
-        self.tokens = self.tokens.checked_sub(cost * MICROSECONDS)?;
+        self.tokens = self.tokens.checked_sub(cost * MICROSECONDS_PER_SECOND)?;
         self.counters.sent_bytes += cost;
         self.counters.sent_messages += 1;
         if index == Priority::Bulk as usize {
-            self.agreement_run = 0;
+            self.messages_since_bulk = 0;
         } else if index >= Priority::Agreement as usize {
-            self.agreement_run += 1;
+            self.messages_since_bulk += 1;
         }
         self.queues[index].pop_front()
     }
--- a/crates/bellyoke-core/src/node/dissemination/fetch.rs
+++ b/crates/bellyoke-core/src/node/dissemination/fetch.rs
@@ -1,31 +1,31 @@
-//! A transfer that this node is receiving.
+//! Receiving side of a transfer.
 
 use crate::identity::{GenerationNumber, NodeId};
-use crate::node::dissemination::message::{CHUNK_LENGTH, Chunk, DisseminationMessage};
-use crate::node::dissemination::transfer::MAXIMUM_TRANSFER_LENGTH;
+use crate::node::dissemination::message::{Chunk, DisseminationMessage, MAXIMUM_CHUNK_BYTES};
+use crate::node::dissemination::transfer::MAXIMUM_TRANSFER_BYTES;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Chunks that are asked for at once.
-const WINDOW: u32 = 4;
+/// Number of chunks per request.
+const WINDOW_CHUNKS: u32 = 4;
 
-/// Requests that may stay without effect before the peer is given up.
-pub const MAXIMUM_ATTEMPTS: u32 = 3;
+/// Number of consecutive requests without a useful chunk after which the peer is abandoned.
+pub const MAXIMUM_FETCH_ATTEMPTS: u32 = 3;
 
-/// What a chunk has brought about.
+/// Result of receiving a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Progress {
-    /// The chunk is of no use.
-    None,
-    /// More chunks of the window are to come.
+pub enum FetchProgress {
+    /// The chunk is not useful and was ignored.
+    Ignored,
+    /// Further chunks of the window are outstanding.
     Waiting,
-    /// All chunks of the window are there: ask for the next.
+    /// The window is complete, and the next one is to be requested.
     NextWindow,
-    /// All chunks are there.
+    /// The transfer is complete.
     Complete {
         /// The generation.
         generation: GenerationNumber,
-        /// The digest that the sender named.
+        /// The digest given by the sender.
         digest: u128,
         /// The encoded transfer.
         bytes: Vec<u8>,
@@ -37,11 +37,11 @@
 pub struct Fetch {
     /// The peer.
     pub from: NodeId,
-    /// The generation wanted.
+    /// The requested generation.
     pub generation: GenerationNumber,
-    /// When to ask again.
+    /// Time at which the request is repeated.
     pub deadline: Timestamp,
-    /// Requests since the last useful chunk.
+    /// Number of requests since the last useful chunk.
     pub attempts: u32,
     identity: Option<(u128, u32)>,
     chunks: BTreeMap<u32, Vec<u8>>,
@@ -49,7 +49,7 @@
 }
 
 impl Fetch {
-    /// A transfer of `generation` from the peer `from`.
+    /// Returns an empty transfer of `generation` from the peer `from`.
     #[must_use]
     pub fn new(from: NodeId, generation: GenerationNumber) -> Self {
         Self {
@@ -63,16 +63,17 @@
         }
     }
 
-    /// Whether a request has stayed without effect, so that another peer may do better.
+    /// Returns whether a request was repeated without receiving a useful chunk, in which case
+    /// another peer may replace this one.
     #[must_use]
     pub fn is_stalled(&self) -> bool {
         self.attempts > 1
     }
 
-    /// The request for the next chunks that are missing.
-    pub fn request(&mut self, holds: GenerationNumber) -> DisseminationMessage {
+    /// Returns the request for the next missing chunks.
+    pub fn request(&mut self, newest_known: GenerationNumber) -> DisseminationMessage {
         let first = self.first_missing();
-        let mut end = first + WINDOW;
+        let mut end = first + WINDOW_CHUNKS;
         if let Some((_, total)) = self.identity {
             end = end.min(total);
         }
@@ -80,32 +81,32 @@
         self.attempts += 1;
         DisseminationMessage::Fetch {
             generation: self.generation,
-            holds,
+            newest_known,
             first,
             count: end - first,
         }
     }
 
-    /// Takes in a chunk.
-    pub fn receive(&mut self, chunk: Chunk) -> Progress {
+    /// Stores a chunk.
+    pub fn receive(&mut self, chunk: Chunk) -> FetchProgress {
         if !is_plausible(&chunk) || chunk.generation < self.generation {
-            return Progress::None;
+            return FetchProgress::Ignored;
         }
         let identity = (chunk.digest, chunk.total);
         if chunk.generation > self.generation || self.identity != Some(identity) {
             self.restart(chunk.generation, identity);
         }
         if self.chunks.insert(chunk.index, chunk.bytes).is_some() {
-            return Progress::None;
+            return FetchProgress::Ignored;
         }
         self.attempts = 0;
         if self.chunks.len() == chunk.total as usize {
             return self.complete(chunk.digest);
         }
         if self.first_missing() >= self.window_end.min(chunk.total) {
-            return Progress::NextWindow;
+            return FetchProgress::NextWindow;
         }
-        Progress::Waiting
+        FetchProgress::Waiting
     }
 
     fn restart(&mut self, generation: GenerationNumber, identity: (u128, u32)) {
@@ -114,9 +115,9 @@
         self.chunks.clear();
     }
 
-    fn complete(&mut self, digest: u128) -> Progress {
+    fn complete(&mut self, digest: u128) -> FetchProgress {
         let chunks = std::mem::take(&mut self.chunks);
-        Progress::Complete {
+        FetchProgress::Complete {
             generation: self.generation,
             digest,
             bytes: chunks.into_values().flatten().collect(),
@@ -134,7 +135,9 @@
 }
 
 fn is_plausible(chunk: &Chunk) -> bool {
-    let longest = (MAXIMUM_TRANSFER_LENGTH / CHUNK_LENGTH) as u32;
+    let maximum_chunks = (MAXIMUM_TRANSFER_BYTES / MAXIMUM_CHUNK_BYTES) as u32;
     let length = chunk.bytes.len();
-    chunk.total <= longest && chunk.index < chunk.total && (1..=CHUNK_LENGTH).contains(&length)
+    chunk.total <= maximum_chunks
+        && chunk.index < chunk.total
+        && (1..=MAXIMUM_CHUNK_BYTES).contains(&length)
 }
--- a/crates/bellyoke-core/src/node/lease.rs
+++ b/crates/bellyoke-core/src/node/lease.rs
@@ -1,4 +1,4 @@
-//! The lease by which a node may open flows (section 5 of the protocol).
+//! The lease that permits a node to open flows (section 5 of the protocol).
 
 use crate::generation::Generation;
 use crate::identity::{GenerationNumber, NodeId};
@@ -8,47 +8,47 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Messages about leases. Times are microseconds of the holder's own clock.
+/// Messages of the lease protocol. Times are microseconds on the holder's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks for a renewal.
+    /// Requests a renewal.
     Renewal {
-        /// When the holder sent it.
+        /// Time at which the holder sent the request.
         sent: u64,
     },
-    /// Grants it. The generation that the message carries is the granter's.
+    /// Grants a renewal. The generation in the message header is the granter's.
     Grant {
-        /// When the holder had sent the renewal.
+        /// Time at which the holder sent the request.
         sent: u64,
     },
 }
 
-/// The lease that this node holds.
+/// The lease of this node.
 #[derive(Debug)]
 pub struct Lease {
     node: NodeId,
     settings: NodeSettings,
     generation: GenerationNumber,
     quorum: Vec<NodeId>,
-    granted: BTreeMap<NodeId, Timestamp>,
-    until: Timestamp,
-    valid: bool,
-    next_renewal: Timestamp,
+    grants: BTreeMap<NodeId, Timestamp>,
+    valid_until: Timestamp,
+    was_valid: bool,
+    next_renewal_at: Timestamp,
 }
 
-/// What became of the lease.
+/// A change of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// It runs until another time now.
-    Until(Timestamp),
-    /// It has run out.
+    /// The time until which the lease is valid has changed.
+    ValidUntil(Timestamp),
+    /// The lease has expired.
     Expired,
-    /// It holds again after it had run out.
+    /// The lease is valid again after it had expired.
     Renewed,
 }
 
 impl Lease {
-    /// A node without a lease.
+    /// Returns the state of a node without a lease.
     #[must_use]
     pub fn new(node: NodeId, settings: NodeSettings) -> Self {
         Self {
@@ -56,111 +56,111 @@
             settings,
             generation: GenerationNumber(0),
             quorum: Vec::new(),
-            granted: BTreeMap::new(),
-            until: Timestamp::ZERO,
-            valid: false,
-            next_renewal: Timestamp::ZERO,
+            grants: BTreeMap::new(),
+            valid_until: Timestamp::ZERO,
+            was_valid: false,
+            next_renewal_at: Timestamp::ZERO,
         }
     }
 
-    /// Whether the lease holds at `now`.
+    /// Returns whether the lease is valid at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Timestamp) -> bool {
-        now < self.until
+        now < self.valid_until
     }
 
-    /// When the lease ends, if nothing renews it.
+    /// Returns the time at which the lease expires unless it is renewed.
     #[must_use]
-    pub fn until(&self) -> Timestamp {
-        self.until
+    pub fn valid_until(&self) -> Timestamp {
+        self.valid_until
     }
 
-    /// The traffic threads forward by `generation`: its members grant from now on. A node
-    /// that is no member loses the lease at once.
-    pub fn adopt(&mut self, now: Timestamp, generation: &Generation) -> Vec<LeaseChange> {
+    /// Records that the traffic threads use `generation`, whose members grant the lease from now
+    /// on. A node that is not a member loses its lease immediately.
+    pub fn set_generation(&mut self, now: Timestamp, generation: &Generation) -> Vec<LeaseChange> {
         self.generation = generation.number;
-        self.granted.clear();
-        self.next_renewal = now;
+        self.grants.clear();
+        self.next_renewal_at = now;
         let members = &generation.members;
         if members.iter().any(|member| member.node == self.node) {
-            let zoned = members.iter().map(|member| (&member.zone, member.node));
-            self.quorum = lease_quorum(zoned, self.node);
+            let members_by_zone = members.iter().map(|member| (&member.zone, member.node));
+            self.quorum = lease_quorum(members_by_zone, self.node);
             return Vec::new();
         }
         self.quorum.clear();
-        self.until = self.until.min(now);
-        let mut changes = vec![LeaseChange::Until(self.until)];
+        self.valid_until = self.valid_until.min(now);
+        let mut changes = vec![LeaseChange::ValidUntil(self.valid_until)];
         changes.extend(self.expire(now));
         changes
     }
 
-    /// Members to send a renewal to, if one is due.
+    /// Returns the members to send a renewal request to, if one is due.
     pub fn due_renewals(&mut self, now: Timestamp) -> Vec<NodeId> {
-        if self.quorum.is_empty() || now < self.next_renewal {
+        if self.quorum.is_empty() || now < self.next_renewal_at {
             return Vec::new();
         }
-        self.next_renewal = now.after(self.settings.lease_renewal);
+        self.next_renewal_at = now.after(self.settings.lease_renewal);
         let others = self.quorum.iter().filter(|node| **node != self.node);
         others.copied().collect()
     }
 
-    /// A member that holds `generation` has granted the renewal that was sent at `sent`.
+    /// Records that a member at `generation` has granted the renewal sent at `sent`.
     ///
-    /// A grant that names a newer generation than the traffic threads forward by does not
-    /// count: the granter may have acknowledged the removal of this node.
-    pub fn granted(
+    /// A grant with a newer generation than the one used by the traffic threads is ignored, as
+    /// the granter may have acknowledged the removal of this node.
+    pub fn record_grant(
         &mut self,
         now: Timestamp,
-        by: NodeId,
+        granter: NodeId,
         generation: GenerationNumber,
         sent: Timestamp,
     ) -> Vec<LeaseChange> {
-        let from_future = sent > now;
-        if generation > self.generation || from_future || !self.quorum.contains(&by) {
+        let is_in_future = sent > now;
+        if generation > self.generation || is_in_future || !self.quorum.contains(&granter) {
             return Vec::new();
         }
-        let newest = self.granted.entry(by).or_insert(sent);
+        let newest = self.grants.entry(granter).or_insert(sent);
         *newest = sent.max(*newest);
         self.extend(now)
     }
 
-    /// Lets time pass.
+    /// Extends or expires the lease, depending on `now`.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<LeaseChange> {
         let mut changes = self.extend(now);
         changes.extend(self.expire(now));
         changes
     }
 
-    /// When [`Self::timeout`] or [`Self::due_renewals`] has something to do.
+    /// Returns the time at which [`Self::timeout`] or [`Self::due_renewals`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let renewal = (!self.quorum.is_empty()).then_some(self.next_renewal);
-        let expiry = self.valid.then_some(self.until);
+        let renewal = (!self.quorum.is_empty()).then_some(self.next_renewal_at);
+        let expiry = self.was_valid.then_some(self.valid_until);
         renewal.into_iter().chain(expiry).min()
     }
 
     fn extend(&mut self, now: Timestamp) -> Vec<LeaseChange> {
-        let Some(renewed) = self.renewed_by_majority(now) else {
+        let Some(sent) = self.majority_renewal_time(now) else {
             return Vec::new();
         };
         let span = self.settings.lease_time - self.settings.lease_margin;
-        let until = renewed.after(span);
-        if until <= self.until || until <= now {
+        let until = sent.after(span);
+        if until <= self.valid_until || until <= now {
             return Vec::new();
         }
-        self.until = until;
-        let mut changes = vec![LeaseChange::Until(until)];
-        if !self.valid {
-            self.valid = true;
+        self.valid_until = until;
+        let mut changes = vec![LeaseChange::ValidUntil(until)];
+        if !self.was_valid {
+            self.was_valid = true;
             changes.push(LeaseChange::Renewed);
         }
         changes
     }
 
-    /// Send time of the newest renewal that a majority has granted. The node grants its own
-    /// at any time.
-    fn renewed_by_majority(&self, now: Timestamp) -> Option<Timestamp> {
-        let mut times: Vec<Timestamp> = self.granted.values().copied().collect();
+    /// Returns the send time of the newest renewal granted by a majority. The node itself always
+    /// counts as granting.
+    fn majority_renewal_time(&self, now: Timestamp) -> Option<Timestamp> {
+        let mut times: Vec<Timestamp> = self.grants.values().copied().collect();
         if self.quorum.contains(&self.node) {
             times.push(now);
         }
@@ -173,10 +173,10 @@
     }
 
     fn expire(&mut self, now: Timestamp) -> Option<LeaseChange> {
-        if !self.valid || self.is_valid(now) {
+        if !self.was_valid || self.is_valid(now) {
             return None;
         }
-        self.valid = false;
+        self.was_valid = false;
         Some(LeaseChange::Expired)
     }
 }
--- a/crates/bellyoke-core/src/node/lineage.rs
+++ b/crates/bellyoke-core/src/node/member_history.rs
@@ -1,7 +1,7 @@
 //! Members of the generations whose barrier has not passed.
 //!
-//! Whoever was a member of one of them may still open flows by it, until it has acknowledged
-//! a newer one or its lease has run out for certain.
+//! A member of such a generation may still open flows with it, until the member has acknowledged
+//! a newer generation or its lease must have expired.
 
 use crate::generation::{Member, Zone};
 use crate::identity::{GenerationNumber, NodeId};
@@ -9,64 +9,65 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Member sets that a node keeps. Whoever needs more lets no barrier pass.
+/// Maximum number of member sets that a node keeps. Beyond it, the node passes no barrier, since
+/// former members may be missing from its record.
 pub const MAXIMUM_MEMBER_SETS: usize = 64;
 
-/// Numbers of generations that a node remembers to have held.
-const MAXIMUM_HELD: usize = 4096;
+/// Maximum number of generation numbers recorded as seen.
+const MAXIMUM_SEEN_GENERATIONS: usize = 4096;
 
 /// The members of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ZoneMembers {
     /// The zone.
     pub zone: Zone,
-    /// Its members.
+    /// The members in the zone.
     pub nodes: Vec<NodeId>,
 }
 
 /// The members of a range of generations.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberSet {
-    /// The first generation that has just these members.
+    /// The first generation with exactly these members.
     pub since: GenerationNumber,
-    /// The members, by zone.
+    /// The members, grouped by zone.
     pub zones: Vec<ZoneMembers>,
 }
 
-/// A member of an older generation that is none of the current one.
+/// A member of an older generation that is not a member of the current one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DepartedMember {
+pub struct FormerMember {
     /// The former member.
     pub node: NodeId,
-    /// Members that grant its lease, as long as it forwards by the older generation.
+    /// Members that grant its lease while it uses the older generation.
     pub quorum: Vec<NodeId>,
 }
 
-/// Member sets by the generation in which they began.
+/// Member sets, keyed by the first generation of each.
 #[derive(Clone, Debug, Default)]
-pub struct Lineage {
+pub struct MemberHistory {
     sets: BTreeMap<GenerationNumber, Vec<ZoneMembers>>,
-    /// Generations that this node itself has held.
-    held: BTreeSet<GenerationNumber>,
+    /// Generations received by this node itself, as opposed to their member sets alone.
+    seen: BTreeSet<GenerationNumber>,
     overflowed: bool,
 }
 
-impl Lineage {
-    /// Adds the members of a generation. Nothing is added if they are those of the set before.
+impl MemberHistory {
+    /// Adds the members of a generation, unless they equal the preceding set.
     pub fn add(&mut self, generation: GenerationNumber, members: &[Member]) {
-        self.held.insert(generation);
-        if self.held.len() > MAXIMUM_HELD {
-            self.held.pop_first();
+        self.seen.insert(generation);
+        if self.seen.len() > MAXIMUM_SEEN_GENERATIONS {
+            self.seen.pop_first();
         }
-        let zones = by_zone(members);
-        let before = self.sets.range(..=generation).next_back();
-        if before.is_some_and(|(_, known)| *known == zones) {
+        let zones = group_by_zone(members);
+        let preceding = self.sets.range(..=generation).next_back();
+        if preceding.is_some_and(|(_, known)| *known == zones) {
             return;
         }
         self.insert(generation, &zones);
     }
 
-    /// Adds what a peer knows, which may have seen other generations than this node.
+    /// Adds the member sets known to a peer, which may have received other generations.
     pub fn merge(&mut self, sets: &[MemberSet]) {
         for set in sets {
             self.insert(set.since, &set.zones);
@@ -84,37 +85,38 @@
         self.sets.insert(generation, zones.to_vec());
     }
 
-    /// The barrier of `passed` has passed: nobody forwards by an older generation.
+    /// Removes older sets after the barrier of `passed` has passed, since no node uses an older
+    /// generation any more.
     ///
-    /// The members of `passed` itself are filed under its number, if they are known for
-    /// certain, so that all nodes name them alike.
+    /// If this node has received generation `passed`, its member set is rekeyed to that number,
+    /// so all nodes use the same key for it.
     pub fn trim(&mut self, passed: GenerationNumber) {
-        let Some((first, zones)) = self.sets.range(..=passed).next_back() else {
+        let Some((start, zones)) = self.sets.range(..=passed).next_back() else {
             return;
         };
-        let (first, zones) = (*first, zones.clone());
-        self.sets = self.sets.split_off(&first);
-        if first < passed && self.held.contains(&passed) {
-            self.sets.remove(&first);
+        let (start, zones) = (*start, zones.clone());
+        self.sets = self.sets.split_off(&start);
+        if start < passed && self.seen.contains(&passed) {
+            self.sets.remove(&start);
             self.sets.insert(passed, zones);
         }
-        self.held = self.held.split_off(&passed);
+        self.seen = self.seen.split_off(&passed);
         self.overflowed &= self.sets.len() >= MAXIMUM_MEMBER_SETS;
     }
 
-    /// Whether it is known to lack a set.
+    /// Returns whether a set may be missing because the limit was reached.
     #[must_use]
     pub fn is_overflowed(&self) -> bool {
         self.overflowed
     }
 
-    /// The generations in which sets begin.
+    /// Returns the first generation of each set.
     #[must_use]
-    pub fn numbers(&self) -> Vec<GenerationNumber> {
+    pub fn set_starts(&self) -> Vec<GenerationNumber> {
         self.sets.keys().copied().collect()
     }
 
-    /// All sets but that of the newest generation, for a peer that holds the generation.
+    /// Returns all sets but that of the newest generation, for a peer that has the generation.
     #[must_use]
     pub fn older_sets(&self, newest: GenerationNumber) -> Vec<MemberSet> {
         let older = self.sets.range(..newest);
@@ -126,22 +128,22 @@
             .collect()
     }
 
-    /// Former members that are not among `members`, once for each set that lists them.
+    /// Returns former members that are not in `members`, once for each set that lists them.
     #[must_use]
-    pub fn departed(&self, members: &[Member]) -> Vec<DepartedMember> {
+    pub fn former_members(&self, members: &[Member]) -> Vec<FormerMember> {
         let current: BTreeSet<NodeId> = members.iter().map(|member| member.node).collect();
-        let mut departed = Vec::new();
+        let mut former_members = Vec::new();
         for zones in self.sets.values() {
             let all = || zones.iter().flat_map(zone_nodes);
             let former = all()
                 .map(|(_, node)| node)
                 .filter(|node| !current.contains(node));
-            departed.extend(former.map(|node| DepartedMember {
+            former_members.extend(former.map(|node| FormerMember {
                 node,
                 quorum: lease_quorum(all(), node),
             }));
         }
-        departed
+        former_members
     }
 }
 
@@ -149,7 +151,7 @@
     zone.nodes.iter().map(|node| (&zone.zone, *node))
 }
 
-fn by_zone(members: &[Member]) -> Vec<ZoneMembers> {
+fn group_by_zone(members: &[Member]) -> Vec<ZoneMembers> {
     let mut zones: BTreeMap<&Zone, Vec<NodeId>> = BTreeMap::new();
     for member in members {
         zones.entry(&member.zone).or_default().push(member.node);
--- a/crates/bellyoke-core/src/node/node/outgoing.rs
+++ b/crates/bellyoke-core/src/node/node/outgoing.rs
@@ -1,4 +1,4 @@
-//! How messages leave a node: by priority, within the control budget.
+//! Sending of messages, by priority and within the control budget.
 
 use super::Node;
 use crate::identity::NodeId;
@@ -9,7 +9,8 @@
 use crate::time::Timestamp;
 
 impl Node {
-    /// Relayed packets are traffic, not control: they don't count against the budget.
+    /// Sends a message of the ownership protocol. Relayed packets are traffic and don't count
+    /// against the control budget.
     pub(super) fn send_ownership(&mut self, to: NodeId, message: OwnershipMessage) {
         let is_traffic = matches!(message, OwnershipMessage::Relay(_));
         let body = MessageBody::Ownership(Box::new(message));
@@ -27,7 +28,7 @@
         }
     }
 
-    pub(super) fn send_to_some(&mut self, body: MessageBody) {
+    pub(super) fn send_to_random_peers(&mut self, body: MessageBody) {
         for peer in self.membership.random_peers(self.settings.fan_out) {
             self.send(peer, Priority::Agreement, body.clone());
         }
@@ -73,19 +74,19 @@
                 message,
             });
         }
-        self.tell_exhaustion(now);
+        self.report_exhaustion(now);
     }
 
-    /// Tells at most once a probe period that messages had to wait.
-    fn tell_exhaustion(&mut self, now: Timestamp) {
-        let waits = self.budget.next_timeout().is_some();
-        let silent_until = self
-            .exhaustion_told
-            .map(|told| told.after(self.settings.probe_period));
-        if !waits || silent_until.is_some_and(|until| now < until) {
+    /// Reports queued messages, at most once per probe period.
+    fn report_exhaustion(&mut self, now: Timestamp) {
+        let has_queued_messages = self.budget.next_timeout().is_some();
+        let suppressed_until = self
+            .exhaustion_reported_at
+            .map(|reported_at| reported_at.after(self.settings.probe_period));
+        if !has_queued_messages || suppressed_until.is_some_and(|until| now < until) {
             return;
         }
-        self.exhaustion_told = Some(now);
+        self.exhaustion_reported_at = Some(now);
         self.outputs.push(Output::Event(NodeEvent::BudgetExhausted));
     }
 }
--- a/crates/bellyoke-core/src/node/publisher.rs
+++ b/crates/bellyoke-core/src/node/publisher.rs
@@ -1,11 +1,10 @@
-//! Writing the next generation to the store: when, by whom, and what an answer means.
+//! Publication of the next generation in the store.
 //!
-//! Any reader of the store may publish. All of them see the same change at about the same
-//! time, so each waits for a short time by chance; the first writes, the others then find
-//! that nothing is left to change. Two that write at once are told apart by the store, which
-//! takes a generation only if it follows the one before. A lost answer is never guessed at: the
-//! newest generation is read back, and one with another digest under the same number means that
-//! this write was not taken.
+//! Every reader of the store may publish. All readers observe a change at about the same time, so
+//! each waits for a short random delay. The first one writes, and the others then find nothing
+//! left to change. The store resolves concurrent writes, since it accepts a generation only if it
+//! follows the current one. If an answer is lost, the newest generation is read back; a generation
+//! with the same number but another digest means that this write was not accepted.
 
 use crate::flow::SettledBucket;
 use crate::generation::{
@@ -23,68 +22,69 @@
 /// Settings of a publisher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublisherSettings {
-    /// What is fixed for the cluster.
+    /// Fixed parameters of the cluster.
     pub parameters: ClusterParameters,
-    /// Longest wait by chance before a write.
-    pub spread: Duration,
-    /// Wait after a write of unknown outcome, doubled each time.
-    pub first_retry: Duration,
-    /// Longest such wait.
-    pub last_retry: Duration,
+    /// Maximum random delay before a write.
+    pub maximum_write_delay: Duration,
+    /// Delay after a write with an unknown outcome. It doubles each time.
+    pub initial_backoff: Duration,
+    /// Maximum delay after a write with an unknown outcome.
+    pub maximum_backoff: Duration,
 }
 
 impl PublisherSettings {
-    /// Settings that fit a store which answers within milliseconds.
+    /// Returns settings for a store that answers within milliseconds.
     #[must_use]
     pub const fn new(parameters: ClusterParameters) -> Self {
         Self {
             parameters,
-            spread: Duration::from_millis(100),
-            first_retry: Duration::from_millis(200),
-            last_retry: Duration::from_secs(10),
+            maximum_write_delay: Duration::from_millis(100),
+            initial_backoff: Duration::from_millis(200),
+            maximum_backoff: Duration::from_secs(10),
         }
     }
 }
 
-/// What a publisher is told.
+/// Input of a publisher.
 #[derive(Clone, Debug)]
 pub enum PublisherInput {
-    /// The operators' objects, as the store holds them now.
+    /// The operators' objects currently in the store.
     Objects(DesiredState),
-    /// A generation that the store holds; one no newer than the newest known is ignored.
+    /// A generation in the store. It is ignored unless it is newer than the newest known one.
     Stored(Arc<Generation>),
-    /// The node wants a change.
+    /// The node proposes a change.
     Proposed(Proposal),
-    /// The write in flight was answered.
+    /// The outcome of the write in flight.
     Answered(WriteOutcome),
-    /// The time that the publisher asked for has come.
+    /// The time returned by [`Publisher::next_timeout`] has been reached.
     Timeout,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The store holds the generation.
+    /// The store contains the generation.
     Accepted,
-    /// The store holds this one instead.
+    /// The store contains this generation instead.
     Conflict(Arc<Generation>),
-    /// No answer, or one that leaves open whether the write took effect.
+    /// There is no answer, or the answer doesn't show whether the write took effect.
     Unknown,
 }
 
-/// What a publisher wants done.
+/// Output of a publisher.
 #[derive(Clone, Debug)]
 pub enum PublisherOutput {
-    /// Write this generation on condition that the store holds the one before; answer with
-    /// [`PublisherInput::Answered`].
+    /// Writes this generation on condition that the store contains the preceding one. The caller
+    /// answers with [`PublisherInput::Answered`].
     Write(Arc<Generation>),
-    /// Read the newest generation in the store; answer with [`PublisherInput::Stored`].
+    /// Reads the newest generation in the store. The caller answers with
+    /// [`PublisherInput::Stored`].
     ReadBack,
-    /// The store holds this generation: hand it to the node.
+    /// The store contains this generation, to be passed to the node.
     Published(Arc<Generation>),
-    /// Objects that are not served as they were written.
+    /// Objects that cannot be served as written.
     Problems(Vec<Problem>),
-    /// Nothing can be published as things stand.
+    /// The current objects and members cannot be compiled into a generation.
     Failed(CompileError),
 }
 
@@ -98,14 +98,14 @@
     settled: BTreeSet<SettledBucket>,
     newest: Option<Arc<Generation>>,
     in_flight: Option<Arc<Generation>>,
-    due: Option<Timestamp>,
-    retry: Duration,
+    next_action_at: Option<Timestamp>,
+    backoff: Duration,
     reading_back: bool,
     outputs: Vec<PublisherOutput>,
 }
 
 impl Publisher {
-    /// A publisher that knows nothing yet. `seed` is the source of its waits.
+    /// Returns a publisher without any data. Its random delays derive from `seed`.
     #[must_use]
     pub fn new(settings: PublisherSettings, seed: u64) -> Self {
         Self {
@@ -115,39 +115,39 @@
             settled: BTreeSet::new(),
             newest: None,
             in_flight: None,
-            due: None,
-            retry: settings.first_retry,
+            next_action_at: None,
+            backoff: settings.initial_backoff,
             reading_back: false,
             settings,
             outputs: Vec::new(),
         }
     }
 
-    /// Takes in `input` at `now`; what is to be done about it.
+    /// Processes `input` at `now` and returns the actions for the caller.
     pub fn handle(&mut self, now: Timestamp, input: PublisherInput) -> Vec<PublisherOutput> {
         match input {
-            PublisherInput::Objects(desired) => self.take_objects(now, desired),
-            PublisherInput::Stored(generation) => self.take_stored(now, generation),
-            PublisherInput::Proposed(proposal) => self.take_proposal(now, proposal),
-            PublisherInput::Answered(outcome) => self.take_answer(now, outcome),
-            PublisherInput::Timeout => self.take_timeout(now),
+            PublisherInput::Objects(desired) => self.handle_objects(now, desired),
+            PublisherInput::Stored(generation) => self.handle_stored(now, generation),
+            PublisherInput::Proposed(proposal) => self.handle_proposal(now, proposal),
+            PublisherInput::Answered(outcome) => self.handle_outcome(now, outcome),
+            PublisherInput::Timeout => self.handle_timeout(now),
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// When to hand in [`PublisherInput::Timeout`].
+    /// Returns the time at which [`PublisherInput::Timeout`] is due.
     #[must_use]
     pub const fn next_timeout(&self) -> Option<Timestamp> {
-        self.due
+        self.next_action_at
     }
 
-    /// The newest generation that the store is known to hold.
+    /// Returns the newest generation known to be in the store.
     #[must_use]
     pub const fn newest(&self) -> Option<&Arc<Generation>> {
         self.newest.as_ref()
     }
 
-    fn take_objects(&mut self, now: Timestamp, desired: DesiredState) {
+    fn handle_objects(&mut self, now: Timestamp, desired: DesiredState) {
         let is_older = self.desired.as_ref().is_some_and(|known| {
             desired.revision.services < known.revision.services
                 || desired.revision.backends < known.revision.backends
@@ -156,24 +156,24 @@
             return;
         }
         self.desired = Some(desired);
-        self.wait_by_chance(now);
+        self.schedule_write(now);
     }
 
-    fn take_stored(&mut self, now: Timestamp, generation: Arc<Generation>) {
+    fn handle_stored(&mut self, now: Timestamp, generation: Arc<Generation>) {
         let answers_read_back = std::mem::take(&mut self.reading_back);
         if answers_read_back {
             self.in_flight = None;
         }
-        self.advance(&generation);
+        self.record_newest(&generation);
         if answers_read_back || self.in_flight.is_none() {
-            self.wait_by_chance(now);
+            self.schedule_write(now);
         }
     }
 
-    fn take_proposal(&mut self, now: Timestamp, proposal: Proposal) {
+    fn handle_proposal(&mut self, now: Timestamp, proposal: Proposal) {
         match proposal {
             Proposal::Members(members) => self.members = Some(members),
-            Proposal::Clean {
+            Proposal::MarkClean {
                 generation,
                 buckets,
             } => {
@@ -183,40 +183,40 @@
                 self.settled.extend(buckets);
             }
         }
-        self.wait_by_chance(now);
+        self.schedule_write(now);
     }
 
-    fn take_answer(&mut self, now: Timestamp, outcome: WriteOutcome) {
+    fn handle_outcome(&mut self, now: Timestamp, outcome: WriteOutcome) {
         let Some(written) = self.in_flight.take() else {
             return;
         };
         match outcome {
             WriteOutcome::Accepted => {
-                self.retry = self.settings.first_retry;
-                self.advance(&written);
-                self.wait_by_chance(now);
+                self.backoff = self.settings.initial_backoff;
+                self.record_newest(&written);
+                self.schedule_write(now);
             }
             WriteOutcome::Conflict(newest) => {
-                self.advance(&newest);
-                self.wait_by_chance(now);
+                self.record_newest(&newest);
+                self.schedule_write(now);
             }
             WriteOutcome::Unknown => {
                 self.in_flight = Some(written);
                 self.reading_back = true;
-                self.due = Some(now.after(self.retry));
-                self.retry = (self.retry * 2).min(self.settings.last_retry);
+                self.next_action_at = Some(now.after(self.backoff));
+                self.backoff = (self.backoff * 2).min(self.settings.maximum_backoff);
             }
         }
     }
 
-    fn take_timeout(&mut self, now: Timestamp) {
-        if self.due.is_none_or(|due| due > now) {
+    fn handle_timeout(&mut self, now: Timestamp) {
+        if self.next_action_at.is_none_or(|at| at > now) {
             return;
         }
-        self.due = None;
+        self.next_action_at = None;
         if self.reading_back {
             self.outputs.push(PublisherOutput::ReadBack);
-            self.due = Some(now.after(self.retry));
+            self.next_action_at = Some(now.after(self.backoff));
             return;
         }
         self.write_if_changed();
@@ -259,9 +259,10 @@
         self.outputs.push(PublisherOutput::Write(generation));
     }
 
-    /// Members as last proposed, else as they are. A cluster without any is not founded.
+    /// Returns the members last proposed, or else those of the newest generation. Without either,
+    /// the cluster is not created.
     fn members_to_publish(&self) -> Option<Vec<MemberObject>> {
-        let as_they_are = || {
+        let from_newest = || {
             let newest = self.newest.as_ref()?;
             let members = newest.members.iter().map(|member| MemberObject {
                 node: member.node,
@@ -270,12 +271,12 @@
             });
             Some(members.collect())
         };
-        self.members.clone().or_else(as_they_are)
+        self.members.clone().or_else(from_newest)
     }
 
-    /// Takes note of a generation in the store. What was proposed under an older one is
-    /// void: the node proposes again what still holds.
-    fn advance(&mut self, generation: &Arc<Generation>) {
+    /// Records a generation in the store. Proposals made under an older one are discarded, as the
+    /// node repeats those that still apply.
+    fn record_newest(&mut self, generation: &Arc<Generation>) {
         if self.newest_number() >= Some(generation.number) {
             return;
         }
@@ -290,12 +291,13 @@
         self.newest.as_ref().map(|newest| newest.number)
     }
 
-    fn wait_by_chance(&mut self, now: Timestamp) {
-        if self.reading_back || self.due.is_some() {
+    fn schedule_write(&mut self, now: Timestamp) {
+        if self.reading_back || self.next_action_at.is_some() {
             return;
         }
-        let spread = u64::try_from(self.settings.spread.as_micros()).unwrap_or(u64::MAX);
-        let wait = self.random.random_range(0..=spread);
-        self.due = Some(now.after(Duration::from_micros(wait)));
+        let maximum =
+            u64::try_from(self.settings.maximum_write_delay.as_micros()).unwrap_or(u64::MAX);
+        let wait = self.random.random_range(0..=maximum);
+        self.next_action_at = Some(now.after(Duration::from_micros(wait)));
     }
 }
--- a/crates/bellyoke-core/tests/node_membership.rs
+++ b/crates/bellyoke-core/tests/node_membership.rs
@@ -1,4 +1,4 @@
-//! Membership, dissemination, leases and barriers of many nodes in virtual time.
+//! Membership, dissemination, leases and barriers of a cluster in virtual time.
 
 mod support;
 
@@ -14,7 +14,8 @@
     (1..=count).map(|node| member(node, ZONES)).collect()
 }
 
-/// A cluster of `count` nodes, two of which read the store, with one generation in force.
+/// Returns a cluster of `count` nodes with two store readers. The barrier of its first generation
+/// has passed.
 fn cluster(seed: u64, count: u64) -> VirtualNetwork {
     let mut network = VirtualNetwork::new(seed, NodeSettings::default());
     let members = members(count);
@@ -29,7 +30,10 @@
     let passed = network.run_until(seconds(30), |network| {
         network.all_passed(GenerationNumber(1))
     });
-    assert!(passed, "the first generation is not in force after 30 s");
+    assert!(
+        passed,
+        "the barrier of the first generation has not passed after 30 s"
+    );
     network.run(seconds(3));
     network
 }
@@ -44,15 +48,18 @@
         let mut network = cluster(seed, 6);
         let next = network.publish_next();
         let passed = network.run_until(seconds(10), |network| network.all_passed(next));
-        assert!(passed, "generation {next} is not in force after 10 s");
+        assert!(
+            passed,
+            "the barrier of generation {next} has not passed after 10 s"
+        );
     }
 }
 
 #[test]
-fn a_cut_minority_is_fenced_and_the_rest_goes_on() {
+fn a_partitioned_minority_is_fenced_while_the_majority_keeps_its_lease() {
     let mut network = cluster(1, 6);
     let minority = [NodeId(5), NodeId(6)];
-    network.cut(minority);
+    network.partition(minority);
     network.run(seconds(4));
     for node in minority {
         assert!(!network.hosts[&node].may_open_flows(network.now()));
@@ -61,7 +68,7 @@
         assert!(network.hosts[&NodeId(node)].may_open_flows(network.now()));
     }
     network.run(seconds(30));
-    network.cut([]);
+    network.partition([]);
     network.run(seconds(40));
     for host in network.hosts.values() {
         assert!(
@@ -73,22 +80,22 @@
 }
 
 #[test]
-fn a_paused_node_is_fenced_when_it_goes_on() {
+fn a_paused_node_is_fenced_and_fails_no_member_after_resuming() {
     let mut network = cluster(2, 6);
     network.pause(NodeId(4));
     network.run(seconds(15));
     assert!(!network.hosts[&NodeId(4)].may_open_flows(network.now()));
-    network.thaw(NodeId(4));
+    network.resume(NodeId(4));
     network.run(seconds(30));
     assert!(network.hosts[&NodeId(4)].may_open_flows(network.now()));
     let failed = |host: &support::Host| {
         (1..=6)
-            .map(|node| host.count(&NodeEvent::MemberFailed(NodeId(node))))
+            .map(|node| host.count_events(&NodeEvent::MemberFailed(NodeId(node))))
             .sum::<usize>()
     };
     assert_eq!(
         failed(&network.hosts[&NodeId(4)]),
         0,
-        "the thawed node accuses nobody"
+        "the resumed node considers members failed"
     );
 }
--- a/crates/bellyoke-core/tests/support/checks.rs
+++ b/crates/bellyoke-core/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step of every run.
+//! Invariants checked in every run.
 
 use crate::support::host::Host;
 use crate::support::store::Store;
@@ -8,42 +8,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A node never hands its traffic threads an older generation.
-pub fn adopts_forward(host: &Host, adopts: GenerationNumber) {
+/// Checks that a node doesn't pass an older generation to its traffic threads.
+pub fn check_adoption_is_newer(host: &Host, adopted: GenerationNumber) {
     let newest = host.generations.keys().next_back().copied();
     assert!(
-        newest.is_none_or(|newest| adopts > newest),
-        "node {} goes back from {newest:?} to {adopts}",
+        newest.is_none_or(|newest| adopted > newest),
+        "node {} reverts from generation {newest:?} to {adopted}",
         host.identity.node
     );
 }
 
-/// Counts `bytes` against what the budget allows, of which `burst` seconds' worth may go at once.
-pub fn within_budget(host: &mut Host, now: Timestamp, bytes: u64, budget: u64, burst: u64) {
-    let elapsed = now.since(host.allowance_at).as_micros() as u64;
+/// Checks that `bytes` are within the budget, and deducts them. The unused budget of up to `burst`
+/// seconds may be sent at once.
+pub fn charge_budget(host: &mut Host, now: Timestamp, bytes: u64, budget: u64, burst: u64) {
+    let elapsed = now.since(host.allowance_updated_at).as_micros() as u64;
     let capacity = budget * burst * 1_000_000;
-    host.allowance = (host.allowance + elapsed * budget).min(capacity);
-    host.allowance_at = now;
+    host.allowance_microbytes = (host.allowance_microbytes + elapsed * budget).min(capacity);
+    host.allowance_updated_at = now;
     let cost = bytes * 1_000_000;
     assert!(
-        cost <= host.allowance,
-        "node {} exceeds its budget of {budget} bytes a second",
+        cost <= host.allowance_microbytes,
+        "node {} exceeds its budget of {budget} bytes per second",
         host.identity.node
     );
-    host.allowance -= cost;
+    host.allowance_microbytes -= cost;
 }
 
-/// When a barrier is said to have passed, every member has acknowledged, and no former member
-/// can open a flow by an older generation any more, nor did so within the delay horizon.
-pub fn barrier_is_true(
+/// Checks that a barrier passed correctly: every member has acknowledged the generation, and no
+/// former member can open a flow with an older generation or did so within the delay horizon.
+pub fn check_barrier_is_safe(
     hosts: &BTreeMap<NodeId, Host>,
     store: &Store,
     now: Timestamp,
     passed: GenerationNumber,
     delay_horizon: Duration,
 ) {
-    let find = |generation: &&std::sync::Arc<Generation>| generation.number == passed;
-    let generation = store.history.iter().find(find).expect("a published one");
+    let is_passed = |generation: &&std::sync::Arc<Generation>| generation.number == passed;
+    let generation = store
+        .history
+        .iter()
+        .find(is_passed)
+        .expect("the generation was published");
     for member in &generation.members {
         let acknowledged = hosts[&member.node].node.status().acknowledged;
         assert!(
@@ -52,17 +57,17 @@
             member.node
         );
     }
-    let members = |node| generation.members.iter().any(|member| member.node == node);
-    let former = hosts.values().filter(|host| !members(host.identity.node));
-    for host in former.filter(|host| host.forwards_by < passed) {
+    let is_member = |node| generation.members.iter().any(|member| member.node == node);
+    let former = hosts.values().filter(|host| !is_member(host.identity.node));
+    for host in former.filter(|host| host.forwarding_generation < passed) {
         let acknowledged = host.node.status().acknowledged >= passed;
         let ended = host.lease_end();
         let fenced = !host.alive || ended.is_none_or(|end| end.after(delay_horizon) <= now);
         assert!(
             acknowledged || fenced,
-            "barrier {passed} passes, but former member {} may open flows by {} until {ended:?}",
+            "barrier {passed} passes, but former member {} may open flows with generation {} until {ended:?}",
             host.identity.node,
-            host.forwards_by
+            host.forwarding_generation
         );
     }
 }
