--- a/crates/bellyoke-core/src/node/node.rs
+++ b/crates/bellyoke-core/src/node/node.rs
@@ -95,11 +95,11 @@
             Input::Published(generation) => self.learn(now, &generation, &[]),
             Input::Adopted(report) => self.switched(now, report),
             Input::Escalated(packet) => {
-                let effects = self.ownership.escalated(now, packet);
+                let effects = self.ownership.handle_escalation(now, packet);
                 self.apply_ownership(now, effects);
             }
             Input::Settled(buckets) => {
-                let effects = self.ownership.settled(now, buckets);
+                let effects = self.ownership.update_settled_buckets(now, buckets);
                 self.apply_ownership(now, effects);
             }
             Input::FlowEnded(place) => {
@@ -107,7 +107,7 @@
                 self.apply_ownership(now, effects);
             }
             Input::BackendLoad { backend, load } => {
-                self.ownership.load_reported(now, backend, load);
+                self.ownership.record_load(now, backend, load);
             }
             Input::Seeds(seeds) => self.membership.add_seeds(now, seeds),
             Input::Leave => self.membership.leave(),
@@ -239,7 +239,7 @@
         self.apply_membership(now, effects);
         let effects = self.membership.learn(&generation.members);
         self.apply_membership(now, effects);
-        let effects = self.ownership.adopt(now, generation);
+        let effects = self.ownership.apply_generation(now, generation);
         self.apply_ownership(now, effects);
         let forwarding = Forwarding::from_generation(generation);
         self.outputs.push(Output::Adopt(Arc::new(forwarding)));
@@ -263,7 +263,7 @@
                 self.apply_lease(changes);
             }
         }
-        let effects = self.ownership.adopted(now, report);
+        let effects = self.ownership.handle_adoption(now, report);
         self.apply_ownership(now, effects);
         self.tell_barrier(now);
     }
@@ -377,9 +377,9 @@
 fn ownership_settings(settings: &NodeSettings, seed: u64) -> OwnershipSettings {
     let fenced_after = settings.lease_time + settings.delay_horizon;
     OwnershipSettings {
-        packet_wait: settings.delay_horizon * 3 / 4,
+        packet_timeout: settings.delay_horizon * 3 / 4,
         delay_horizon: settings.delay_horizon,
-        abandon_after: fenced_after * 3,
+        abandon_timeout: fenced_after * 3,
         // What waits for the control budget must not be sent again before it went out.
         retry_interval: settings.resend_interval / 2,
         seed,
--- a/crates/bellyoke-core/src/node/node/effects.rs
+++ b/crates/bellyoke-core/src/node/node/effects.rs
@@ -112,7 +112,7 @@
                 }),
                 OwnershipEffect::Reset { packet } => self.outputs.push(Output::Reset { packet }),
                 OwnershipEffect::Acknowledge(generation) => self.acknowledge(now, generation),
-                OwnershipEffect::Clean(buckets) => {
+                OwnershipEffect::MarkClean(buckets) => {
                     let generation = self.known_number();
                     let proposal = Proposal::Clean {
                         generation,
--- a/crates/bellyoke-core/src/node/ownership/acceptor.rs
+++ b/crates/bellyoke-core/src/node/ownership/acceptor.rs
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 
 /// Most batches that wait for an earlier one.
-const MAX_EARLY: usize = 64;
+const MAX_EARLY_BATCHES: usize = 64;
 /// Most replica sets that are remembered since the last complete copy.
-const MAX_SUCCESSORS: usize = 16;
+const MAX_SUCCESSOR_CONFIGURATIONS: usize = 16;
 
 /// A higher ballot was promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Refused {
+pub(super) struct BallotRejected {
     /// The promised ballot.
     pub(super) promised: Ballot,
 }
@@ -27,16 +27,16 @@
     installed: Option<Installation>,
     successors: Vec<Configuration>,
     pins: PinTable,
-    incoming: Incoming,
+    incoming: IncomingCopy,
 }
 
 /// A copy that is not complete, and batches that came too early.
 #[derive(Clone, Debug, Default)]
-struct Incoming {
+struct IncomingCopy {
     ballot: Ballot,
     sequence: u64,
     pins: PinTable,
-    early: BTreeMap<u64, PinBatch>,
+    early_batches: BTreeMap<u64, PinBatch>,
 }
 
 impl Acceptor {
@@ -62,18 +62,21 @@
 
     /// Begins with the first generation. Nothing was before, so that its replicas have
     /// complete, empty copies; others only know who has.
-    pub(super) fn found(&mut self, node: NodeId, installation: Installation) {
+    pub(super) fn bootstrap(&mut self, node: NodeId, installation: Installation) {
         if installation.configuration.replicas.contains(&node) {
             self.installed = Some(installation);
         } else {
-            self.remember(&installation.configuration);
+            self.add_successor(&installation.configuration);
         }
     }
 
     /// Promises to refuse ballots below the request's.
-    pub(super) fn prepare(&mut self, request: &PrepareRequest) -> Result<ReplicaPromise, Refused> {
+    pub(super) fn prepare(
+        &mut self,
+        request: &PrepareRequest,
+    ) -> Result<ReplicaPromise, BallotRejected> {
         if request.ballot < self.promised {
-            return Err(self.refusal());
+            return Err(self.rejection());
         }
         self.promised = request.ballot;
         let promise = ReplicaPromise {
@@ -83,7 +86,7 @@
             installed: self.installed.clone(),
             successors: self.successors.clone(),
         };
-        self.remember(&request.configuration);
+        self.add_successor(&request.configuration);
         Ok(promise)
     }
 
@@ -94,20 +97,26 @@
         now: Timestamp,
         batch: PinBatch,
         check_ballot: bool,
-    ) -> Result<LogPosition, Refused> {
+    ) -> Result<LogPosition, BallotRejected> {
         if batch.ballot < self.promised {
             return match check_ballot {
-                true => Err(self.refusal()),
+                true => Err(self.rejection()),
                 false => Ok(batch.position()),
             };
         }
         self.promised = self.promised.max(batch.ballot);
         let ballot = batch.ballot;
-        self.expect_ballot(ballot);
-        if batch.sequence > self.incoming.sequence && self.incoming.early.len() < MAX_EARLY {
-            self.incoming.early.insert(batch.sequence, batch);
+        self.reset_for_ballot(ballot);
+        if batch.sequence > self.incoming.sequence
+            && self.incoming.early_batches.len() < MAX_EARLY_BATCHES
+        {
+            self.incoming.early_batches.insert(batch.sequence, batch);
         }
-        while let Some(batch) = self.incoming.early.remove(&(self.incoming.sequence + 1)) {
+        while let Some(batch) = self
+            .incoming
+            .early_batches
+            .remove(&(self.incoming.sequence + 1))
+        {
             self.apply(now, batch);
         }
         let sequence = self.incoming.sequence;
@@ -115,7 +124,7 @@
     }
 
     /// Takes over `pins` as the complete copy of the node's own `position`.
-    pub(super) fn lead(
+    pub(super) fn install_own_copy(
         &mut self,
         position: LogPosition,
         installation: Installation,
@@ -123,7 +132,7 @@
     ) {
         self.pins = pins;
         self.accepted = position;
-        self.complete(installation);
+        self.set_installed(installation);
     }
 
     /// The owner's own copy has applied `sequence`.
@@ -134,24 +143,24 @@
     /// Drops the copy: newer replicas hold it.
     pub(super) fn retire(&mut self, newer: &Configuration) {
         self.pins = PinTable::default();
-        self.incoming = Incoming::default();
+        self.incoming = IncomingCopy::default();
         self.installed = None;
-        self.remember(newer);
+        self.add_successor(newer);
     }
 
-    fn refusal(&self) -> Refused {
-        Refused {
+    fn rejection(&self) -> BallotRejected {
+        BallotRejected {
             promised: self.promised,
         }
     }
 
-    fn expect_ballot(&mut self, ballot: Ballot) {
+    fn reset_for_ballot(&mut self, ballot: Ballot) {
         if self.incoming.ballot == ballot {
             return;
         }
-        self.incoming = Incoming {
+        self.incoming = IncomingCopy {
             ballot,
-            ..Incoming::default()
+            ..IncomingCopy::default()
         };
     }
 
@@ -164,27 +173,27 @@
             return;
         }
         self.incoming.pins.apply(now, &batch.runs, &batch.marks);
-        let Some(installation) = batch.installs else {
+        let Some(installation) = batch.installation else {
             return;
         };
         self.pins = std::mem::take(&mut self.incoming.pins);
         self.accepted = position;
-        self.complete(*installation);
+        self.set_installed(*installation);
     }
 
-    fn complete(&mut self, installation: Installation) {
+    fn set_installed(&mut self, installation: Installation) {
         let generation = installation.configuration.generation;
         self.successors
             .retain(|successor| successor.generation > generation);
         self.installed = Some(installation);
     }
 
-    fn remember(&mut self, configuration: &Configuration) {
+    fn add_successor(&mut self, configuration: &Configuration) {
         let installed = self.installed.as_ref().map(|known| &known.configuration);
         if installed == Some(configuration) || self.successors.contains(configuration) {
             return;
         }
-        if self.successors.len() == MAX_SUCCESSORS {
+        if self.successors.len() == MAX_SUCCESSOR_CONFIGURATIONS {
             self.successors.remove(0);
         }
         self.successors.push(configuration.clone());
--- a/crates/bellyoke-core/src/node/ownership/backoff.rs
+++ b/crates/bellyoke-core/src/node/ownership/backoff.rs
@@ -13,8 +13,8 @@
 /// 1994).
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
-    failures: u32,
-    due: Option<Timestamp>,
+    doublings: u32,
+    due_at: Option<Timestamp>,
 }
 
 impl Backoff {
@@ -31,14 +31,14 @@
         interval: Duration,
         random: &mut ChaCha8Rng,
     ) -> bool {
-        let is_due = self.due.is_some_and(|due| due <= now);
+        let is_due = self.due_at.is_some_and(|due_at| due_at <= now);
         if is_due {
-            self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+            self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
         }
-        if is_due || self.due.is_none() {
-            let longest = interval * (1 << self.failures);
-            let drawn = longest.mul_f64(random.random_range(0.5..=1.0));
-            self.due = Some(now.after(drawn));
+        if is_due || self.due_at.is_none() {
+            let max_delay = interval * (1 << self.doublings);
+            let delay = max_delay.mul_f64(random.random_range(0.5..=1.0));
+            self.due_at = Some(now.after(delay));
         }
         is_due
     }
--- a/crates/bellyoke-core/src/node/ownership/collection.rs
+++ b/crates/bellyoke-core/src/node/ownership/claim.rs
@@ -13,14 +13,14 @@
 /// with its promise which sets claimed the group after its own was complete; those are asked
 /// too (Lamport, Malkhi, Zhou, "Vertical Paxos", 2009).
 #[derive(Debug)]
-pub(super) struct Collection {
+pub(super) struct Claim {
     group: GroupIndex,
     ballot: Ballot,
     configuration: Configuration,
-    known: BTreeMap<GenerationNumber, Configuration>,
+    configurations: BTreeMap<GenerationNumber, Configuration>,
     promises: BTreeMap<NodeId, PromisedCopy>,
     fetch: Option<Fetch>,
-    started: Timestamp,
+    started_at: Timestamp,
 }
 
 /// How complete a replica's copy is.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct BestCopy {
     pub(super) node: NodeId,
-    pub(super) lost_before: GenerationNumber,
+    pub(super) pins_lost_before: GenerationNumber,
 }
 
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     pins: PinTable,
 }
 
-impl Collection {
+impl Claim {
     pub(super) fn new(
         now: Timestamp,
         group: GroupIndex,
@@ -52,20 +52,20 @@
         configuration: Configuration,
         earlier: impl IntoIterator<Item = Configuration>,
     ) -> Self {
-        let mut collection = Self {
+        let mut claim = Self {
             group,
             ballot,
             configuration: configuration.clone(),
-            known: BTreeMap::new(),
+            configurations: BTreeMap::new(),
             promises: BTreeMap::new(),
             fetch: None,
-            started: now,
+            started_at: now,
         };
-        collection.learn(configuration);
+        claim.add_configuration(configuration);
         for configuration in earlier {
-            collection.learn(configuration);
+            claim.add_configuration(configuration);
         }
-        collection
+        claim
     }
 
     pub(super) fn ballot(&self) -> Ballot {
@@ -76,37 +76,40 @@
         &self.configuration
     }
 
-    pub(super) fn started(&self) -> Timestamp {
-        self.started
+    pub(super) fn started_at(&self) -> Timestamp {
+        self.started_at
     }
 
     /// Another replica set may hold pins.
-    pub(super) fn learn(&mut self, configuration: Configuration) {
-        self.known
+    pub(super) fn add_configuration(&mut self, configuration: Configuration) {
+        self.configurations
             .entry(configuration.generation)
             .or_insert(configuration);
     }
 
     /// A replica promised; true if it named a replica set that was not known.
-    pub(super) fn promised(&mut self, from: NodeId, promise: ReplicaPromise) -> bool {
-        let known = self.known.len();
+    pub(super) fn record_promise(&mut self, from: NodeId, promise: ReplicaPromise) -> bool {
+        let count = self.configurations.len();
         for successor in promise.successors {
-            self.learn(successor);
+            self.add_configuration(successor);
         }
         if let Some(installed) = &promise.installed {
-            self.learn(installed.configuration.clone());
+            self.add_configuration(installed.configuration.clone());
         }
         let copy = PromisedCopy {
             accepted: promise.accepted,
             installed: promise.installed,
         };
         self.promises.entry(from).or_insert(copy);
-        self.known.len() > known
+        self.configurations.len() > count
     }
 
     /// Replicas that have not promised yet.
-    pub(super) fn unanswered(&self) -> Vec<NodeId> {
-        let replicas = self.known.values().flat_map(|known| &known.replicas);
+    pub(super) fn missing_promises(&self) -> Vec<NodeId> {
+        let replicas = self
+            .configurations
+            .values()
+            .flat_map(|configuration| &configuration.replicas);
         let mut nodes: Vec<NodeId> = replicas
             .filter(|node| !self.promises.contains_key(node))
             .copied()
@@ -116,7 +119,7 @@
         nodes
     }
 
-    pub(super) fn request(&self) -> PrepareRequest {
+    pub(super) fn prepare_request(&self) -> PrepareRequest {
         PrepareRequest {
             group: self.group,
             ballot: self.ballot,
@@ -126,7 +129,7 @@
 
     /// The copy to go on with, once majorities of all replica sets since the newest complete
     /// one have promised.
-    pub(super) fn outcome(&self) -> Option<BestCopy> {
+    pub(super) fn agreed_copy(&self) -> Option<BestCopy> {
         let complete = self.promises.values().filter_map(|copy| {
             let installed = copy.installed.as_ref()?;
             Some(installed.configuration.generation)
@@ -134,22 +137,25 @@
         let newest = complete.max()?;
         let promised = |node| self.promises.contains_key(&node);
         let agreed = self
-            .known
+            .configurations
             .range(newest..)
-            .all(|(_, known)| known.has_majority(promised));
-        if agreed { self.best() } else { None }
+            .all(|(_, configuration)| configuration.has_majority(promised));
+        if agreed { self.best_copy() } else { None }
     }
 
     /// The most complete copy among those promised so far. Copies at one position are equal:
     /// the claimant's own needs no fetching.
-    pub(super) fn best(&self) -> Option<BestCopy> {
+    pub(super) fn best_copy(&self) -> Option<BestCopy> {
         let complete = self.promises.iter().filter_map(|(node, copy)| {
             let installed = copy.installed.as_ref()?;
             let is_own = *node == self.ballot.node;
-            Some((copy.accepted, is_own, *node, installed.lost_before))
+            Some((copy.accepted, is_own, *node, installed.pins_lost_before))
         });
-        let (_, _, node, lost_before) = complete.max()?;
-        Some(BestCopy { node, lost_before })
+        let (_, _, node, pins_lost_before) = complete.max()?;
+        Some(BestCopy {
+            node,
+            pins_lost_before,
+        })
     }
 
     /// Whether a majority of the claim's own replicas has promised.
@@ -159,7 +165,7 @@
     }
 
     /// Starts to copy the pins of `source`.
-    pub(super) fn fetch_from(&mut self, source: BestCopy) {
+    pub(super) fn start_fetch(&mut self, source: BestCopy) {
         self.fetch = Some(Fetch {
             source,
             cursor: None,
@@ -183,7 +189,11 @@
     }
 
     /// Takes a page of pins, if it is the one asked for.
-    pub(super) fn fetched(&mut self, now: Timestamp, page: &super::message::FetchedPins) -> bool {
+    pub(super) fn apply_page(
+        &mut self,
+        now: Timestamp,
+        page: &super::message::FetchedPins,
+    ) -> bool {
         let expected = self.fetch_request().map(|(_, request)| request);
         let Some(fetch) = self.fetch.as_mut() else {
             return false;
@@ -193,7 +203,7 @@
         }
         fetch.pins.apply(now, &page.runs, &page.marks);
         fetch.cursor = fetch.pins.last_key();
-        !page.more
+        !page.has_more
     }
 
     /// The copied pins and where they came from.
@@ -203,7 +213,7 @@
     }
 
     /// A replica died: its promise may not be relied on to copy from.
-    pub(super) fn forget(&mut self, node: NodeId) {
+    pub(super) fn remove_promise(&mut self, node: NodeId) {
         self.promises.remove(&node);
         if self
             .fetch
--- a/crates/bellyoke-core/src/node/ownership/cluster.rs
+++ b/crates/bellyoke-core/src/node/ownership/cluster.rs
@@ -13,18 +13,18 @@
 
 /// What membership tells, which may come before the first generation.
 #[derive(Debug, Default)]
-pub(super) struct Observed {
+pub(super) struct MembershipView {
     /// The newest generation that all members have acknowledged.
     pub(super) barrier: GenerationNumber,
     /// Members that do not answer.
     pub(super) suspected: BTreeSet<NodeId>,
 }
 
-impl Observed {
+impl MembershipView {
     /// Forgets nodes that are gone, when there are many.
-    pub(super) fn trim(&mut self, cluster: &Cluster) {
+    pub(super) fn trim_suspected(&mut self, cluster: &Cluster) {
         if self.suspected.len() > MAX_SUSPECTED {
-            self.suspected.retain(|node| cluster.knows(*node));
+            self.suspected.retain(|node| cluster.is_known_member(*node));
         }
     }
 }
@@ -46,7 +46,7 @@
         let assignment = Assignment::new(generation);
         Self {
             generation: Arc::clone(generation),
-            contested_since: first_contested(generation, &assignment),
+            contested_since: earliest_contested_generations(generation, &assignment),
             assignment,
             previous_assignment: None,
             members: member_set(generation),
@@ -58,7 +58,7 @@
     pub(super) fn advance(&mut self, generation: &Arc<Generation>) {
         self.generation = Arc::clone(generation);
         let assignment = Assignment::new(generation);
-        self.contested_since = first_contested(generation, &assignment);
+        self.contested_since = earliest_contested_generations(generation, &assignment);
         self.previous_assignment = Some(std::mem::replace(&mut self.assignment, assignment));
         let members = member_set(generation);
         self.previous_members = std::mem::replace(&mut self.members, members);
@@ -69,12 +69,12 @@
     }
 
     /// Whether `node` is a member of this generation or the previous.
-    pub(super) fn knows(&self, node: NodeId) -> bool {
+    pub(super) fn is_known_member(&self, node: NodeId) -> bool {
         self.members.contains(&node) || self.previous_members.contains(&node)
     }
 
     /// Whether this generation has other members than the previous.
-    pub(super) fn has_other_members(&self) -> bool {
+    pub(super) fn members_changed(&self) -> bool {
         self.members != self.previous_members
     }
 
@@ -100,19 +100,19 @@
     }
 
     /// Whether `backend` may be given packets of `service`.
-    pub(super) fn serves(&self, backend: BackendId, service: ServiceId) -> bool {
+    pub(super) fn accepts_packets(&self, backend: BackendId, service: ServiceId) -> bool {
         self.backend(backend).is_some_and(|backend| {
             backend.state != BackendState::Dead && backend.service == Some(service)
         })
     }
 
     /// Whether this generation can tell what became of `backend`.
-    pub(super) fn is_numbered(&self, backend: BackendId) -> bool {
+    pub(super) fn has_allocated(&self, backend: BackendId) -> bool {
         backend < self.generation.next_backend
     }
 
     /// Whether `backend` may be given new flows of `service`.
-    pub(super) fn opens(&self, backend: BackendId, service: ServiceId) -> bool {
+    pub(super) fn accepts_flows(&self, backend: BackendId, service: ServiceId) -> bool {
         self.backend(backend).is_some_and(|backend| {
             backend.state == BackendState::Active && backend.service == Some(service)
         })
@@ -140,7 +140,7 @@
     }
 
     /// Whether a bucket of `group` is contested: only then it needs an owner.
-    pub(super) fn is_in_use(&self, group: GroupIndex) -> bool {
+    pub(super) fn has_contested_bucket(&self, group: GroupIndex) -> bool {
         self.contested_since.contains_key(&group)
     }
 
@@ -168,8 +168,8 @@
 
 /// Whether only an owner can tell where flows of `bucket` go.
 pub(super) fn is_contested(service: &Service, bucket: &Bucket) -> bool {
-    let placed = service.placement == Placement::LeastLoaded;
-    placed || bucket.is_contested() || bucket.target.is_none()
+    let by_load = service.placement == Placement::LeastLoaded;
+    by_load || bucket.is_contested() || bucket.target.is_none()
 }
 
 fn member_set(generation: &Generation) -> HashSet<NodeId> {
@@ -181,7 +181,7 @@
 }
 
 /// Looks at every bucket once a generation, so that no timer has to.
-fn first_contested(
+fn earliest_contested_generations(
     generation: &Generation,
     assignment: &Assignment,
 ) -> HashMap<GroupIndex, GenerationNumber> {
--- a/crates/bellyoke-core/src/node/ownership/decision.rs
+++ b/crates/bellyoke-core/src/node/ownership/decision.rs
@@ -1,20 +1,20 @@
 //! Where an owner sends a packet of a flow that has no pin.
 
 use super::cluster::{Cluster, is_contested};
-use super::held::Verdict;
+use super::pending::PacketAction;
 use crate::flow::{Escalation, EscalationKind};
 use crate::generation::{Bucket, Service};
 use crate::identity::{BackendId, GenerationNumber};
 
 /// What an owner does with a packet of a flow that has no pin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unpinned {
+pub(super) enum UnpinnedDecision {
     /// Pin the flow to the base: until the barrier others may open flows there.
     PinToBase(BackendId),
     /// Choose a backend and pin the flow.
     Place,
     /// Send it on, once the owner has made sure that it still is the owner.
-    Confirm(Verdict),
+    Confirm(PacketAction),
     /// Drop it: the caller sends it again.
     Drop(DropCause),
     /// Keep it until this node knows a newer generation.
@@ -38,7 +38,7 @@
     /// Whether no flow without a pin is left on the base.
     pub(super) is_settled: bool,
     /// The generation of the relaying node.
-    pub(super) relayed_under: GenerationNumber,
+    pub(super) relay_generation: GenerationNumber,
 }
 
 /// Decides a packet of a flow that has no pin.
@@ -48,18 +48,18 @@
     bucket: &Bucket,
     escalation: Escalation,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     if !is_contested(service, bucket) {
         return decide_clean(cluster, bucket, escalation.kind, state);
     }
     match escalation.kind {
         EscalationKind::Opening => decide_opening(cluster, service, bucket, state),
         EscalationKind::Other => {
-            let home = match state.is_settled {
+            let backend = match state.is_settled {
                 true => bucket.target,
                 false => bucket.base.filter(|_| !state.pins_lost),
             };
-            Unpinned::Confirm(forward_or_reset(cluster, service, home))
+            UnpinnedDecision::Confirm(forward_or_reset(cluster, service, backend))
         }
     }
 }
@@ -69,14 +69,14 @@
     service: &Service,
     bucket: &Bucket,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     let Some(base) = bucket.base.filter(|_| !state.barrier_passed) else {
-        return Unpinned::Place;
+        return UnpinnedDecision::Place;
     };
-    if cluster.serves(base, service.id) {
-        return Unpinned::PinToBase(base);
+    if cluster.accepts_packets(base, service.id) {
+        return UnpinnedDecision::PinToBase(base);
     }
-    Unpinned::Drop(DropCause::BaseDead)
+    UnpinnedDecision::Drop(DropCause::BaseDead)
 }
 
 /// The relaying node takes for contested what is clean here: one of both lags.
@@ -85,22 +85,28 @@
     bucket: &Bucket,
     kind: EscalationKind,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     if kind == EscalationKind::Opening {
-        return Unpinned::Drop(DropCause::GenerationSkew);
+        return UnpinnedDecision::Drop(DropCause::GenerationSkew);
     }
-    if state.relayed_under > cluster.number() {
-        return Unpinned::AwaitGeneration;
+    if state.relay_generation > cluster.number() {
+        return UnpinnedDecision::AwaitGeneration;
     }
     match bucket.target {
-        Some(target) => Unpinned::Confirm(Verdict::Forward(target)),
-        None => Unpinned::Confirm(Verdict::Reset),
+        Some(target) => UnpinnedDecision::Confirm(PacketAction::Forward(target)),
+        None => UnpinnedDecision::Confirm(PacketAction::Reset),
     }
 }
 
-fn forward_or_reset(cluster: &Cluster, service: &Service, backend: Option<BackendId>) -> Verdict {
+fn forward_or_reset(
+    cluster: &Cluster,
+    service: &Service,
+    backend: Option<BackendId>,
+) -> PacketAction {
     match backend {
-        Some(backend) if cluster.serves(backend, service.id) => Verdict::Forward(backend),
-        _ => Verdict::Reset,
+        Some(backend) if cluster.accepts_packets(backend, service.id) => {
+            PacketAction::Forward(backend)
+        }
+        _ => PacketAction::Reset,
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/early_handovers.rs
+++ b/crates/bellyoke-core/src/node/ownership/early_handovers.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Most parts of lists that are kept; their senders send the others again.
-const MAX_PARTS: usize = 1024;
+const MAX_EARLY_PARTS: usize = 1024;
 
 /// Parts of handover lists that came too early.
 #[derive(Debug, Default)]
@@ -19,8 +19,8 @@
 
 impl EarlyHandovers {
     /// Keeps a part, if there is room.
-    pub(super) fn keep(&mut self, from: NodeId, batch: HandoverBatch) {
-        if self.parts.len() < MAX_PARTS {
+    pub(super) fn insert(&mut self, from: NodeId, batch: HandoverBatch) {
+        if self.parts.len() < MAX_EARLY_PARTS {
             self.parts.insert((from, batch.receipt), batch);
         }
     }
@@ -28,10 +28,10 @@
 
 impl Ownership {
     /// Takes in what came too early. What still does is kept again.
-    pub(super) fn take_early_handovers(&mut self, now: Timestamp) {
+    pub(super) fn apply_early_handovers(&mut self, now: Timestamp) {
         let parts = std::mem::take(&mut self.early_handovers.parts);
         for ((from, _), batch) in parts {
-            self.handed_over(now, from, batch);
+            self.handle_handover(now, from, batch);
         }
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/effect.rs
+++ b/crates/bellyoke-core/src/node/ownership/effect.rs
@@ -46,7 +46,7 @@
     /// All recently opened flows are handed over: this node acknowledges the generation.
     Acknowledge(GenerationNumber),
     /// These buckets can be clean in the next generation.
-    Clean(Vec<SettledBucket>),
+    MarkClean(Vec<SettledBucket>),
     /// Tell people.
     Event(NodeEvent),
 }
@@ -63,7 +63,7 @@
     /// Pins of refused flows made.
     pub refused: u64,
     /// Pins dropped.
-    pub forgotten: u64,
+    pub unpinned: u64,
     /// Groups taken over or received from earlier replicas.
     pub installed: u64,
     /// Groups whose earlier pins were taken for lost.
--- a/crates/bellyoke-core/src/node/ownership/group.rs
+++ b/crates/bellyoke-core/src/node/ownership/group.rs
@@ -3,7 +3,7 @@
 use super::acceptor::Acceptor;
 use super::backoff::Backoff;
 use super::ballot::{Ballot, Configuration};
-use super::collection::Collection;
+use super::claim::Claim;
 use super::leader::Leader;
 use crate::identity::GenerationNumber;
 
@@ -14,27 +14,27 @@
     #[default]
     Follower,
     /// This node asks for promises.
-    Collecting(Box<Collection>),
+    Claiming(Box<Claim>),
     /// This node owns it, or copies its pins to the replicas in order to.
     Leading(Box<Leader>),
 }
 
 /// What a node holds for one group.
 #[derive(Debug, Default)]
-pub(super) struct Group {
+pub(super) struct GroupState {
     pub(super) acceptor: Acceptor,
     pub(super) role: Role,
     /// The highest ballot heard of under the present replicas.
-    pub(super) hint: Option<Ballot>,
+    pub(super) highest_ballot: Option<Ballot>,
     /// The generation since which this node knows the present replicas.
-    pub(super) replicas_since: GenerationNumber,
+    pub(super) replica_generation: GenerationNumber,
     /// When what this node asks for in its role is asked for again.
-    pub(super) retry: Backoff,
+    pub(super) retry_backoff: Backoff,
     /// When this node tells the present replicas again that it holds a copy of earlier ones.
-    pub(super) announcement: Backoff,
+    pub(super) announcement_backoff: Backoff,
 }
 
-impl Group {
+impl GroupState {
     /// The log, if this node owns the group and may decide.
     pub(super) fn serving(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
@@ -50,9 +50,9 @@
         }
     }
 
-    pub(super) fn collection(&mut self) -> Option<&mut Collection> {
+    pub(super) fn claim(&mut self) -> Option<&mut Claim> {
         match &mut self.role {
-            Role::Collecting(collection) => Some(collection),
+            Role::Claiming(claim) => Some(claim),
             _ => None,
         }
     }
@@ -61,7 +61,7 @@
     pub(super) fn own_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Follower => None,
-            Role::Collecting(collection) => Some(collection.ballot()),
+            Role::Claiming(claim) => Some(claim.ballot()),
             Role::Leading(leader) => Some(leader.ballot()),
         }
     }
@@ -70,16 +70,16 @@
     pub(super) fn own_configuration(&self) -> Option<&Configuration> {
         match &self.role {
             Role::Follower => None,
-            Role::Collecting(collection) => Some(collection.configuration()),
+            Role::Claiming(claim) => Some(claim.configuration()),
             Role::Leading(leader) => Some(leader.configuration()),
         }
     }
 
     /// Takes note of a ballot, if it is the highest under the present replicas.
-    pub(super) fn heard_of(&mut self, ballot: Ballot) {
-        if ballot.generation < self.replicas_since {
+    pub(super) fn record_ballot(&mut self, ballot: Ballot) {
+        if ballot.generation < self.replica_generation {
             return;
         }
-        self.hint = self.hint.max(Some(ballot));
+        self.highest_ballot = self.highest_ballot.max(Some(ballot));
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/handover.rs
+++ b/crates/bellyoke-core/src/node/ownership/handover.rs
@@ -4,7 +4,7 @@
 use super::backoff::Backoff;
 use super::effect::OwnershipEffect;
 use super::message::{HandoverBatch, HandoverReceipt, OwnershipMessage};
-use super::pin::{EncodedPin, PinChange, PinKey, PinRun, Pinned, ShortHash};
+use super::pin::{EncodedPin, PinChange, PinDestination, PinKey, PinRun, ShortHash};
 use super::settings::Ablation;
 use crate::flow::OpenedFlow;
 use crate::identity::{GenerationNumber, GroupIndex, NodeId, ServiceId};
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Most parts that are sent at a time.
-const WINDOW: usize = 32;
+const MAX_PARTS_IN_FLIGHT: usize = 32;
 
 /// A part of a handover list that was not confirmed.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     was_member: bool,
     /// After this time no copy of a packet is under way that opened a flow here, if this node
     /// is no member any more.
-    quiet_from: Option<Timestamp>,
+    quiet_at: Option<Timestamp>,
 }
 
 impl Handovers {
@@ -63,7 +63,7 @@
     }
 
     fn take_acknowledgement(&mut self, now: Timestamp) -> Option<GenerationNumber> {
-        let is_quiet = self.quiet_from.is_none_or(|quiet| quiet <= now);
+        let is_quiet = self.quiet_at.is_none_or(|quiet| quiet <= now);
         if self.parts.is_empty() && is_quiet {
             return self.unacknowledged.take();
         }
@@ -73,10 +73,10 @@
 
 impl Ownership {
     /// Starts to hand over the flows in `report`.
-    pub(super) fn hand_over(&mut self, now: Timestamp, report: AdoptionReport) {
+    pub(super) fn start_handover(&mut self, now: Timestamp, report: AdoptionReport) {
         let generation = report.generation;
         self.handovers.unacknowledged = self.handovers.unacknowledged.max(Some(generation));
-        self.note_departure(now);
+        self.record_departure(now);
         if self.settings.ablation != Ablation::NoHandoverList {
             self.add_parts(generation, &report.opened);
         }
@@ -88,16 +88,16 @@
     /// that becomes contested right after would not wait for the list of the flows that it
     /// opened last; late copies of their opening packets would be placed again. So it
     /// acknowledges its removal when there can be no such copy any more.
-    fn note_departure(&mut self, now: Timestamp) {
+    fn record_departure(&mut self, now: Timestamp) {
         let Some(cluster) = &self.cluster else {
             return;
         };
         let handovers = &mut self.handovers;
         if cluster.members().contains(&self.node) {
             handovers.was_member = true;
-            handovers.quiet_from = None;
-        } else if handovers.was_member && handovers.quiet_from.is_none() {
-            handovers.quiet_from = Some(now.after(self.settings.delay_horizon));
+            handovers.quiet_at = None;
+        } else if handovers.was_member && handovers.quiet_at.is_none() {
+            handovers.quiet_at = Some(now.after(self.settings.delay_horizon));
         }
     }
 
@@ -111,11 +111,11 @@
             let list = lists.entry((group, flow.place.service)).or_default();
             list.push(EncodedPin {
                 hash: ShortHash::from(flow.place.hash),
-                change: PinChange::pinned(Pinned::Backend(flow.backend)),
+                change: PinChange::set(PinDestination::Backend(flow.backend)),
             });
         }
         for ((group, service), list) in lists {
-            for part in list.chunks(self.settings.max_batch.max(1)) {
+            for part in list.chunks(self.settings.max_batch_pins.max(1)) {
                 let pins = part.to_vec();
                 self.handovers
                     .add(generation, group, vec![PinRun { service, pins }]);
@@ -128,7 +128,7 @@
     pub(super) fn send_handovers(&mut self, now: Timestamp) {
         let interval = self.settings.retry_interval;
         let mut due = Vec::new();
-        for part in self.handovers.parts.values_mut().take(WINDOW) {
+        for part in self.handovers.parts.values_mut().take(MAX_PARTS_IN_FLIGHT) {
             let is_overdue = part.retry.is_due(now, interval, &mut self.random);
             if !part.is_sent || is_overdue {
                 part.is_sent = true;
@@ -136,10 +136,10 @@
             }
         }
         for mut part in due {
-            if let Some(group) = self.present_group(&part) {
+            if let Some(group) = self.current_group(&part) {
                 part.group = group;
             }
-            if let Some(owner) = self.believed_owner(part.group) {
+            if let Some(owner) = self.presumed_owner(part.group) {
                 self.send_handover(owner, part);
             }
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    fn present_group(&self, part: &HandoverBatch) -> Option<GroupIndex> {
+    fn current_group(&self, part: &HandoverBatch) -> Option<GroupIndex> {
         let cluster = self.cluster.as_ref()?;
         let run = part.runs.first()?;
         let service = cluster.service(run.service)?;
@@ -166,7 +166,11 @@
     }
 
     /// The owner of a part's flows holds them.
-    pub(super) fn handover_confirmed(&mut self, now: Timestamp, receipt: HandoverReceipt) {
+    pub(super) fn handle_handover_confirmation(
+        &mut self,
+        now: Timestamp,
+        receipt: HandoverReceipt,
+    ) {
         if self.handovers.parts.remove(&receipt).is_some() {
             self.send_handovers(now);
             self.acknowledge_when_done(now);
--- a/crates/bellyoke-core/src/node/ownership/leader.rs
+++ b/crates/bellyoke-core/src/node/ownership/leader.rs
@@ -1,17 +1,17 @@
 //! The owner's log of one group: batches of pins, and what waits for a majority to hold them.
 
 use super::ballot::{Ballot, Configuration};
-use super::held::{HeldItem, HeldReceipt};
 use super::message::{Installation, PinBatch};
+use super::pending::{PendingItem, PendingReceipt};
 use super::pin::{
-    PinChange, PinKey, PinRun, PinTable, Pinned, SettledMark, decode_runs, encode_runs,
+    PinChange, PinDestination, PinKey, PinRun, PinTable, SettledMark, decode_runs, encode_runs,
 };
 use crate::identity::{BackendId, GroupIndex, NodeId};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Most batches that are sent again to one replica at a time.
-const RESEND_WINDOW: usize = 4;
+const MAX_RESENT_BATCHES: usize = 4;
 
 /// The owner's log of one group.
 #[derive(Debug)]
@@ -20,44 +20,44 @@
     node: NodeId,
     ballot: Ballot,
     configuration: Configuration,
-    started: Timestamp,
+    started_at: Timestamp,
     /// The batch that is being filled has this number plus one.
-    sealed: u64,
-    committed: u64,
-    install_end: u64,
-    has_begun: bool,
-    filling: BTreeMap<PinKey, PinChange>,
-    filling_marks: Vec<SettledMark>,
-    must_seal: bool,
+    last_sealed: u64,
+    last_committed: u64,
+    copy_end: u64,
+    service_started: bool,
+    open_changes: BTreeMap<PinKey, PinChange>,
+    open_marks: Vec<SettledMark>,
+    needs_seal: bool,
     unsent: Vec<u64>,
     retained: BTreeMap<u64, PinBatch>,
     acknowledged: BTreeMap<NodeId, u64>,
     progress: BTreeMap<NodeId, Progress>,
     lagging: BTreeSet<NodeId>,
-    uncommitted: HashMap<PinKey, u64>,
+    uncommitted_pins: HashMap<PinKey, u64>,
     open_flows: HashMap<BackendId, u32>,
-    held: BTreeMap<u64, Vec<HeldItem>>,
+    pending: BTreeMap<u64, Vec<PendingItem>>,
 }
 
 /// How far a replica was when it was last looked at.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     acknowledged: u64,
-    sealed: u64,
+    last_sealed: u64,
 }
 
 impl Progress {
     /// Whether what was on its way then has not been acknowledged by `later`.
-    fn is_stalled_at(self, later: Self) -> bool {
-        self.acknowledged < self.sealed && self.acknowledged == later.acknowledged
+    fn is_stalled(self, later: Self) -> bool {
+        self.acknowledged < self.last_sealed && self.acknowledged == later.acknowledged
     }
 }
 
 /// Limits of a log.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LogLimits {
-    pub(super) batch: usize,
-    pub(super) unacknowledged: usize,
+    pub(super) batch_pins: usize,
+    pub(super) unacknowledged_batches: usize,
 }
 
 impl Leader {
@@ -75,63 +75,63 @@
             node: ballot.node,
             ballot,
             configuration: installation.configuration.clone(),
-            started: now,
-            sealed: 0,
-            committed: 0,
-            install_end: 0,
-            has_begun: false,
-            filling: BTreeMap::new(),
-            filling_marks: Vec::new(),
-            must_seal: false,
+            started_at: now,
+            last_sealed: 0,
+            last_committed: 0,
+            copy_end: 0,
+            service_started: false,
+            open_changes: BTreeMap::new(),
+            open_marks: Vec::new(),
+            needs_seal: false,
             unsent: Vec::new(),
             retained: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
             progress: BTreeMap::new(),
             lagging: BTreeSet::new(),
-            uncommitted: HashMap::new(),
+            uncommitted_pins: HashMap::new(),
             open_flows: HashMap::new(),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
         };
         for (_, pin) in pins.iter() {
-            leader.count_opened(pin.pinned);
+            leader.count_opened(pin.destination);
         }
-        leader.copy(pins, installation, limits);
+        leader.append_copy(pins, installation, limits);
         leader
     }
 
-    fn copy(&mut self, pins: &PinTable, installation: &Installation, limits: LogLimits) {
+    fn append_copy(&mut self, pins: &PinTable, installation: &Installation, limits: LogLimits) {
         let mut cursor = None;
         loop {
-            let (runs, more) = pins.page(cursor, limits.batch);
+            let (runs, more) = pins.page(cursor, limits.batch_pins);
             cursor = decode_runs(&runs).map(|(key, _)| key).max();
-            let installs = (!more).then(|| Box::new(installation.clone()));
+            let installation = (!more).then(|| Box::new(installation.clone()));
             let marks = if more { Vec::new() } else { pins.marks() };
-            self.push(runs, marks, installs);
+            self.push_batch(runs, marks, installation);
             if !more {
                 break;
             }
         }
-        self.install_end = self.sealed;
-        self.commit();
+        self.copy_end = self.last_sealed;
+        self.advance_commit();
     }
 
-    fn push(
+    fn push_batch(
         &mut self,
         runs: Vec<PinRun>,
         marks: Vec<SettledMark>,
-        installs: Option<Box<Installation>>,
+        installation: Option<Box<Installation>>,
     ) {
-        self.sealed += 1;
+        self.last_sealed += 1;
         let batch = PinBatch {
             group: self.group,
             ballot: self.ballot,
-            sequence: self.sealed,
-            installs,
+            sequence: self.last_sealed,
+            installation,
             runs,
             marks,
         };
-        self.retained.insert(self.sealed, batch);
-        self.unsent.push(self.sealed);
+        self.retained.insert(self.last_sealed, batch);
+        self.unsent.push(self.last_sealed);
     }
 
     pub(super) fn ballot(&self) -> Ballot {
@@ -142,79 +142,79 @@
         &self.configuration
     }
 
-    pub(super) fn started(&self) -> Timestamp {
-        self.started
+    pub(super) fn started_at(&self) -> Timestamp {
+        self.started_at
     }
 
-    pub(super) fn sealed(&self) -> u64 {
-        self.sealed
+    pub(super) fn last_sealed(&self) -> u64 {
+        self.last_sealed
     }
 
     /// Whether a majority of the replicas holds a complete copy.
     pub(super) fn serves(&self) -> bool {
-        self.committed >= self.install_end
+        self.last_committed >= self.copy_end
     }
 
     /// True the first time that it is asked.
-    pub(super) fn begin_service(&mut self) -> bool {
-        !std::mem::replace(&mut self.has_begun, true)
+    pub(super) fn start_service(&mut self) -> bool {
+        !std::mem::replace(&mut self.service_started, true)
     }
 
     /// Whether the log may grow: false when replicas have not answered for long.
-    pub(super) fn has_room(&self, limits: LogLimits) -> bool {
-        let outstanding = self.sealed - self.committed;
-        outstanding < limits.unacknowledged as u64 / 2
+    pub(super) fn has_capacity(&self, limits: LogLimits) -> bool {
+        let outstanding = self.last_sealed - self.last_committed;
+        outstanding < limits.unacknowledged_batches as u64 / 2
     }
 
     /// Puts a change into the log; returns the batch that carries it.
     pub(super) fn append(&mut self, key: PinKey, change: PinChange, limits: LogLimits) -> u64 {
-        let sequence = self.sealed + 1;
-        self.filling.insert(key, change);
-        self.uncommitted.insert(key, sequence);
-        if self.filling.len() >= limits.batch {
-            self.close();
+        let sequence = self.last_sealed + 1;
+        self.open_changes.insert(key, change);
+        self.uncommitted_pins.insert(key, sequence);
+        if self.open_changes.len() >= limits.batch_pins {
+            self.seal_batch();
         }
         sequence
     }
 
     /// Puts a mark into the log; returns the batch that carries it.
     pub(super) fn append_mark(&mut self, mark: SettledMark) -> u64 {
-        self.filling_marks.push(mark);
-        self.confirmation()
+        self.open_marks.push(mark);
+        self.request_confirmation()
     }
 
     /// The batch whose commit shows that this node still was the owner after now.
-    pub(super) fn confirmation(&mut self) -> u64 {
-        self.must_seal = true;
-        self.sealed + 1
+    pub(super) fn request_confirmation(&mut self) -> u64 {
+        self.needs_seal = true;
+        self.last_sealed + 1
     }
 
     /// The batch that an uncommitted pin waits for.
-    pub(super) fn waits_for(&self, key: &PinKey) -> Option<u64> {
-        self.uncommitted.get(key).copied()
+    pub(super) fn uncommitted_batch(&self, key: &PinKey) -> Option<u64> {
+        self.uncommitted_pins.get(key).copied()
     }
 
     /// Closes the batch that is being filled, if anything waits for it and the batch before
     /// is committed. One batch on its way at a time gathers what comes in the meantime, so
     /// that a slow replica or a spent budget makes batches larger and not more.
-    pub(super) fn seal(&mut self) {
-        if !self.has_unsealed() || self.sealed > self.committed {
+    pub(super) fn seal_if_ready(&mut self) {
+        if !self.has_open_batch() || self.last_sealed > self.last_committed {
             return;
         }
-        self.close();
+        self.seal_batch();
     }
 
     /// Whether anything waits for the next batch.
-    pub(super) fn has_unsealed(&self) -> bool {
-        !self.filling.is_empty() || self.must_seal
+    pub(super) fn has_open_batch(&self) -> bool {
+        !self.open_changes.is_empty() || self.needs_seal
     }
 
-    fn close(&mut self) {
-        let runs = encode_runs(std::mem::take(&mut self.filling));
-        self.must_seal = false;
-        let marks = std::mem::take(&mut self.filling_marks);
-        self.push(runs, marks, None);
-        self.commit();
+    fn seal_batch(&mut self) {
+        let runs = encode_runs(std::mem::take(&mut self.open_changes));
+        self.needs_seal = false;
+        let marks = std::mem::take(&mut self.open_marks);
+        self.push_batch(runs, marks, None);
+        self.advance_commit();
     }
 
     /// Batches that were never sent, for each other replica.
@@ -237,23 +237,23 @@
 
     /// Batches that were not acknowledged, oldest first, for each other replica that has
     /// acknowledged none since this was last asked.
-    pub(super) fn unacknowledged(
+    pub(super) fn take_stalled_batches(
         &mut self,
         suspected: &BTreeSet<NodeId>,
     ) -> Vec<(NodeId, PinBatch)> {
         let mut messages = Vec::new();
         for replica in self.receivers() {
             let progress = Progress {
-                acknowledged: self.position(replica),
-                sealed: self.sealed,
+                acknowledged: self.acknowledged_by(replica),
+                last_sealed: self.last_sealed,
             };
             let before = self.progress.insert(replica, progress);
-            let is_stalled = before.is_some_and(|before| before.is_stalled_at(progress));
+            let is_stalled = before.is_some_and(|before| before.is_stalled(progress));
             if !is_stalled || suspected.contains(&replica) {
                 continue;
             }
             let batches = self.retained.range(progress.acknowledged + 1..);
-            let batches = batches.take(RESEND_WINDOW);
+            let batches = batches.take(MAX_RESENT_BATCHES);
             messages.extend(batches.map(|(_, batch)| (replica, batch.clone())));
         }
         messages
@@ -267,61 +267,64 @@
 
     /// A replica holds all batches up to `sequence`.
     pub(super) fn acknowledge(&mut self, replica: NodeId, sequence: u64) {
-        if !self.configuration.replicas.contains(&replica) || sequence > self.sealed {
+        if !self.configuration.replicas.contains(&replica) || sequence > self.last_sealed {
             return;
         }
         let last = self.acknowledged.entry(replica).or_default();
         *last = (*last).max(sequence);
-        self.commit();
+        self.advance_commit();
     }
 
-    fn position(&self, replica: NodeId) -> u64 {
+    fn acknowledged_by(&self, replica: NodeId) -> u64 {
         if replica == self.node {
-            return self.sealed;
+            return self.last_sealed;
         }
         self.acknowledged.get(&replica).copied().unwrap_or(0)
     }
 
-    fn commit(&mut self) {
-        let mut next = self.committed;
-        while next < self.sealed {
+    fn advance_commit(&mut self) {
+        let mut next = self.last_committed;
+        while next < self.last_sealed {
             let candidate = next + 1;
-            let holds = |node| self.position(node) >= candidate;
-            if !self.configuration.has_majority(holds) {
+            let has_batch = |node| self.acknowledged_by(node) >= candidate;
+            if !self.configuration.has_majority(has_batch) {
                 break;
             }
             next = candidate;
         }
-        if next > self.committed {
-            self.committed = next;
-            self.uncommitted.retain(|_, sequence| *sequence > next);
+        if next > self.last_committed {
+            self.last_committed = next;
+            self.uncommitted_pins.retain(|_, sequence| *sequence > next);
         }
     }
 
     /// Drops batches that all replicas hold. A replica that is too far behind gets no more of
     /// them: it needs a new copy.
     pub(super) fn trim(&mut self, limits: LogLimits) {
-        while self.retained.len() > limits.unacknowledged && self.serves() {
+        while self.retained.len() > limits.unacknowledged_batches && self.serves() {
             let receivers = self.receivers();
             let Some(slowest) = receivers
                 .into_iter()
-                .min_by_key(|node| self.position(*node))
+                .min_by_key(|node| self.acknowledged_by(*node))
             else {
                 break;
             };
-            if self.position(slowest) >= self.committed {
+            if self.acknowledged_by(slowest) >= self.last_committed {
                 break;
             }
             self.lagging.insert(slowest);
-            self.drop_held_by_all();
+            self.drop_fully_replicated();
         }
-        self.drop_held_by_all();
+        self.drop_fully_replicated();
     }
 
-    fn drop_held_by_all(&mut self) {
+    fn drop_fully_replicated(&mut self) {
         let receivers = self.receivers();
-        let positions = receivers.iter().map(|node| self.position(*node));
-        let all = positions.min().unwrap_or(self.sealed).min(self.committed);
+        let positions = receivers.iter().map(|node| self.acknowledged_by(*node));
+        let all = positions
+            .min()
+            .unwrap_or(self.last_sealed)
+            .min(self.last_committed);
         self.retained = self.retained.split_off(&(all + 1));
     }
 
@@ -330,50 +333,52 @@
     }
 
     /// Holds `item` until batch `sequence` is committed.
-    pub(super) fn hold(&mut self, sequence: u64, item: HeldItem) {
-        self.held.entry(sequence).or_default().push(item);
+    pub(super) fn add_pending(&mut self, sequence: u64, item: PendingItem) {
+        self.pending.entry(sequence).or_default().push(item);
     }
 
     /// Whether a confirmation of the same part to the same node waits already.
-    pub(super) fn holds_receipt(&self, receipt: &HeldReceipt) -> bool {
-        let mut held = self.held.values().flatten();
-        held.any(|item| match item {
-            HeldItem::Receipt(known) => known.to == receipt.to && known.receipt == receipt.receipt,
+    pub(super) fn has_pending_receipt(&self, receipt: &PendingReceipt) -> bool {
+        let mut pending = self.pending.values().flatten();
+        pending.any(|item| match item {
+            PendingItem::Receipt(known) => {
+                known.to == receipt.to && known.receipt == receipt.receipt
+            }
             _ => false,
         })
     }
 
     /// Takes what waited for batches that are committed now.
-    pub(super) fn release(&mut self) -> Vec<HeldItem> {
-        let later = self.held.split_off(&(self.committed + 1));
-        let released = std::mem::replace(&mut self.held, later);
+    pub(super) fn take_committed(&mut self) -> Vec<PendingItem> {
+        let later = self.pending.split_off(&(self.last_committed + 1));
+        let released = std::mem::replace(&mut self.pending, later);
         released.into_values().flatten().collect()
     }
 
     /// Takes what has waited for too long.
-    pub(super) fn expire(&mut self, now: Timestamp) -> Vec<HeldItem> {
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<PendingItem> {
         let mut expired = Vec::new();
-        for items in self.held.values_mut() {
+        for items in self.pending.values_mut() {
             expired.extend(items.extract_if(.., |item| item.deadline() <= now));
         }
-        self.held.retain(|_, items| !items.is_empty());
+        self.pending.retain(|_, items| !items.is_empty());
         expired
     }
 
     /// Takes all that waits.
-    pub(super) fn take_held(&mut self) -> Vec<HeldItem> {
-        let held = std::mem::take(&mut self.held);
-        held.into_values().flatten().collect()
+    pub(super) fn take_pending(&mut self) -> Vec<PendingItem> {
+        let pending = std::mem::take(&mut self.pending);
+        pending.into_values().flatten().collect()
     }
 
-    pub(super) fn count_opened(&mut self, pinned: Pinned) {
-        if let Pinned::Backend(backend) = pinned {
+    pub(super) fn count_opened(&mut self, destination: PinDestination) {
+        if let PinDestination::Backend(backend) = destination {
             *self.open_flows.entry(backend).or_default() += 1;
         }
     }
 
-    pub(super) fn count_ended(&mut self, pinned: Pinned) {
-        let Pinned::Backend(backend) = pinned else {
+    pub(super) fn count_ended(&mut self, destination: PinDestination) {
+        let PinDestination::Backend(backend) = destination else {
             return;
         };
         if let Some(count) = self.open_flows.get_mut(&backend) {
--- a/crates/bellyoke-core/src/node/ownership/message.rs
+++ b/crates/bellyoke-core/src/node/ownership/message.rs
@@ -16,7 +16,7 @@
     /// From the owner: where relayed flows are.
     Learned(Vec<LearnedFlow>),
     /// From a node that is not the owner: who is taken to be.
-    Owners(Vec<OwnerHint>),
+    OwnerHints(Vec<OwnerHint>),
     /// From the owner: pins to keep.
     Replicate(Vec<PinBatch>),
     /// From a replica: pins that it keeps.
@@ -40,7 +40,7 @@
     /// From the owner: the flows are on a majority of replicas.
     HandoverConfirmed(Vec<HandoverReceipt>),
     /// To the owner: flows that ended.
-    Ended(Vec<FlowPlace>),
+    EndedFlows(Vec<FlowPlace>),
     /// To the owner: settled buckets.
     Settled(Box<SettledReport>),
     /// From the owner: the round that the next report should name.
@@ -90,7 +90,7 @@
     /// Counts the batches of the ballot, from 1.
     pub sequence: u64,
     /// Set on the batch that completes the copy of the group.
-    pub installs: Option<Box<Installation>>,
+    pub installation: Option<Box<Installation>>,
     /// The pins.
     pub runs: Vec<PinRun>,
     /// Buckets that became settled.
@@ -114,7 +114,7 @@
     pub configuration: Configuration,
     /// Pins of buckets that were contested before this generation may have been lost; 0 when
     /// none were.
-    pub lost_before: GenerationNumber,
+    pub pins_lost_before: GenerationNumber,
 }
 
 /// How far a replica's copy of a group goes.
@@ -173,7 +173,7 @@
     /// All settled buckets of the group.
     pub marks: Vec<SettledMark>,
     /// Whether more follow.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// Which replicas hold the pins of a group.
--- a/crates/bellyoke-core/src/node/ownership/mod.rs
+++ b/crates/bellyoke-core/src/node/ownership/mod.rs
@@ -5,20 +5,21 @@
 mod assignment;
 mod backoff;
 mod ballot;
+mod claim;
 mod cluster;
-mod collection;
 mod decision;
 mod early_handovers;
 mod effect;
 mod group;
 mod handover;
-mod held;
 mod leader;
 mod message;
 mod outbox;
 mod owner;
 mod pause;
+mod pending;
 mod pin;
+mod pin_sweep;
 pub mod placement;
 mod relay;
 mod replication;
@@ -26,7 +27,6 @@
 mod settings;
 mod settlement;
 mod takeover;
-mod upkeep;
 
 pub use assignment::Assignment;
 pub use ballot::{Ballot, Configuration, LogPosition};
@@ -37,7 +37,7 @@
     OwnerHint, OwnershipMessage, PinBatch, PrepareRequest, RelayedPacket, ReplicaAnnouncement,
     ReplicaPosition, ReplicaPromise, SettledEntry, SettledReport,
 };
-pub use pin::{EncodedPin, PinChange, PinKey, PinRun, Pinned, SettledMark, ShortHash};
+pub use pin::{EncodedPin, PinChange, PinDestination, PinKey, PinRun, SettledMark, ShortHash};
 pub use placement::LoadReport;
 pub use settings::{Ablation, OwnershipSettings};
 
@@ -46,17 +46,17 @@
 use crate::identity::{BackendId, GenerationNumber, GroupIndex, NodeId};
 use crate::node::{AdoptionReport, EscalatedPacket};
 use crate::time::Timestamp;
-use cluster::{Cluster, Observed};
+use cluster::{Cluster, MembershipView};
 use early_handovers::EarlyHandovers;
-use group::{Group, Role};
+use group::{GroupState, Role};
 use handover::Handovers;
-use held::WaitingBudget;
 use outbox::Outbox;
 use pause::PauseDetector;
+use pending::PacketBudget;
 use placement::LoadReports;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use relay::Waiting;
+use relay::PacketQueue;
 use settlement::Settlement;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -71,17 +71,17 @@
     node: NodeId,
     settings: OwnershipSettings,
     cluster: Option<Cluster>,
-    observed: Observed,
-    groups: BTreeMap<GroupIndex, Group>,
+    membership: MembershipView,
+    groups: BTreeMap<GroupIndex, GroupState>,
     /// The generation that the traffic threads forward by.
-    forwards_by: GenerationNumber,
+    forwarding_generation: GenerationNumber,
     /// Groups with batches that are being filled.
-    active: BTreeSet<GroupIndex>,
+    active_groups: BTreeSet<GroupIndex>,
     handovers: Handovers,
     settlement: Settlement,
-    waiting: Waiting,
+    queue: PacketQueue,
     early_handovers: EarlyHandovers,
-    budget: WaitingBudget,
+    packet_budget: PacketBudget,
     owned_pins: usize,
     load_reports: LoadReports,
     random: ChaCha8Rng,
@@ -90,7 +90,7 @@
     loopback: VecDeque<OwnershipMessage>,
     effects: Vec<OwnershipEffect>,
     counters: OwnershipCounters,
-    pauses: PauseDetector,
+    pause_detector: PauseDetector,
     flush_at: Option<Timestamp>,
     retry_at: Option<Timestamp>,
     sweep_at: Option<Timestamp>,
@@ -100,20 +100,21 @@
     /// A node that knows no generation yet.
     #[must_use]
     pub fn new(node: NodeId, settings: OwnershipSettings) -> Self {
-        let budget = WaitingBudget::new(settings.max_waiting_packets, settings.max_waiting_bytes);
+        let packet_budget =
+            PacketBudget::new(settings.max_queued_packets, settings.max_queued_bytes);
         Self {
             node,
             settings,
             cluster: None,
-            observed: Observed::default(),
+            membership: MembershipView::default(),
             groups: BTreeMap::new(),
-            forwards_by: GenerationNumber(0),
-            active: BTreeSet::new(),
+            forwarding_generation: GenerationNumber(0),
+            active_groups: BTreeSet::new(),
             handovers: Handovers::default(),
             settlement: Settlement::default(),
-            waiting: Waiting::new(),
+            queue: PacketQueue::new(),
             early_handovers: EarlyHandovers::default(),
-            budget,
+            packet_budget,
             owned_pins: 0,
             load_reports: LoadReports::default(),
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ node.0),
@@ -121,7 +122,7 @@
             loopback: VecDeque::new(),
             effects: Vec::new(),
             counters: OwnershipCounters::default(),
-            pauses: PauseDetector::default(),
+            pause_detector: PauseDetector::default(),
             flush_at: None,
             retry_at: None,
             sweep_at: None,
@@ -143,7 +144,7 @@
     /// Whether this node serves as the owner of `group`.
     #[must_use]
     pub fn is_serving(&self, group: GroupIndex) -> bool {
-        match self.groups.get(&group).map(|held| &held.role) {
+        match self.groups.get(&group).map(|state| &state.role) {
             Some(Role::Leading(leader)) => leader.serves(),
             _ => false,
         }
@@ -153,12 +154,16 @@
     /// may stop.
     #[must_use]
     pub fn is_drained(&self) -> bool {
-        let holds_none = |group: &Group| group.acceptor.installed().is_none();
+        let holds_none = |group: &GroupState| group.acceptor.installed().is_none();
         self.handovers.is_done() && self.groups.values().all(holds_none)
     }
 
     /// This node learned a generation. Older ones are ignored.
-    pub fn adopt(&mut self, now: Timestamp, generation: &Arc<Generation>) -> Vec<OwnershipEffect> {
+    pub fn apply_generation(
+        &mut self,
+        now: Timestamp,
+        generation: &Arc<Generation>,
+    ) -> Vec<OwnershipEffect> {
         match &mut self.cluster {
             Some(cluster) if cluster.number() >= generation.number => return Vec::new(),
             Some(cluster) => cluster.advance(generation),
@@ -169,21 +174,25 @@
             .iter()
             .flat_map(|known| known.assignment.groups());
         for group in groups.collect::<Vec<_>>() {
-            self.adopt_group(now, group);
+            self.apply_generation_to_group(now, group);
         }
         if let Some(cluster) = &self.cluster {
-            self.observed.trim(cluster);
+            self.membership.trim_suspected(cluster);
         }
         self.trim_settlement();
-        self.retry_waiting(now);
-        self.take_early_handovers(now);
+        self.retry_queued_packets(now);
+        self.apply_early_handovers(now);
         self.finish(now)
     }
 
     /// The traffic threads switched to a generation.
-    pub fn adopted(&mut self, now: Timestamp, report: AdoptionReport) -> Vec<OwnershipEffect> {
-        self.forwards_by = self.forwards_by.max(report.generation);
-        self.hand_over(now, report);
+    pub fn handle_adoption(
+        &mut self,
+        now: Timestamp,
+        report: AdoptionReport,
+    ) -> Vec<OwnershipEffect> {
+        self.forwarding_generation = self.forwarding_generation.max(report.generation);
+        self.start_handover(now, report);
         self.finish(now)
     }
 
@@ -194,14 +203,18 @@
         from: NodeId,
         message: OwnershipMessage,
     ) -> Vec<OwnershipEffect> {
-        self.note_time(now);
+        self.detect_pause(now);
         self.dispatch(now, from, message);
         self.finish(now)
     }
 
     /// A traffic thread could not decide a packet.
-    pub fn escalated(&mut self, now: Timestamp, packet: EscalatedPacket) -> Vec<OwnershipEffect> {
-        self.note_time(now);
+    pub fn handle_escalation(
+        &mut self,
+        now: Timestamp,
+        packet: EscalatedPacket,
+    ) -> Vec<OwnershipEffect> {
+        self.detect_pause(now);
         let generation = self
             .cluster
             .as_ref()
@@ -220,28 +233,32 @@
     /// The buckets in which the traffic threads have seen no flow off target for the idle
     /// time: all of them, so that a bucket that is missing isn't settled any more. The threads
     /// judge by the targets of the generation that [`Self::adopted`] named last.
-    pub fn settled(&mut self, now: Timestamp, buckets: Vec<SettledBucket>) -> Vec<OwnershipEffect> {
+    pub fn update_settled_buckets(
+        &mut self,
+        now: Timestamp,
+        buckets: Vec<SettledBucket>,
+    ) -> Vec<OwnershipEffect> {
         self.report_settled(now, &buckets);
         self.finish(now)
     }
 
     /// A peer is suspected or has failed.
     pub fn member_failed(&mut self, now: Timestamp, node: NodeId) -> Vec<OwnershipEffect> {
-        self.observed.suspected.insert(node);
+        self.membership.suspected.insert(node);
         let groups: Vec<GroupIndex> = self.groups.keys().copied().collect();
         for group in groups {
-            if let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) {
-                collection.forget(node);
+            if let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) {
+                claim.remove_promise(node);
             }
-            self.consider(now, group);
+            self.claim_if_needed(now, group);
         }
-        self.retry_waiting(now);
+        self.retry_queued_packets(now);
         self.finish(now)
     }
 
     /// A peer that was suspected is alive.
     pub fn member_alive(&mut self, now: Timestamp, node: NodeId) -> Vec<OwnershipEffect> {
-        self.observed.suspected.remove(&node);
+        self.membership.suspected.remove(&node);
         self.finish(now)
     }
 
@@ -251,24 +268,24 @@
         now: Timestamp,
         generation: GenerationNumber,
     ) -> Vec<OwnershipEffect> {
-        self.observed.barrier = self.observed.barrier.max(generation);
+        self.membership.barrier = self.membership.barrier.max(generation);
         self.finish(now)
     }
 
     /// A backend says how loaded it is.
-    pub fn load_reported(&mut self, now: Timestamp, backend: BackendId, load: LoadReport) {
+    pub fn record_load(&mut self, now: Timestamp, backend: BackendId, load: LoadReport) {
         self.load_reports.record(now, backend, load);
     }
 
     /// A flow in a contested bucket has ended.
     pub fn flow_ended(&mut self, now: Timestamp, place: FlowPlace) -> Vec<OwnershipEffect> {
-        self.report_end(now, place);
+        self.report_flow_end(now, place);
         self.finish(now)
     }
 
     /// The time that [`Self::next_timeout`] named has come.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<OwnershipEffect> {
-        self.note_time(now);
+        self.detect_pause(now);
         if self.sweep_at.take_if(|due| *due <= now).is_some() {
             self.sweep(now);
         }
@@ -292,32 +309,46 @@
     fn dispatch(&mut self, now: Timestamp, from: NodeId, message: OwnershipMessage) {
         use OwnershipMessage as Message;
         match message {
-            Message::Relay(relayed) => self.relayed(now, from, *relayed),
-            Message::Learned(flows) => self.learn(&flows),
-            Message::Owners(hints) => each(hints, |hint| self.heard_of_owner(hint)),
-            Message::Replicate(batches) => each(batches, |batch| self.replicate(now, from, batch)),
-            Message::Replicated(all) => each(all, |position| self.replicated(now, from, position)),
-            Message::Superseded(hints) => each(hints, |hint| self.superseded(now, hint)),
-            Message::Prepare(requests) => each(requests, |request| self.prepare(from, request)),
-            Message::Promise(all) => each(all, |promise| self.promised(now, from, promise)),
-            Message::Fetch(request) => self.fetch(from, *request),
-            Message::Fetched(page) => self.fetched(now, &page),
-            Message::Announce(all) => each(all, |copy| self.announced(now, from, copy)),
-            Message::Installed(all) => each(all, |copy| self.retired(&copy)),
-            Message::Handover(parts) => each(parts, |part| self.handed_over(now, from, part)),
-            Message::HandoverConfirmed(all) => each(all, |part| self.handover_confirmed(now, part)),
-            Message::Ended(places) => self.ended(now, places),
-            Message::Settled(report) => self.settled_elsewhere(now, from, &report),
-            Message::SettledRound(round) => self.settled_round(from, round),
+            Message::Relay(relayed) => self.handle_relay(now, from, *relayed),
+            Message::Learned(flows) => self.handle_learned_flows(&flows),
+            Message::OwnerHints(hints) => for_each(hints, |hint| self.handle_owner_hint(hint)),
+            Message::Replicate(batches) => {
+                for_each(batches, |batch| self.handle_pin_batch(now, from, batch))
+            }
+            Message::Replicated(all) => for_each(all, |position| {
+                self.handle_replica_position(now, from, position)
+            }),
+            Message::Superseded(hints) => for_each(hints, |hint| self.handle_superseded(now, hint)),
+            Message::Prepare(requests) => {
+                for_each(requests, |request| self.handle_prepare(from, request))
+            }
+            Message::Promise(all) => {
+                for_each(all, |promise| self.handle_promise(now, from, promise))
+            }
+            Message::Fetch(request) => self.handle_fetch(from, *request),
+            Message::Fetched(page) => self.handle_fetched_pins(now, &page),
+            Message::Announce(all) => {
+                for_each(all, |copy| self.handle_announcement(now, from, copy))
+            }
+            Message::Installed(all) => for_each(all, |copy| self.handle_installed(&copy)),
+            Message::Handover(parts) => {
+                for_each(parts, |part| self.handle_handover(now, from, part))
+            }
+            Message::HandoverConfirmed(all) => {
+                for_each(all, |part| self.handle_handover_confirmation(now, part))
+            }
+            Message::EndedFlows(places) => self.handle_ended_flows(now, places),
+            Message::Settled(report) => self.handle_settled_report(now, from, &report),
+            Message::SettledRound(round) => self.handle_settled_round(from, round),
         }
     }
 
-    fn learn(&mut self, flows: &[LearnedFlow]) {
-        let learn = |flow: &LearnedFlow| OwnershipEffect::Learn {
+    fn handle_learned_flows(&mut self, flows: &[LearnedFlow]) {
+        let effect = |flow: &LearnedFlow| OwnershipEffect::Learn {
             place: flow.place,
             backend: flow.backend,
         };
-        self.effects.extend(flows.iter().map(learn));
+        self.effects.extend(flows.iter().map(effect));
     }
 
     /// Sends a message at once.
@@ -337,22 +368,22 @@
             self.retry_group(now, *group);
         }
         self.claim_unused(now, &groups);
-        self.retry_waiting(now);
+        self.retry_queued_packets(now);
     }
 
     fn retry_group(&mut self, now: Timestamp, group: GroupIndex) {
-        self.abandon_overdue(now, group);
-        self.drop_overdue(now, group);
+        self.abandon_overdue_claim(now, group);
+        self.drop_expired_items(now, group);
         let interval = self.settings.retry_interval;
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        if held.retry.is_due(now, interval, &mut self.random) {
-            self.ask_for_promises(group);
-            self.retry_replication(now, group);
+        if state.retry_backoff.is_due(now, interval, &mut self.random) {
+            self.send_claim_requests(group);
+            self.resend_batches(now, group);
         }
-        self.announce_again(now, group);
-        self.consider(now, group);
+        self.retry_announcement(now, group);
+        self.claim_if_needed(now, group);
     }
 
     /// Handles this node's messages to itself, and sets the timers.
@@ -368,7 +399,7 @@
         if self.cluster.is_none() {
             return;
         }
-        if !self.active.is_empty() || !self.outbox.is_empty() {
+        if !self.active_groups.is_empty() || !self.outbox.is_empty() {
             self.flush_at
                 .get_or_insert(now.after(self.settings.batch_delay));
         }
@@ -378,6 +409,6 @@
     }
 }
 
-fn each<T>(entries: Vec<T>, handle: impl FnMut(T)) {
+fn for_each<T>(entries: Vec<T>, handle: impl FnMut(T)) {
     entries.into_iter().for_each(handle);
 }
--- a/crates/bellyoke-core/src/node/ownership/outbox.rs
+++ b/crates/bellyoke-core/src/node/ownership/outbox.rs
@@ -27,9 +27,10 @@
 impl EncodedSize for PinBatch {
     fn encoded_size(&self) -> usize {
         let runs = self.runs.iter().map(|run| 16 + 16 * run.pins.len());
-        let installs = self.installs.iter();
-        let installs = installs.map(|installed| 8 + configuration_size(&installed.configuration));
-        64 + 32 * self.marks.len() + runs.sum::<usize>() + installs.sum::<usize>()
+        let installation = self.installation.iter();
+        let installation =
+            installation.map(|installed| 8 + configuration_size(&installed.configuration));
+        64 + 32 * self.marks.len() + runs.sum::<usize>() + installation.sum::<usize>()
     }
 }
 
@@ -196,7 +197,11 @@
         pack(&mut messages, positions, Message::Replicated);
         let superseded = self.superseded.into_values();
         pack(&mut messages, superseded, Message::Superseded);
-        pack(&mut messages, self.owners.into_values(), Message::Owners);
+        pack(
+            &mut messages,
+            self.owners.into_values(),
+            Message::OwnerHints,
+        );
         pack(&mut messages, self.prepare.into_values(), Message::Prepare);
         pack(&mut messages, self.promises.into_values(), Message::Promise);
         let announcements = self.announcements.into_values();
@@ -204,7 +209,7 @@
         let installed = self.installed.into_values();
         pack(&mut messages, installed, Message::Installed);
         pack(&mut messages, self.learned, Message::Learned);
-        pack(&mut messages, self.ended, Message::Ended);
+        pack(&mut messages, self.ended, Message::EndedFlows);
         pack(&mut messages, self.handovers, Message::Handover);
         pack(&mut messages, self.confirmed, Message::HandoverConfirmed);
         messages
--- a/crates/bellyoke-core/src/node/ownership/owner.rs
+++ b/crates/bellyoke-core/src/node/ownership/owner.rs
@@ -2,12 +2,12 @@
 
 use super::Ownership;
 use super::cluster::Cluster;
-use super::decision::{BucketState, DropCause, Unpinned, decide_unpinned};
+use super::decision::{BucketState, DropCause, UnpinnedDecision, decide_unpinned};
 use super::effect::OwnershipEffect;
-use super::held::{HeldItem, HeldPacket, HeldReceipt, Verdict};
 use super::leader::Leader;
 use super::message::{HandoverBatch, LearnedFlow, OwnershipMessage, RelayedPacket};
-use super::pin::{Pin, PinChange, PinKey, Pinned, SettledMark, decode_runs};
+use super::pending::{PacketAction, PendingItem, PendingPacket, PendingReceipt};
+use super::pin::{Pin, PinChange, PinDestination, PinKey, SettledMark, decode_runs};
 use super::placement::{BackendSelection, Candidate, Hashed, LeastLoaded};
 use super::settings::Ablation;
 use crate::flow::{EscalationKind, FlowPlace, SettledBucket};
@@ -18,11 +18,11 @@
 
 /// The next step for a packet at its owner.
 enum Step {
-    Execute(Verdict),
-    Hold(u64, Verdict),
+    Execute(PacketAction),
+    AwaitCommit(u64, PacketAction),
     Drop(DropCause),
     PinsFull,
-    NoRoom,
+    LogFull,
     UnknownPlace,
     AwaitGeneration,
 }
@@ -31,107 +31,113 @@
     /// Decides a packet as the serving owner of `group`.
     pub(super) fn decide(&mut self, now: Timestamp, group: GroupIndex, relayed: RelayedPacket) {
         self.counters.decided += 1;
-        self.active.insert(group);
+        self.active_groups.insert(group);
         match self.next_step(now, group, &relayed) {
-            Step::Execute(verdict) => {
+            Step::Execute(action) => {
                 let place = relayed.escalation.place;
-                self.execute(relayed.origin, place, verdict, relayed.packet);
+                self.execute(relayed.origin, place, action, relayed.packet);
+            }
+            Step::AwaitCommit(sequence, action) => {
+                self.hold_until_commit(now, group, sequence, action, relayed)
             }
-            Step::Hold(sequence, verdict) => self.hold(now, group, sequence, verdict, relayed),
             Step::Drop(DropCause::BaseDead) => self.counters.dropped.base_dead += 1,
             Step::Drop(DropCause::GenerationSkew) => self.counters.dropped.generation_skew += 1,
             Step::PinsFull => self.counters.dropped.pins_full += 1,
-            Step::NoRoom => self.counters.dropped.queue_full += 1,
+            Step::LogFull => self.counters.dropped.queue_full += 1,
             Step::UnknownPlace => self.counters.dropped.unknown_place += 1,
-            Step::AwaitGeneration => self.wait(now, relayed),
+            Step::AwaitGeneration => self.queue_packet(now, relayed),
         }
     }
 
     fn next_step(&mut self, now: Timestamp, group: GroupIndex, relayed: &RelayedPacket) -> Step {
         let key = PinKey::from(relayed.escalation.place);
-        if let Some(pin) = self.touch(now, group, &key) {
-            return self.step_for_pin(group, &key, relayed.escalation.place, pin);
+        if let Some(pin) = self.touch_pin(now, group, &key) {
+            return self.step_for_pinned(group, &key, relayed.escalation.place, pin);
         }
-        let Some(decision) = self.decide_without_pin(group, relayed) else {
+        let Some(decision) = self.decide_unpinned_packet(group, relayed) else {
             return Step::UnknownPlace;
         };
         match decision {
-            Unpinned::PinToBase(base) => self.pin(
+            UnpinnedDecision::PinToBase(base) => self.pin_flow(
                 now,
                 group,
                 key,
-                Pinned::Backend(base),
-                Verdict::Forward(base),
+                PinDestination::Backend(base),
+                PacketAction::Forward(base),
             ),
-            Unpinned::Place => self.place(now, group, relayed.escalation.place),
-            Unpinned::Confirm(verdict) => self.confirm(group, verdict),
-            Unpinned::Drop(cause) => Step::Drop(cause),
-            Unpinned::AwaitGeneration => Step::AwaitGeneration,
+            UnpinnedDecision::Place => self.place_flow(now, group, relayed.escalation.place),
+            UnpinnedDecision::Confirm(action) => self.confirm_ownership(group, action),
+            UnpinnedDecision::Drop(cause) => Step::Drop(cause),
+            UnpinnedDecision::AwaitGeneration => Step::AwaitGeneration,
         }
     }
 
-    fn touch(&mut self, now: Timestamp, group: GroupIndex, key: &PinKey) -> Option<Pin> {
+    fn touch_pin(&mut self, now: Timestamp, group: GroupIndex, key: &PinKey) -> Option<Pin> {
         let pins = self.groups.get_mut(&group)?.acceptor.pins_mut();
         let pin = pins.get_mut(key)?;
         pin.last_used = now;
         Some(*pin)
     }
 
-    fn step_for_pin(
+    fn step_for_pinned(
         &mut self,
         group: GroupIndex,
         key: &PinKey,
         place: FlowPlace,
         pin: Pin,
     ) -> Step {
-        let verdict = match pin.pinned {
-            Pinned::Refused => Verdict::Refuse(RefusalReason::NoBackend),
-            Pinned::Backend(backend) if self.backend_serves(backend, place) => {
-                Verdict::Forward(backend)
+        let action = match pin.destination {
+            PinDestination::Refused => PacketAction::Refuse(RefusalReason::NoBackend),
+            PinDestination::Backend(backend) if self.backend_accepts_packets(backend, place) => {
+                PacketAction::Forward(backend)
             }
-            Pinned::Backend(backend) if self.is_numbered(backend) => Verdict::Reset,
-            Pinned::Backend(_) => return Step::AwaitGeneration,
+            PinDestination::Backend(backend) if self.has_allocated(backend) => PacketAction::Reset,
+            PinDestination::Backend(_) => return Step::AwaitGeneration,
         };
         let leader = self.groups.get_mut(&group).and_then(|group| group.leader());
-        match leader.and_then(|leader| leader.waits_for(key)) {
-            Some(sequence) if self.waits_for_replicas() => Step::Hold(sequence, verdict),
-            _ => Step::Execute(verdict),
+        match leader.and_then(|leader| leader.uncommitted_batch(key)) {
+            Some(sequence) if self.requires_replication() => Step::AwaitCommit(sequence, action),
+            _ => Step::Execute(action),
         }
     }
 
-    fn backend_serves(&self, backend: BackendId, place: FlowPlace) -> bool {
+    fn backend_accepts_packets(&self, backend: BackendId, place: FlowPlace) -> bool {
         let cluster = self.cluster.as_ref();
-        cluster.is_some_and(|cluster| cluster.serves(backend, place.service))
+        cluster.is_some_and(|cluster| cluster.accepts_packets(backend, place.service))
     }
 
-    fn is_numbered(&self, backend: BackendId) -> bool {
+    fn has_allocated(&self, backend: BackendId) -> bool {
         let cluster = self.cluster.as_ref();
-        cluster.is_some_and(|cluster| cluster.is_numbered(backend))
+        cluster.is_some_and(|cluster| cluster.has_allocated(backend))
     }
 
-    fn waits_for_replicas(&self) -> bool {
+    fn requires_replication(&self) -> bool {
         self.settings.ablation != Ablation::NoPinReplication
     }
 
-    fn decide_without_pin(&self, group: GroupIndex, relayed: &RelayedPacket) -> Option<Unpinned> {
+    fn decide_unpinned_packet(
+        &self,
+        group: GroupIndex,
+        relayed: &RelayedPacket,
+    ) -> Option<UnpinnedDecision> {
         let cluster = self.cluster.as_ref()?;
         let (service, bucket) = cluster.bucket(relayed.escalation.place)?;
         let installed = self.groups.get(&group)?.acceptor.installed();
-        let lost_before = installed.map_or(cluster.number(), |copy| copy.lost_before);
+        let pins_lost_before = installed.map_or(cluster.number(), |copy| copy.pins_lost_before);
         let settled = SettledBucket {
             service: service.id,
             bucket: relayed.escalation.place.bucket,
         };
-        let mark = self.groups.get(&group)?.acceptor.pins().mark_of(settled);
-        let holds = |mark: &SettledMark| {
+        let mark = self.groups.get(&group)?.acceptor.pins().mark(settled);
+        let is_current = |mark: &SettledMark| {
             mark.contested_since == bucket.contested_since && mark.target == bucket.target
         };
-        let no_wait = self.settings.ablation == Ablation::NoBarrierWait;
+        let skips_barrier = self.settings.ablation == Ablation::NoBarrierWait;
         let state = BucketState {
-            barrier_passed: no_wait || bucket.contested_since <= self.observed.barrier,
-            pins_lost: bucket.contested_since < lost_before,
-            is_settled: mark.as_ref().is_some_and(holds),
-            relayed_under: relayed.generation,
+            barrier_passed: skips_barrier || bucket.contested_since <= self.membership.barrier,
+            pins_lost: bucket.contested_since < pins_lost_before,
+            is_settled: mark.as_ref().is_some_and(is_current),
+            relay_generation: relayed.generation,
         };
         Some(decide_unpinned(
             cluster,
@@ -142,26 +148,26 @@
         ))
     }
 
-    fn confirm(&mut self, group: GroupIndex, verdict: Verdict) -> Step {
+    fn confirm_ownership(&mut self, group: GroupIndex, action: PacketAction) -> Step {
         if self.settings.ablation == Ablation::NoReadConfirmation {
-            return Step::Execute(verdict);
+            return Step::Execute(action);
         }
         match self.groups.get_mut(&group).and_then(|group| group.leader()) {
-            Some(leader) => Step::Hold(leader.confirmation(), verdict),
-            None => Step::NoRoom,
+            Some(leader) => Step::AwaitCommit(leader.request_confirmation(), action),
+            None => Step::LogFull,
         }
     }
 
-    fn place(&mut self, now: Timestamp, group: GroupIndex, place: FlowPlace) -> Step {
+    fn place_flow(&mut self, now: Timestamp, group: GroupIndex, place: FlowPlace) -> Step {
         let key = PinKey::from(place);
         match self.select(now, group, place) {
             Some(backend) => {
-                let pinned = Pinned::Backend(backend);
-                self.pin(now, group, key, pinned, Verdict::Forward(backend))
+                let destination = PinDestination::Backend(backend);
+                self.pin_flow(now, group, key, destination, PacketAction::Forward(backend))
             }
             None => {
-                let verdict = Verdict::Refuse(RefusalReason::NoBackend);
-                self.pin(now, group, key, Pinned::Refused, verdict)
+                let action = PacketAction::Refuse(RefusalReason::NoBackend);
+                self.pin_flow(now, group, key, PinDestination::Refused, action)
             }
         }
     }
@@ -179,15 +185,15 @@
         if service.placement == Placement::Hashed {
             let target = bucket
                 .target
-                .filter(|target| cluster.opens(*target, service.id));
+                .filter(|target| cluster.accepts_flows(*target, service.id));
             let candidates: Vec<Candidate> =
                 target.iter().map(|target| candidate(*target, 1)).collect();
             return Hashed { target }.select(&candidates);
         }
-        let takes_flows = |share: &&crate::generation::ServiceBackend| {
-            share.weight > 0 && cluster.opens(share.backend, service.id)
+        let accepts_flows = |share: &&crate::generation::ServiceBackend| {
+            share.weight > 0 && cluster.accepts_flows(share.backend, service.id)
         };
-        let shares = service.backends.iter().filter(takes_flows);
+        let shares = service.backends.iter().filter(accepts_flows);
         let candidates: Vec<Candidate> = shares
             .map(|share| candidate(share.backend, share.weight))
             .collect();
@@ -196,117 +202,117 @@
     }
 
     /// Pins a flow and has the packet wait for a majority of the replicas.
-    fn pin(
+    fn pin_flow(
         &mut self,
         now: Timestamp,
         group: GroupIndex,
         key: PinKey,
-        pinned: Pinned,
-        verdict: Verdict,
+        destination: PinDestination,
+        action: PacketAction,
     ) -> Step {
         if self.owned_pins >= self.settings.max_pins {
             return Step::PinsFull;
         }
         let limits = self.log_limits();
-        let Some(held) = self.groups.get_mut(&group) else {
-            return Step::NoRoom;
+        let Some(state) = self.groups.get_mut(&group) else {
+            return Step::LogFull;
         };
-        let Some(leader) = held.leader().filter(|leader| leader.has_room(limits)) else {
-            return Step::NoRoom;
+        let Some(leader) = state.leader().filter(|leader| leader.has_capacity(limits)) else {
+            return Step::LogFull;
         };
-        let change = PinChange::pinned(pinned);
+        let change = PinChange::set(destination);
         let sequence = leader.append(key, change, limits);
-        leader.count_opened(pinned);
-        held.acceptor.pins_mut().change(now, key, change);
+        leader.count_opened(destination);
+        state.acceptor.pins_mut().apply_change(now, key, change);
         self.owned_pins += 1;
-        match pinned {
-            Pinned::Backend(_) => self.counters.pinned += 1,
-            Pinned::Refused => self.counters.refused += 1,
+        match destination {
+            PinDestination::Backend(_) => self.counters.pinned += 1,
+            PinDestination::Refused => self.counters.refused += 1,
         }
-        if self.waits_for_replicas() {
-            return Step::Hold(sequence, verdict);
+        if self.requires_replication() {
+            return Step::AwaitCommit(sequence, action);
         }
-        Step::Execute(verdict)
+        Step::Execute(action)
     }
 
-    fn hold(
+    fn hold_until_commit(
         &mut self,
         now: Timestamp,
         group: GroupIndex,
         sequence: u64,
-        verdict: Verdict,
+        action: PacketAction,
         relayed: RelayedPacket,
     ) {
-        if !self.budget.take(&relayed.packet) {
+        if !self.packet_budget.take(&relayed.packet) {
             self.counters.dropped.queue_full += 1;
             return;
         }
-        let held = HeldPacket {
+        let pending = PendingPacket {
             origin: relayed.origin,
             escalation: relayed.escalation,
-            verdict,
+            action,
             packet: relayed.packet,
-            deadline: now.after(self.settings.packet_wait),
+            deadline: now.after(self.settings.packet_timeout),
         };
         if let Some(leader) = self.groups.get_mut(&group).and_then(|group| group.leader()) {
-            leader.hold(sequence, HeldItem::Packet(held));
+            leader.add_pending(sequence, PendingItem::Packet(pending));
         }
     }
 
     /// Carries out what waited for a majority.
-    pub(super) fn release(&mut self, group: GroupIndex) {
+    pub(super) fn complete_committed(&mut self, group: GroupIndex) {
         let number = self.cluster.as_ref().map(Cluster::number);
         let Some(leader) = self.groups.get_mut(&group).and_then(|group| group.leader()) else {
             return;
         };
         let mut clean = Vec::new();
-        for item in leader.release() {
+        for item in leader.take_committed() {
             match item {
-                HeldItem::Packet(held) => {
-                    self.budget.give_back(&held.packet);
-                    let place = held.escalation.place;
-                    self.execute(held.origin, place, held.verdict, held.packet);
+                PendingItem::Packet(pending) => {
+                    self.packet_budget.give_back(&pending.packet);
+                    let place = pending.escalation.place;
+                    self.execute(pending.origin, place, pending.action, pending.packet);
                 }
-                HeldItem::Receipt(held) => {
-                    self.confirm_handover(held);
+                PendingItem::Receipt(pending) => {
+                    self.confirm_handover(pending);
                 }
-                HeldItem::Clean(held) if Some(held.decided_under) == number => {
-                    clean.push(held.settled);
+                PendingItem::Clean(pending) if Some(pending.decided_under) == number => {
+                    clean.push(pending.settled);
                 }
-                HeldItem::Clean(_) => {}
+                PendingItem::Clean(_) => {}
             }
         }
         if !clean.is_empty() {
-            self.effects.push(OwnershipEffect::Clean(clean));
+            self.effects.push(OwnershipEffect::MarkClean(clean));
         }
     }
 
-    fn confirm_handover(&mut self, held: HeldReceipt) {
-        if held.to == self.node {
-            let message = OwnershipMessage::HandoverConfirmed(vec![held.receipt]);
-            self.send(held.to, message);
+    fn confirm_handover(&mut self, pending: PendingReceipt) {
+        if pending.to == self.node {
+            let message = OwnershipMessage::HandoverConfirmed(vec![pending.receipt]);
+            self.send(pending.to, message);
         } else {
-            self.outbox.confirmed(held.to, held.receipt);
+            self.outbox.confirmed(pending.to, pending.receipt);
         }
     }
 
-    fn execute(&mut self, origin: NodeId, place: FlowPlace, verdict: Verdict, packet: Vec<u8>) {
-        match verdict {
-            Verdict::Forward(backend) => {
-                self.learned(origin, LearnedFlow { place, backend });
+    fn execute(&mut self, origin: NodeId, place: FlowPlace, action: PacketAction, packet: Vec<u8>) {
+        match action {
+            PacketAction::Forward(backend) => {
+                self.report_learned_flow(origin, LearnedFlow { place, backend });
                 self.effects
                     .push(OwnershipEffect::Forward { backend, packet });
             }
-            Verdict::Refuse(reason) => self.effects.push(OwnershipEffect::Refuse {
+            PacketAction::Refuse(reason) => self.effects.push(OwnershipEffect::Refuse {
                 service: place.service,
                 reason,
                 packet,
             }),
-            Verdict::Reset => self.effects.push(OwnershipEffect::Reset { packet }),
+            PacketAction::Reset => self.effects.push(OwnershipEffect::Reset { packet }),
         }
     }
 
-    fn learned(&mut self, origin: NodeId, learned: LearnedFlow) {
+    fn report_learned_flow(&mut self, origin: NodeId, learned: LearnedFlow) {
         if origin != self.node {
             self.outbox.learned(origin, learned);
             return;
@@ -317,57 +323,60 @@
 
     /// Takes in a part of a handover list, and confirms it once a majority holds it. A part
     /// that waits already, and comes again since the confirmation takes long, adds nothing.
-    pub(super) fn handed_over(&mut self, now: Timestamp, from: NodeId, batch: HandoverBatch) {
+    pub(super) fn handle_handover(&mut self, now: Timestamp, from: NodeId, batch: HandoverBatch) {
         let known = self.cluster.as_ref().map(Cluster::number);
         if known.is_none_or(|number| number < batch.receipt.generation) {
-            self.early_handovers.keep(from, batch);
+            self.early_handovers.insert(from, batch);
             return;
         }
         let limits = self.log_limits();
-        let receipt = HeldReceipt {
+        let receipt = PendingReceipt {
             to: from,
             receipt: batch.receipt,
-            deadline: now.after(self.settings.abandon_after),
+            deadline: now.after(self.settings.abandon_timeout),
         };
-        let Some(held) = self.groups.get_mut(&batch.group) else {
+        let Some(state) = self.groups.get_mut(&batch.group) else {
             return;
         };
-        if held.collection().is_some() || held.leader().is_some_and(|leader| !leader.serves()) {
-            self.early_handovers.keep(from, batch);
+        if state.claim().is_some() || state.leader().is_some_and(|leader| !leader.serves()) {
+            self.early_handovers.insert(from, batch);
             return;
         }
-        if held.serving().is_none_or(|leader| !leader.has_room(limits)) {
+        if state
+            .serving()
+            .is_none_or(|leader| !leader.has_capacity(limits))
+        {
             return;
         }
-        let holds = |leader: &mut Leader| leader.holds_receipt(&receipt);
-        if held.serving().is_some_and(holds) {
+        let is_pending = |leader: &mut Leader| leader.has_pending_receipt(&receipt);
+        if state.serving().is_some_and(is_pending) {
             return;
         }
-        self.active.insert(batch.group);
+        self.active_groups.insert(batch.group);
         let mut new = Vec::new();
         for (key, change) in decode_runs(&batch.runs) {
-            if held.acceptor.pins().get(&key).is_none() {
+            if state.acceptor.pins().get(&key).is_none() {
                 new.push((key, change));
             }
         }
-        let Some(leader) = held.leader() else {
+        let Some(leader) = state.leader() else {
             return;
         };
         for (key, change) in &new {
             leader.append(*key, *change, limits);
-            if let Some(pinned) = change.decode() {
-                leader.count_opened(pinned);
+            if let Some(destination) = change.decode() {
+                leader.count_opened(destination);
             }
         }
-        let sequence = leader.confirmation();
-        leader.hold(sequence, HeldItem::Receipt(receipt));
+        let sequence = leader.request_confirmation();
+        leader.add_pending(sequence, PendingItem::Receipt(receipt));
         for (key, change) in new {
-            held.acceptor.pins_mut().change(now, key, change);
+            state.acceptor.pins_mut().apply_change(now, key, change);
         }
     }
 
     /// Whether a packet may wait for an owner: one that may open a flow is sent again anyway.
-    pub(super) fn may_wait(relayed: &RelayedPacket) -> bool {
+    pub(super) fn is_queueable(relayed: &RelayedPacket) -> bool {
         relayed.escalation.kind == EscalationKind::Other
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/pause.rs
+++ b/crates/bellyoke-core/src/node/ownership/pause.rs
@@ -15,10 +15,10 @@
 impl PauseDetector {
     /// Takes note of an input; after a gap longer than `limit`, what comes within `drain` may
     /// have waited in a queue for as long.
-    fn note(&mut self, now: Timestamp, limit: Duration, drain: Duration) {
+    fn record_input(&mut self, now: Timestamp, max_gap: Duration, stale_duration: Duration) {
         let last = self.last_input.replace(now).unwrap_or(now);
-        if now.since(last) > limit {
-            self.stale_until = Some(now.after(drain));
+        if now.since(last) > max_gap {
+            self.stale_until = Some(now.after(stale_duration));
         }
     }
 
@@ -31,8 +31,9 @@
 impl Ownership {
     /// Takes note of an input. A packet that has waited longer than the delay horizon must not
     /// be decided: the barrier waits for older copies no longer.
-    pub(super) fn note_time(&mut self, now: Timestamp) {
-        let limit = self.settings.delay_horizon;
-        self.pauses.note(now, limit, self.settings.retry_interval);
+    pub(super) fn detect_pause(&mut self, now: Timestamp) {
+        let max_gap = self.settings.delay_horizon;
+        self.pause_detector
+            .record_input(now, max_gap, self.settings.retry_interval);
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/held.rs
+++ b/crates/bellyoke-core/src/node/ownership/pending.rs
@@ -8,7 +8,7 @@
 
 /// What becomes of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum PacketAction {
     /// To this backend.
     Forward(BackendId),
     /// To the sorry server.
@@ -19,17 +19,17 @@
 
 /// A packet whose verdict waits for a majority.
 #[derive(Clone, Debug)]
-pub(super) struct HeldPacket {
+pub(super) struct PendingPacket {
     pub(super) origin: NodeId,
     pub(super) escalation: Escalation,
-    pub(super) verdict: Verdict,
+    pub(super) action: PacketAction,
     pub(super) packet: Vec<u8>,
     pub(super) deadline: Timestamp,
 }
 
 /// A confirmation of a handover list that waits for a majority.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldReceipt {
+pub(super) struct PendingReceipt {
     pub(super) to: NodeId,
     pub(super) receipt: HandoverReceipt,
     pub(super) deadline: Timestamp,
@@ -37,7 +37,7 @@
 
 /// A bucket that can be clean once a majority knows that it is settled.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldClean {
+pub(super) struct PendingClean {
     pub(super) settled: SettledBucket,
     /// The generation whose target it is settled on; a newer one may have another.
     pub(super) decided_under: GenerationNumber,
@@ -46,31 +46,31 @@
 
 /// What waits for a majority.
 #[derive(Clone, Debug)]
-pub(super) enum HeldItem {
-    Packet(HeldPacket),
-    Receipt(HeldReceipt),
-    Clean(HeldClean),
+pub(super) enum PendingItem {
+    Packet(PendingPacket),
+    Receipt(PendingReceipt),
+    Clean(PendingClean),
 }
 
-impl HeldItem {
+impl PendingItem {
     /// When it is dropped.
     pub(super) fn deadline(&self) -> Timestamp {
         match self {
-            Self::Packet(held) => held.deadline,
-            Self::Receipt(held) => held.deadline,
-            Self::Clean(held) => held.deadline,
+            Self::Packet(item) => item.deadline,
+            Self::Receipt(item) => item.deadline,
+            Self::Clean(item) => item.deadline,
         }
     }
 }
 
 /// Packets and bytes that may still be kept waiting.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WaitingBudget {
+pub(super) struct PacketBudget {
     packets: usize,
     bytes: usize,
 }
 
-impl WaitingBudget {
+impl PacketBudget {
     pub(super) const fn new(packets: usize, bytes: usize) -> Self {
         Self { packets, bytes }
     }
--- a/crates/bellyoke-core/src/node/ownership/pin.rs
+++ b/crates/bellyoke-core/src/node/ownership/pin.rs
@@ -27,9 +27,9 @@
 impl ShortHash {
     /// The bucket of the flow among `buckets`.
     pub(super) fn bucket(self, buckets: usize) -> BucketIndex {
-        let mut whole = [0; 16];
-        whole[..12].copy_from_slice(&self.0);
-        BucketIndex(FlowHash(u128::from_be_bytes(whole)).bucket(buckets) as u32)
+        let mut padded = [0; 16];
+        padded[..12].copy_from_slice(&self.0);
+        BucketIndex(FlowHash(u128::from_be_bytes(padded)).bucket(buckets) as u32)
     }
 }
 
@@ -55,7 +55,7 @@
 
 /// Where a pinned flow goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pinned {
+pub enum PinDestination {
     /// To this backend.
     Backend(BackendId),
     /// To the owner's sorry server.
@@ -68,27 +68,27 @@
 
 impl PinChange {
     const REFUSED: u32 = u32::MAX;
-    const FORGOTTEN: u32 = u32::MAX - 1;
+    const REMOVED: u32 = u32::MAX - 1;
 
     /// The flow is pinned.
-    pub(super) const fn pinned(pinned: Pinned) -> Self {
-        match pinned {
-            Pinned::Backend(backend) => Self(backend.0),
-            Pinned::Refused => Self(Self::REFUSED),
+    pub(super) const fn set(destination: PinDestination) -> Self {
+        match destination {
+            PinDestination::Backend(backend) => Self(backend.0),
+            PinDestination::Refused => Self(Self::REFUSED),
         }
     }
 
     /// The pin is dropped.
-    pub(super) const fn forgotten() -> Self {
-        Self(Self::FORGOTTEN)
+    pub(super) const fn removed() -> Self {
+        Self(Self::REMOVED)
     }
 
     /// The new pin; none when it is dropped.
-    pub(super) const fn decode(self) -> Option<Pinned> {
+    pub(super) const fn decode(self) -> Option<PinDestination> {
         match self.0 {
-            Self::REFUSED => Some(Pinned::Refused),
-            Self::FORGOTTEN => None,
-            backend => Some(Pinned::Backend(BackendId(backend))),
+            Self::REFUSED => Some(PinDestination::Refused),
+            Self::REMOVED => None,
+            backend => Some(PinDestination::Backend(BackendId(backend))),
         }
     }
 }
@@ -152,7 +152,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Pin {
     /// Where the flow goes.
-    pub(super) pinned: Pinned,
+    pub(super) destination: PinDestination,
     /// When the owner last saw a packet of it.
     pub(super) last_used: Timestamp,
     /// Whether the flow's end was reported.
@@ -186,15 +186,15 @@
     /// Applies `runs` and `marks`, taking new pins as used at `now`.
     pub(super) fn apply(&mut self, now: Timestamp, runs: &[PinRun], marks: &[SettledMark]) {
         for mark in marks {
-            self.mark(*mark);
+            self.apply_mark(*mark);
         }
         for (key, change) in decode_runs(runs) {
-            self.change(now, key, change);
+            self.apply_change(now, key, change);
         }
     }
 
     /// Applies a change of one mark.
-    pub(super) fn mark(&mut self, mark: SettledMark) {
+    pub(super) fn apply_mark(&mut self, mark: SettledMark) {
         match mark.target {
             Some(_) => self.marks.insert(mark.settled, mark),
             None => self.marks.remove(&mark.settled),
@@ -202,7 +202,7 @@
     }
 
     /// The mark of a bucket, if it has one.
-    pub(super) fn mark_of(&self, settled: SettledBucket) -> Option<SettledMark> {
+    pub(super) fn mark(&self, settled: SettledBucket) -> Option<SettledMark> {
         self.marks.get(&settled).copied()
     }
 
@@ -212,13 +212,13 @@
     }
 
     /// Applies one change.
-    pub(super) fn change(&mut self, now: Timestamp, key: PinKey, change: PinChange) {
-        let Some(pinned) = change.decode() else {
+    pub(super) fn apply_change(&mut self, now: Timestamp, key: PinKey, change: PinChange) {
+        let Some(destination) = change.decode() else {
             self.pins.remove(&key);
             return;
         };
         let pin = Pin {
-            pinned,
+            destination,
             last_used: now,
             ended: false,
         };
@@ -230,7 +230,7 @@
         let lower = cursor.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let mut rest = self.pins.range((lower, std::ops::Bound::Unbounded));
         let page = rest.by_ref().take(limit);
-        let runs = encode_runs(page.map(|(key, pin)| (*key, PinChange::pinned(pin.pinned))));
+        let runs = encode_runs(page.map(|(key, pin)| (*key, PinChange::set(pin.destination))));
         (runs, rest.next().is_some())
     }
 
--- a/crates/bellyoke-core/src/node/ownership/upkeep.rs
+++ b/crates/bellyoke-core/src/node/ownership/pin_sweep.rs
@@ -2,7 +2,7 @@
 
 use super::Ownership;
 use super::cluster::{Cluster, is_contested};
-use super::pin::{Pin, PinChange, PinKey, Pinned, SettledMark};
+use super::pin::{Pin, PinChange, PinDestination, PinKey, SettledMark};
 use super::settings::OwnershipSettings;
 use crate::flow::FlowPlace;
 use crate::identity::GroupIndex;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Most pins that are dropped from one group at a time.
-const SWEEP_LIMIT: usize = 1024;
+const MAX_PINS_PER_SWEEP: usize = 1024;
 
 impl Ownership {
     /// Drops pins that aren't needed any more from the groups that this node owns.
@@ -27,30 +27,33 @@
             let is_serving = self
                 .groups
                 .get_mut(&group)
-                .is_some_and(|held| held.serving().is_some());
+                .is_some_and(|state| state.serving().is_some());
             if is_serving {
                 self.sweep_group(now, group);
             }
         }
-        self.load_reports.expire(now);
-        self.count_owned_pins();
+        self.load_reports.remove_expired(now);
+        self.update_owned_pins();
     }
 
     fn sweep_group(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let Some(held) = self.groups.get(&group) else {
+        let Some(state) = self.groups.get(&group) else {
             return;
         };
         let settings = &self.settings;
-        let all_know = self.observed.barrier >= cluster.number();
-        let pins = held.acceptor.pins().iter();
-        let unneeded =
-            pins.filter(|(key, pin)| is_unneeded(now, cluster, settings, all_know, key, pin));
-        let keys: Vec<PinKey> = unneeded.map(|(key, _)| *key).take(SWEEP_LIMIT).collect();
+        let barrier_passed = self.membership.barrier >= cluster.number();
+        let pins = state.acceptor.pins().iter();
+        let removable = pins
+            .filter(|(key, pin)| is_removable(now, cluster, settings, barrier_passed, key, pin));
+        let keys: Vec<PinKey> = removable
+            .map(|(key, _)| *key)
+            .take(MAX_PINS_PER_SWEEP)
+            .collect();
         if !keys.is_empty() {
-            self.forget(now, group, &keys);
+            self.remove_pins(now, group, &keys);
         }
         self.sweep_marks(group);
     }
@@ -60,13 +63,13 @@
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        if self.observed.barrier < cluster.number() {
+        if self.membership.barrier < cluster.number() {
             return;
         }
-        for mark in held.acceptor.pins().marks() {
+        for mark in state.acceptor.pins().marks() {
             if cluster.is_contested_since(mark.settled, mark.contested_since) {
                 continue;
             }
@@ -74,69 +77,70 @@
                 target: None,
                 ..mark
             };
-            if let Some(leader) = held.leader() {
+            if let Some(leader) = state.leader() {
                 leader.append_mark(dropped);
             }
-            held.acceptor.pins_mut().mark(dropped);
-            self.active.insert(group);
+            state.acceptor.pins_mut().apply_mark(dropped);
+            self.active_groups.insert(group);
         }
     }
 
     /// Drops pins here and on the replicas.
-    pub(super) fn forget(&mut self, now: Timestamp, group: GroupIndex, keys: &[PinKey]) {
+    pub(super) fn remove_pins(&mut self, now: Timestamp, group: GroupIndex, keys: &[PinKey]) {
         let limits = self.log_limits();
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        self.active.insert(group);
+        self.active_groups.insert(group);
         for key in keys {
-            let pin = held.acceptor.pins().get(key).copied();
-            let Some(leader) = held.leader().filter(|leader| leader.has_room(limits)) else {
+            let pin = state.acceptor.pins().get(key).copied();
+            let Some(leader) = state.leader().filter(|leader| leader.has_capacity(limits)) else {
                 return;
             };
-            if leader.waits_for(key).is_some() {
+            if leader.uncommitted_batch(key).is_some() {
                 continue;
             }
-            leader.append(*key, PinChange::forgotten(), limits);
+            leader.append(*key, PinChange::removed(), limits);
             if let Some(pin) = pin.filter(|pin| !pin.ended) {
-                leader.count_ended(pin.pinned);
+                leader.count_ended(pin.destination);
             }
-            held.acceptor
+            state
+                .acceptor
                 .pins_mut()
-                .change(now, *key, PinChange::forgotten());
-            self.counters.forgotten += 1;
+                .apply_change(now, *key, PinChange::removed());
+            self.counters.unpinned += 1;
         }
     }
 
     /// The owner learns that flows have ended.
-    pub(super) fn ended(&mut self, now: Timestamp, places: Vec<FlowPlace>) {
+    pub(super) fn handle_ended_flows(&mut self, now: Timestamp, places: Vec<FlowPlace>) {
         for place in places {
-            self.ended_flow(now, place);
+            self.mark_flow_ended(now, place);
         }
     }
 
-    fn ended_flow(&mut self, now: Timestamp, place: FlowPlace) {
+    fn mark_flow_ended(&mut self, now: Timestamp, place: FlowPlace) {
         let Some(cluster) = &self.cluster else {
             return;
         };
         let group = cluster.group(place);
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let Some(pin) = held.acceptor.pins_mut().get_mut(&PinKey::from(place)) else {
+        let Some(pin) = state.acceptor.pins_mut().get_mut(&PinKey::from(place)) else {
             return;
         };
         let first_report = !pin.ended;
         pin.ended = true;
         pin.last_used = now;
-        let pinned = pin.pinned;
-        if let Some(leader) = held.leader().filter(|_| first_report) {
-            leader.count_ended(pinned);
+        let destination = pin.destination;
+        if let Some(leader) = state.leader().filter(|_| first_report) {
+            leader.count_ended(destination);
         }
     }
 
     /// Tells the owner that a flow has ended.
-    pub(super) fn report_end(&mut self, now: Timestamp, place: FlowPlace) {
+    pub(super) fn report_flow_end(&mut self, now: Timestamp, place: FlowPlace) {
         let Some(cluster) = &self.cluster else {
             return;
         };
@@ -147,32 +151,32 @@
             return;
         }
         let group = cluster.group(place);
-        match self.believed_owner(group) {
+        match self.presumed_owner(group) {
             Some(owner) if owner != self.node => self.outbox.ended(owner, place),
-            _ => self.ended_flow(now, place),
+            _ => self.mark_flow_ended(now, place),
         }
     }
 }
 
-fn is_unneeded(
+fn is_removable(
     now: Timestamp,
     cluster: &Cluster,
     settings: &OwnershipSettings,
-    all_know: bool,
+    barrier_passed: bool,
     key: &PinKey,
     pin: &Pin,
 ) -> bool {
-    let unused = now.since(pin.last_used);
+    let idle_time = now.since(pin.last_used);
     let Some(service) = cluster.service(key.service) else {
-        return unused >= settings.delay_horizon;
+        return idle_time >= settings.delay_horizon;
     };
     let bucket = service.bucket(key.hash.bucket(service.buckets.len()));
     let contested = bucket.is_some_and(|bucket| is_contested(service, bucket));
     let idle_timeout = Duration::from_secs(u64::from(service.idle_timeout_seconds));
-    match pin.pinned {
-        _ if !contested => all_know && unused >= settings.delay_horizon,
-        _ if pin.ended => unused >= settings.ended_linger,
-        Pinned::Refused => unused >= idle_timeout,
-        Pinned::Backend(_) => false,
+    match pin.destination {
+        _ if !contested => barrier_passed && idle_time >= settings.delay_horizon,
+        _ if pin.ended => idle_time >= settings.ended_pin_retention,
+        PinDestination::Refused => idle_time >= idle_timeout,
+        PinDestination::Backend(_) => false,
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
@@ -18,12 +18,12 @@
 
 impl BackendSelection for LeastLoaded<'_> {
     fn select(&mut self, candidates: &[Candidate]) -> Option<BackendId> {
-        let least = candidates.iter().min_by(|a, b| compare_own_count(a, b))?;
-        let is_equal = |other: &&Candidate| compare_own_count(other, least).is_eq();
-        let equals: Vec<&Candidate> = candidates.iter().filter(is_equal).collect();
-        let first = equals[self.random.random_range(0..equals.len())];
-        let second = equals[self.random.random_range(0..equals.len())];
-        match compare_reports(first.load, second.load) {
+        let least = candidates.iter().min_by(|a, b| compare_open_flows(a, b))?;
+        let is_tied = |other: &&Candidate| compare_open_flows(other, least).is_eq();
+        let tied: Vec<&Candidate> = candidates.iter().filter(is_tied).collect();
+        let first = tied[self.random.random_range(0..tied.len())];
+        let second = tied[self.random.random_range(0..tied.len())];
+        match compare_reported_load(first.load, second.load) {
             Ordering::Greater => Some(second.backend),
             _ => Some(first.backend),
         }
@@ -31,14 +31,14 @@
 }
 
 /// Compares open flows after one more, each divided by the weight.
-fn compare_own_count(first: &Candidate, second: &Candidate) -> Ordering {
+fn compare_open_flows(first: &Candidate, second: &Candidate) -> Ordering {
     let scaled = |one: &Candidate, other: &Candidate| {
         (u64::from(one.open_flows) + 1) * u64::from(other.weight.max(1))
     };
     scaled(first, second).cmp(&scaled(second, first))
 }
 
-fn compare_reports(first: Option<LoadReport>, second: Option<LoadReport>) -> Ordering {
+fn compare_reported_load(first: Option<LoadReport>, second: Option<LoadReport>) -> Ordering {
     let (Some(first), Some(second)) = (first, second) else {
         return Ordering::Equal;
     };
--- a/crates/bellyoke-core/src/node/ownership/placement/mod.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/mod.rs
@@ -14,7 +14,7 @@
 /// How long a load report counts.
 const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 /// Most backends whose reports are kept.
-const MAX_REPORTS: usize = 1 << 16;
+const MAX_LOAD_REPORTS: usize = 1 << 16;
 
 /// A backend's own account of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 impl LoadReports {
     pub(super) fn record(&mut self, now: Timestamp, backend: BackendId, load: LoadReport) {
         let known = self.reports.contains_key(&backend);
-        if known || self.reports.len() < MAX_REPORTS {
+        if known || self.reports.len() < MAX_LOAD_REPORTS {
             self.reports.insert(backend, (now, load));
         }
     }
@@ -63,8 +63,8 @@
         (now.since(*reported) < REPORT_LIFETIME).then_some(*load)
     }
 
-    pub(super) fn expire(&mut self, now: Timestamp) {
-        let recent = |reported: &Timestamp| now.since(*reported) < REPORT_LIFETIME;
-        self.reports.retain(|_, (reported, _)| recent(reported));
+    pub(super) fn remove_expired(&mut self, now: Timestamp) {
+        let is_recent = |reported: &Timestamp| now.since(*reported) < REPORT_LIFETIME;
+        self.reports.retain(|_, (reported, _)| is_recent(reported));
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/relay.rs
+++ b/crates/bellyoke-core/src/node/ownership/relay.rs
@@ -1,34 +1,37 @@
 //! Packets on their way to the owner of their bucket.
 
 use super::Ownership;
-use super::group::{Group, Role};
+use super::group::{GroupState, Role};
 use super::message::{OwnerHint, OwnershipMessage, RelayedPacket};
 use crate::identity::{GroupIndex, NodeId};
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 
 /// How often a packet is relayed at most.
-const MAX_HOPS: u8 = 2;
+const MAX_RELAY_HOPS: u8 = 2;
 
 /// A packet that waits for an owner or a generation.
 #[derive(Debug)]
-pub(super) struct WaitingPacket {
+pub(super) struct QueuedPacket {
     relayed: RelayedPacket,
     deadline: Timestamp,
 }
 
 /// Packets that wait for an owner or a generation, oldest first.
-pub(super) type Waiting = VecDeque<WaitingPacket>;
+pub(super) type PacketQueue = VecDeque<QueuedPacket>;
 
 impl Ownership {
     /// The node that this one takes for the owner of `group`.
-    pub(super) fn believed_owner(&self, group: GroupIndex) -> Option<NodeId> {
+    pub(super) fn presumed_owner(&self, group: GroupIndex) -> Option<NodeId> {
         let cluster = self.cluster.as_ref()?;
-        let hint = self.groups.get(&group).and_then(|held| held.hint);
-        let hint = hint.filter(|hint| !self.observed.suspected.contains(&hint.node));
-        match hint {
+        let highest = self
+            .groups
+            .get(&group)
+            .and_then(|state| state.highest_ballot);
+        let highest = highest.filter(|highest| !self.membership.suspected.contains(&highest.node));
+        match highest {
             Some(ballot) => Some(ballot.node),
-            None => cluster.first_alive(group, &self.observed.suspected),
+            None => cluster.first_alive(group, &self.membership.suspected),
         }
     }
 
@@ -39,33 +42,36 @@
             return;
         };
         let group = cluster.group(relayed.escalation.place);
-        if self.pauses.may_be_stale(now) {
+        if self.pause_detector.may_be_stale(now) {
             self.counters.dropped.stale += 1;
             return;
         }
         if self
             .groups
             .get_mut(&group)
-            .and_then(Group::serving)
+            .and_then(GroupState::serving)
             .is_some()
         {
             self.decide(now, group, relayed);
             return;
         }
-        let owner = self.believed_owner(group);
-        let claims = self
+        let owner = self.presumed_owner(group);
+        let is_claiming = self
             .groups
             .get(&group)
-            .is_some_and(|held| !matches!(held.role, Role::Follower));
-        match owner.filter(|owner| *owner != self.node && !claims) {
-            Some(owner) if relayed.hops < MAX_HOPS => self.relay(owner, group, relayed),
-            _ => self.wait(now, relayed),
+            .is_some_and(|state| !matches!(state.role, Role::Follower));
+        match owner.filter(|owner| *owner != self.node && !is_claiming) {
+            Some(owner) if relayed.hops < MAX_RELAY_HOPS => self.relay(owner, group, relayed),
+            _ => self.queue_packet(now, relayed),
         }
     }
 
     fn relay(&mut self, owner: NodeId, group: GroupIndex, mut relayed: RelayedPacket) {
-        let hint = self.groups.get(&group).and_then(|held| held.hint);
-        if let Some(ballot) = hint.filter(|_| relayed.origin != self.node) {
+        let highest = self
+            .groups
+            .get(&group)
+            .and_then(|state| state.highest_ballot);
+        if let Some(ballot) = highest.filter(|_| relayed.origin != self.node) {
             self.outbox
                 .owner(relayed.origin, OwnerHint { group, ballot });
         }
@@ -75,11 +81,11 @@
     }
 
     /// Takes a packet that another node relayed.
-    pub(super) fn relayed(&mut self, now: Timestamp, from: NodeId, relayed: RelayedPacket) {
+    pub(super) fn handle_relay(&mut self, now: Timestamp, from: NodeId, relayed: RelayedPacket) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        if !cluster.knows(from) || !cluster.knows(relayed.origin) {
+        if !cluster.is_known_member(from) || !cluster.is_known_member(relayed.origin) {
             self.counters.dropped.not_a_member += 1;
             return;
         }
@@ -87,31 +93,31 @@
     }
 
     /// Keeps a packet that opens no flow until its owner or generation is known.
-    pub(super) fn wait(&mut self, now: Timestamp, relayed: RelayedPacket) {
-        if !Self::may_wait(&relayed) {
+    pub(super) fn queue_packet(&mut self, now: Timestamp, relayed: RelayedPacket) {
+        if !Self::is_queueable(&relayed) {
             self.counters.dropped.opening_without_owner += 1;
             return;
         }
-        if !self.budget.take(&relayed.packet) {
+        if !self.packet_budget.take(&relayed.packet) {
             self.counters.dropped.queue_full += 1;
             return;
         }
-        let deadline = now.after(self.settings.packet_wait);
-        self.waiting.push_back(WaitingPacket { relayed, deadline });
+        let deadline = now.after(self.settings.packet_timeout);
+        self.queue.push_back(QueuedPacket { relayed, deadline });
     }
 
     /// Tries all waiting packets once more; those that still wait keep their deadline.
-    pub(super) fn retry_waiting(&mut self, now: Timestamp) {
-        for waiting in std::mem::take(&mut self.waiting) {
-            self.budget.give_back(&waiting.relayed.packet);
-            if waiting.deadline <= now {
+    pub(super) fn retry_queued_packets(&mut self, now: Timestamp) {
+        for queued in std::mem::take(&mut self.queue) {
+            self.packet_budget.give_back(&queued.relayed.packet);
+            if queued.deadline <= now {
                 self.counters.dropped.expired += 1;
                 continue;
             }
-            let before = self.waiting.len();
-            self.route(now, waiting.relayed);
-            if let Some(again) = self.waiting.get_mut(before) {
-                again.deadline = waiting.deadline;
+            let next_index = self.queue.len();
+            self.route(now, queued.relayed);
+            if let Some(requeued) = self.queue.get_mut(next_index) {
+                requeued.deadline = queued.deadline;
             }
         }
     }
--- a/crates/bellyoke-core/src/node/ownership/replication.rs
+++ b/crates/bellyoke-core/src/node/ownership/replication.rs
@@ -1,157 +1,162 @@
 //! Batches of pins on their way from the owner to the replicas.
 
 use super::Ownership;
-use super::group::{Group, Role};
-use super::held::HeldItem;
+use super::group::{GroupState, Role};
 use super::leader::LogLimits;
 use super::message::{OwnerHint, PinBatch, ReplicaPosition};
+use super::pending::PendingItem;
 use super::settings::Ablation;
 use crate::identity::{GroupIndex, NodeId};
 use crate::time::Timestamp;
 use std::time::Duration;
 
 /// How often a replica that fell behind gets a new copy.
-const COPY_INTERVAL: Duration = Duration::from_secs(10);
+const MIN_COPY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Ownership {
     pub(super) fn log_limits(&self) -> LogLimits {
         LogLimits {
-            batch: self.settings.max_batch,
-            unacknowledged: self.settings.max_unacknowledged,
+            batch_pins: self.settings.max_batch_pins,
+            unacknowledged_batches: self.settings.max_unacknowledged_batches,
         }
     }
 
     /// Closes and sends all batches.
     pub(super) fn flush_batches(&mut self, now: Timestamp) {
-        let groups: Vec<GroupIndex> = self.active.iter().copied().collect();
+        let groups: Vec<GroupIndex> = self.active_groups.iter().copied().collect();
         for group in groups {
-            let Some(leader) = self.groups.get_mut(&group).and_then(Group::leader) else {
+            let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
                 continue;
             };
-            leader.seal();
+            leader.seal_if_ready();
             self.send_unsent(group);
-            self.committed(now, group);
+            self.handle_commit(now, group);
         }
-        self.active.clear();
+        self.active_groups.clear();
     }
 
     /// Sends the batches of `group` that were closed.
     pub(super) fn send_unsent(&mut self, group: GroupIndex) {
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let Some(leader) = held.leader() else {
+        let Some(leader) = state.leader() else {
             return;
         };
-        let batches = leader.take_unsent(&self.observed.suspected);
-        let sealed = leader.sealed();
-        held.acceptor.advance(sealed);
+        let batches = leader.take_unsent(&self.membership.suspected);
+        let last_sealed = leader.last_sealed();
+        state.acceptor.advance(last_sealed);
         for (replica, batch) in batches {
             self.outbox.batch(replica, batch);
         }
     }
 
     /// Carries out what batches that are committed now have held up.
-    pub(super) fn committed(&mut self, now: Timestamp, group: GroupIndex) {
+    pub(super) fn handle_commit(&mut self, now: Timestamp, group: GroupIndex) {
         let limits = self.log_limits();
-        let Some(leader) = self.groups.get_mut(&group).and_then(Group::leader) else {
+        let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
             return;
         };
         leader.trim(limits);
         let ballot = leader.ballot();
-        if leader.has_unsealed() {
-            self.active.insert(group);
+        if leader.has_open_batch() {
+            self.active_groups.insert(group);
         }
-        let begins = leader.serves() && leader.begin_service();
-        self.release(group);
-        if begins {
+        let starts_service = leader.serves() && leader.start_service();
+        self.complete_committed(group);
+        if starts_service {
             self.report_takeover(group, ballot);
-            self.retry_waiting(now);
-            self.take_early_handovers(now);
+            self.retry_queued_packets(now);
+            self.apply_early_handovers(now);
         }
     }
 
     /// The owner of a group sends pins.
-    pub(super) fn replicate(&mut self, now: Timestamp, from: NodeId, batch: PinBatch) {
+    pub(super) fn handle_pin_batch(&mut self, now: Timestamp, from: NodeId, batch: PinBatch) {
         if batch.ballot.node != from || from == self.node {
             return;
         }
         let group = batch.group;
         let ballot = batch.ballot;
-        let check = self.settings.ablation != Ablation::NoBallotCheck;
-        let held = self.groups.entry(group).or_default();
-        match held.acceptor.accept(now, batch, check) {
+        let check_ballot = self.settings.ablation != Ablation::NoBallotCheck;
+        let state = self.groups.entry(group).or_default();
+        match state.acceptor.accept(now, batch, check_ballot) {
             Ok(position) => {
-                held.heard_of(ballot);
-                if check {
-                    self.yield_to(group, ballot);
+                state.record_ballot(ballot);
+                if check_ballot {
+                    self.yield_to_ballot(group, ballot);
                 }
                 self.outbox
                     .position(from, ReplicaPosition { group, position });
             }
-            Err(refused) => {
-                let ballot = refused.promised;
+            Err(rejected) => {
+                let ballot = rejected.promised;
                 self.outbox.superseded(from, OwnerHint { group, ballot });
             }
         }
     }
 
     /// A replica holds pins.
-    pub(super) fn replicated(&mut self, now: Timestamp, from: NodeId, replica: ReplicaPosition) {
+    pub(super) fn handle_replica_position(
+        &mut self,
+        now: Timestamp,
+        from: NodeId,
+        replica: ReplicaPosition,
+    ) {
         let group = replica.group;
-        let Some(leader) = self.groups.get_mut(&group).and_then(Group::leader) else {
+        let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
             return;
         };
         if leader.ballot() != replica.position.ballot {
             return;
         }
         leader.acknowledge(from, replica.position.sequence);
-        self.committed(now, group);
+        self.handle_commit(now, group);
     }
 
     /// Drops what has waited for too long.
-    pub(super) fn drop_overdue(&mut self, now: Timestamp, group: GroupIndex) {
-        let Some(leader) = self.groups.get_mut(&group).and_then(Group::leader) else {
+    pub(super) fn drop_expired_items(&mut self, now: Timestamp, group: GroupIndex) {
+        let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
             return;
         };
-        for item in leader.expire(now) {
-            if let HeldItem::Packet(held) = item {
-                self.budget.give_back(&held.packet);
+        for item in leader.take_expired(now) {
+            if let PendingItem::Packet(pending) = item {
+                self.packet_budget.give_back(&pending.packet);
                 self.counters.dropped.expired += 1;
             }
         }
     }
 
     /// Sends again what was not acknowledged.
-    pub(super) fn retry_replication(&mut self, now: Timestamp, group: GroupIndex) {
-        let Some(held) = self.groups.get_mut(&group) else {
+    pub(super) fn resend_batches(&mut self, now: Timestamp, group: GroupIndex) {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let Some(leader) = held.leader() else {
+        let Some(leader) = state.leader() else {
             return;
         };
-        let unacknowledged = leader.unacknowledged(&self.observed.suspected);
-        if unacknowledged.is_empty() {
-            held.retry.restart();
+        let stalled = leader.take_stalled_batches(&self.membership.suspected);
+        if stalled.is_empty() {
+            state.retry_backoff.restart();
         }
-        for (replica, batch) in unacknowledged {
+        for (replica, batch) in stalled {
             self.outbox.batch(replica, batch);
         }
-        let Some(leader) = self.groups.get_mut(&group).and_then(Group::leader) else {
+        let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
             return;
         };
-        let overdue = now.since(leader.started()) >= COPY_INTERVAL;
-        let suspected = &self.observed.suspected;
-        let answers = |node: &NodeId| !suspected.contains(node);
-        if overdue && leader.lagging().iter().any(answers) {
-            self.claim(now, group);
+        let overdue = now.since(leader.started_at()) >= MIN_COPY_INTERVAL;
+        let suspected = &self.membership.suspected;
+        let is_responsive = |node: &NodeId| !suspected.contains(node);
+        if overdue && leader.lagging().iter().any(is_responsive) {
+            self.start_claim(now, group);
         }
     }
 
     /// Counts the pins in groups that this node owns.
-    pub(super) fn count_owned_pins(&mut self) {
-        let leads = |group: &&Group| matches!(group.role, Role::Leading(_));
-        let owned = self.groups.values().filter(leads);
+    pub(super) fn update_owned_pins(&mut self) {
+        let is_owned = |group: &&GroupState| matches!(group.role, Role::Leading(_));
+        let owned = self.groups.values().filter(is_owned);
         self.owned_pins = owned.map(|group| group.acceptor.pins().len()).sum();
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/retirement.rs
+++ b/crates/bellyoke-core/src/node/ownership/retirement.rs
@@ -9,39 +9,43 @@
 impl Ownership {
     /// Tells the present replicas again of an earlier copy. A group that isn't in use needs
     /// none before all members know the present replicas.
-    pub(super) fn announce_again(&mut self, now: Timestamp, group: GroupIndex) {
+    pub(super) fn retry_announcement(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let is_urgent = cluster.is_in_use(group) || self.observed.barrier >= cluster.number();
+        let is_needed =
+            cluster.has_contested_bucket(group) || self.membership.barrier >= cluster.number();
         let interval = self.settings.retry_interval;
-        let Some(held) = self.groups.get_mut(&group).filter(|_| is_urgent) else {
+        let Some(state) = self.groups.get_mut(&group).filter(|_| is_needed) else {
             return;
         };
-        if held.announcement.is_due(now, interval, &mut self.random) {
-            self.announce(group);
+        if state
+            .announcement_backoff
+            .is_due(now, interval, &mut self.random)
+        {
+            self.send_announcement(group);
         }
     }
 
     /// Tells the present replicas that this node holds pins of an earlier replica set.
-    pub(super) fn announce(&mut self, group: GroupIndex) {
+    pub(super) fn send_announcement(&mut self, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let Some(present) = cluster.configuration(group) else {
+        let Some(current) = cluster.configuration(group) else {
             return;
         };
-        let Some(held) = self.groups.get(&group) else {
+        let Some(state) = self.groups.get(&group) else {
             return;
         };
-        let Some(installed) = held.acceptor.installed() else {
+        let Some(installed) = state.acceptor.installed() else {
             return;
         };
         let configuration = installed.configuration.clone();
-        if configuration.replicas == present.replicas {
+        if configuration.replicas == current.replicas {
             return;
         }
-        let others = present.replicas.iter().filter(|node| **node != self.node);
+        let others = current.replicas.iter().filter(|node| **node != self.node);
         for replica in others {
             let configuration = configuration.clone();
             let announcement = ReplicaAnnouncement {
@@ -53,27 +57,27 @@
     }
 
     /// A replica of an earlier generation holds pins.
-    pub(super) fn announced(
+    pub(super) fn handle_announcement(
         &mut self,
         now: Timestamp,
         from: NodeId,
         announcement: ReplicaAnnouncement,
     ) {
         let group = announcement.group;
-        self.claim_for_announcer(now, group);
-        let Some(held) = self.groups.get_mut(&group) else {
+        self.claim_announced_group(now, group);
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let announced = announcement.configuration.generation;
-        if let Some(collection) = held.collection() {
-            collection.learn(announcement.configuration);
+        let announced_generation = announcement.configuration.generation;
+        if let Some(claim) = state.claim() {
+            claim.add_configuration(announcement.configuration);
             return;
         }
-        let Some(leader) = held.serving() else {
+        let Some(leader) = state.serving() else {
             return;
         };
         let configuration = leader.configuration().clone();
-        if configuration.generation > announced {
+        if configuration.generation > announced_generation {
             let answer = ReplicaAnnouncement {
                 group,
                 configuration,
@@ -83,21 +87,22 @@
     }
 
     /// A newer replica set holds the pins: this node's copy isn't needed any more.
-    pub(super) fn retired(&mut self, announcement: &ReplicaAnnouncement) {
+    pub(super) fn handle_installed(&mut self, announcement: &ReplicaAnnouncement) {
         let newer = &announcement.configuration;
         let group = announcement.group;
-        let Some(held) = self.groups.get(&group) else {
+        let Some(state) = self.groups.get(&group) else {
             return;
         };
-        let installed = held.acceptor.installed();
-        let older = installed.is_some_and(|copy| copy.configuration.generation < newer.generation);
-        if !older || newer.replicas.contains(&self.node) {
+        let installed = state.acceptor.installed();
+        let is_older =
+            installed.is_some_and(|copy| copy.configuration.generation < newer.generation);
+        if !is_older || newer.replicas.contains(&self.node) {
             return;
         }
         self.step_down(group);
-        if let Some(held) = self.groups.get_mut(&group) {
-            held.role = Role::Follower;
-            held.acceptor.retire(newer);
+        if let Some(state) = self.groups.get_mut(&group) {
+            state.role = Role::Follower;
+            state.acceptor.retire(newer);
         }
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/settings.rs
+++ b/crates/bellyoke-core/src/node/ownership/settings.rs
@@ -12,27 +12,27 @@
     pub retry_interval: Duration,
     /// How long a packet may wait: for an owner to be known, or for a majority of replicas.
     /// Shorter than the delay horizon, so that no copy of it outlives the barrier's wait.
-    pub packet_wait: Duration,
+    pub packet_timeout: Duration,
     /// Longest time that a copy of a packet is taken to stay in the network.
     pub delay_horizon: Duration,
     /// How long the pin of an ended flow is kept, for late copies of its packets (RFC 9293,
     /// TIME-WAIT).
-    pub ended_linger: Duration,
+    pub ended_pin_retention: Duration,
     /// How long a new owner waits for a majority of earlier replicas before it takes their
     /// pins for lost. Longer than lease time and delay horizon together.
-    pub abandon_after: Duration,
+    pub abandon_timeout: Duration,
     /// The same for a group in which no pin can have been lost.
-    pub abandon_empty_after: Duration,
+    pub abandon_empty_timeout: Duration,
     /// Most pins in the groups that this node owns; with more it opens no flow.
     pub max_pins: usize,
     /// Most packets that wait, and most bytes in them.
-    pub max_waiting_packets: usize,
+    pub max_queued_packets: usize,
     /// Most bytes in packets that wait.
-    pub max_waiting_bytes: usize,
+    pub max_queued_bytes: usize,
     /// Most pins in one message.
-    pub max_batch: usize,
+    pub max_batch_pins: usize,
     /// Most batches of one group that are kept to be sent again.
-    pub max_unacknowledged: usize,
+    pub max_unacknowledged_batches: usize,
     /// Seed of tie breaks between backends.
     pub seed: u64,
     /// Switches one mechanism off, to show by a test that it is needed.
@@ -45,16 +45,16 @@
         Self {
             batch_delay: Duration::from_millis(2),
             retry_interval: Duration::from_millis(500),
-            packet_wait: Duration::from_millis(1500),
+            packet_timeout: Duration::from_millis(1500),
             delay_horizon: Duration::from_secs(3),
-            ended_linger: Duration::from_secs(60),
-            abandon_after: Duration::from_secs(15),
-            abandon_empty_after: Duration::from_secs(3),
+            ended_pin_retention: Duration::from_secs(60),
+            abandon_timeout: Duration::from_secs(15),
+            abandon_empty_timeout: Duration::from_secs(3),
             max_pins: 1 << 20,
-            max_waiting_packets: 4096,
-            max_waiting_bytes: 4 << 20,
-            max_batch: 64,
-            max_unacknowledged: 4096,
+            max_queued_packets: 4096,
+            max_queued_bytes: 4 << 20,
+            max_batch_pins: 64,
+            max_unacknowledged_batches: 4096,
             seed: 0,
             ablation: Ablation::None,
         }
--- a/crates/bellyoke-core/src/node/ownership/settlement.rs
+++ b/crates/bellyoke-core/src/node/ownership/settlement.rs
@@ -7,9 +7,9 @@
 
 use super::Ownership;
 use super::cluster::{Cluster, is_contested};
-use super::held::{HeldClean, HeldItem};
 use super::message::{OwnershipMessage, SettledEntry, SettledReport};
-use super::pin::{Pin, PinKey, Pinned, SettledMark};
+use super::pending::{PendingClean, PendingItem};
+use super::pin::{Pin, PinDestination, PinKey, SettledMark};
 use crate::flow::{FlowPlace, SettledBucket};
 use crate::generation::{Bucket, Placement};
 use crate::identity::{GenerationNumber, GroupIndex, NodeId};
@@ -19,62 +19,62 @@
 use std::time::Duration;
 
 /// Most settled buckets of a group that wait to be clean, so that they fit into a message.
-const MAX_MARKS: usize = 64;
+const MAX_MARKS_PER_GROUP: usize = 64;
 /// Most buckets in one report.
-const MAX_ENTRIES: usize = 64;
+const MAX_ENTRIES_PER_REPORT: usize = 64;
 
 /// What this node reports, and what it gathers as an owner.
 #[derive(Debug, Default)]
 pub(super) struct Settlement {
-    reports: u32,
-    settled_since: BTreeMap<SettledBucket, u32>,
+    report_count: u32,
+    settled_since_report: BTreeMap<SettledBucket, u32>,
     rounds: BTreeMap<NodeId, u32>,
     own_round: u32,
-    gathered: BTreeMap<SettledBucket, Gathered>,
+    reports_by_bucket: BTreeMap<SettledBucket, BucketReports>,
 }
 
 /// A round that began when each member had reported once.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     number: u32,
-    began: Timestamp,
+    started_at: Timestamp,
 }
 
 /// Reports about one bucket.
 #[derive(Debug)]
-struct Gathered {
+struct BucketReports {
     bucket: Bucket,
-    since: GenerationNumber,
-    first: BTreeMap<NodeId, u32>,
+    recorded_under: GenerationNumber,
+    first_reports: BTreeMap<NodeId, u32>,
     second_round: Option<Round>,
-    second: BTreeSet<NodeId>,
+    second_reports: BTreeSet<NodeId>,
 }
 
-impl Gathered {
-    fn new(bucket: Bucket, since: GenerationNumber) -> Self {
+impl BucketReports {
+    fn new(bucket: Bucket, recorded_under: GenerationNumber) -> Self {
         Self {
             bucket,
-            since,
-            first: BTreeMap::new(),
+            recorded_under,
+            first_reports: BTreeMap::new(),
             second_round: None,
-            second: BTreeSet::new(),
+            second_reports: BTreeSet::new(),
         }
     }
 
     fn record(&mut self, from: NodeId, round: u32, since_report: u32) {
         if self
-            .first
+            .first_reports
             .get(&from)
             .is_some_and(|known| *known != since_report)
         {
-            *self = Self::new(self.bucket, self.since);
+            *self = Self::new(self.bucket, self.recorded_under);
         }
-        self.first.insert(from, since_report);
+        self.first_reports.insert(from, since_report);
         if self
             .second_round
             .is_some_and(|second| round >= second.number)
         {
-            self.second.insert(from);
+            self.second_reports.insert(from);
         }
     }
 }
@@ -83,17 +83,17 @@
     /// Tells the owners which of their buckets are settled here.
     pub(super) fn report_settled(&mut self, now: Timestamp, buckets: &[SettledBucket]) {
         let settlement = &mut self.settlement;
-        settlement.reports += 1;
+        settlement.report_count += 1;
         let current: BTreeSet<&SettledBucket> = buckets.iter().collect();
         settlement
-            .settled_since
+            .settled_since_report
             .retain(|bucket, _| current.contains(bucket));
         for bucket in buckets {
-            let since = settlement.settled_since.entry(*bucket);
-            since.or_insert(settlement.reports);
+            let since = settlement.settled_since_report.entry(*bucket);
+            since.or_insert(settlement.report_count);
         }
         for (owner, entries) in self.entries_by_owner() {
-            self.send_settled(now, owner, &entries);
+            self.send_settled_report(now, owner, &entries);
         }
     }
 
@@ -102,11 +102,11 @@
         let Some(cluster) = &self.cluster else {
             return entries;
         };
-        for (bucket, since_report) in &self.settlement.settled_since {
+        for (bucket, since_report) in &self.settlement.settled_since_report {
             let contested = cluster
-                .bucket(place_in(*bucket))
+                .bucket(lookup_place(*bucket))
                 .is_some_and(|(service, bucket)| is_contested(service, bucket));
-            let owner = self.believed_owner(cluster.group(place_in(*bucket)));
+            let owner = self.presumed_owner(cluster.group(lookup_place(*bucket)));
             if let Some(owner) = owner.filter(|_| contested) {
                 entries.entry(owner).or_default().push(SettledEntry {
                     bucket: *bucket,
@@ -117,17 +117,17 @@
         entries
     }
 
-    fn send_settled(&mut self, now: Timestamp, owner: NodeId, entries: &[SettledEntry]) {
-        let generation = self.forwards_by;
+    fn send_settled_report(&mut self, now: Timestamp, owner: NodeId, entries: &[SettledEntry]) {
+        let generation = self.forwarding_generation;
         let round = self.settlement.rounds.get(&owner).copied().unwrap_or(0);
-        for part in entries.chunks(MAX_ENTRIES) {
+        for part in entries.chunks(MAX_ENTRIES_PER_REPORT) {
             let report = SettledReport {
                 generation,
                 round,
                 buckets: part.to_vec(),
             };
             if owner == self.node {
-                self.settled_elsewhere(now, owner, &report);
+                self.handle_settled_report(now, owner, &report);
             } else {
                 self.send(owner, OwnershipMessage::Settled(Box::new(report)));
             }
@@ -135,8 +135,11 @@
     }
 
     /// An owner begins a round.
-    pub(super) fn settled_round(&mut self, from: NodeId, round: u32) {
-        let is_member = self.cluster.as_ref().is_some_and(|known| known.knows(from));
+    pub(super) fn handle_settled_round(&mut self, from: NodeId, round: u32) {
+        let is_member = self
+            .cluster
+            .as_ref()
+            .is_some_and(|known| known.is_known_member(from));
         if is_member {
             let known = self.settlement.rounds.entry(from).or_default();
             *known = (*known).max(round);
@@ -144,7 +147,7 @@
     }
 
     /// A member reports settled buckets of this owner.
-    pub(super) fn settled_elsewhere(
+    pub(super) fn handle_settled_report(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -158,14 +161,14 @@
             return;
         }
         for entry in &report.buckets {
-            self.record_settled(now, from, report, entry);
+            self.record_settled_entry(now, from, report, entry);
         }
         let round = self.settlement.own_round;
         self.send(from, OwnershipMessage::SettledRound(round));
     }
 
     /// Takes in one entry. Until the barrier new flows still go to the base.
-    fn record_settled(
+    fn record_settled_entry(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -175,7 +178,7 @@
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let place = place_in(entry.bucket);
+        let place = lookup_place(entry.bucket);
         let Some((service, bucket)) = cluster.bucket(place) else {
             return;
         };
@@ -183,61 +186,67 @@
         if !is_contested(service, bucket) || !self.is_serving(group) {
             return;
         }
-        let barrier_passed = bucket.contested_since <= self.observed.barrier;
+        let barrier_passed = bucket.contested_since <= self.membership.barrier;
         if !barrier_passed {
             return;
         }
         let number = cluster.number();
-        let gathered = self.settlement.gathered.entry(entry.bucket);
-        let gathered = gathered.or_insert_with(|| Gathered::new(*bucket, number));
-        if gathered.bucket != *bucket {
-            *gathered = Gathered::new(*bucket, number);
+        let reports = self.settlement.reports_by_bucket.entry(entry.bucket);
+        let reports = reports.or_insert_with(|| BucketReports::new(*bucket, number));
+        if reports.bucket != *bucket {
+            *reports = BucketReports::new(*bucket, number);
         }
-        if report.generation < gathered.since {
+        if report.generation < reports.recorded_under {
             return;
         }
-        gathered.record(from, report.round, entry.since_report);
+        reports.record(from, report.round, entry.since_report);
         let members = cluster.members();
-        if !members.iter().all(|node| gathered.first.contains_key(node)) {
+        if !members
+            .iter()
+            .all(|node| reports.first_reports.contains_key(node))
+        {
             return;
         }
-        let Some(second) = gathered.second_round else {
+        let Some(second) = reports.second_round else {
             self.settlement.own_round += 1;
-            gathered.second_round = Some(Round {
+            reports.second_round = Some(Round {
                 number: self.settlement.own_round,
-                began: now,
+                started_at: now,
             });
             return;
         };
-        if !members.iter().all(|node| gathered.second.contains(node)) {
+        if !members
+            .iter()
+            .all(|node| reports.second_reports.contains(node))
+        {
             return;
         }
-        self.settlement.gathered.remove(&entry.bucket);
-        self.settle(now, group, entry.bucket, second.began);
+        self.settlement.reports_by_bucket.remove(&entry.bucket);
+        self.settle_bucket(now, group, entry.bucket, second.started_at);
     }
 
     /// Drops the idle pins of a bucket that is settled on all members. If none is left that
     /// keeps it contested, a majority is told that it is settled, and then the bucket can be clean.
     /// All members were settled when the round `began`; a pin that was used since may be of a
     /// flow that was opened since.
-    fn settle(
+    fn settle_bucket(
         &mut self,
         now: Timestamp,
         group: GroupIndex,
         settled: SettledBucket,
-        began: Timestamp,
+        started_at: Timestamp,
     ) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let Some((service, bucket)) = cluster.bucket(place_in(settled)) else {
+        let Some((service, bucket)) = cluster.bucket(lookup_place(settled)) else {
             return;
         };
-        let Some(held) = self.groups.get(&group) else {
+        let Some(state) = self.groups.get(&group) else {
             return;
         };
-        let placed = service.placement == Placement::LeastLoaded;
-        let target = bucket.target.filter(|_| !placed);
+        let by_load = service.placement == Placement::LeastLoaded;
+        let target = bucket.target.filter(|_| !by_load);
         let mark = SettledMark {
             settled,
             contested_since: bucket.contested_since,
@@ -248,47 +257,47 @@
         let in_bucket = |key: &PinKey| {
             key.service == settled.service && key.hash.bucket(buckets) == settled.bucket
         };
-        let off_target = |pin: &Pin| match pin.pinned {
-            Pinned::Backend(backend) => Some(backend) != target,
-            Pinned::Refused => true,
+        let off_target = |pin: &Pin| match pin.destination {
+            PinDestination::Backend(backend) => Some(backend) != target,
+            PinDestination::Refused => true,
         };
-        let pins = held.acceptor.pins().iter();
+        let pins = state.acceptor.pins().iter();
         let off_target: Vec<(PinKey, Pin)> = pins
             .filter(|(key, pin)| in_bucket(key) && off_target(pin))
             .map(|(key, pin)| (*key, *pin))
             .collect();
-        let is_idle = |pin: &Pin| began.since(pin.last_used) >= idle_timeout;
+        let is_idle = |pin: &Pin| started_at.since(pin.last_used) >= idle_timeout;
         let idle = off_target.iter().filter(|(_, pin)| is_idle(pin));
         let idle: Vec<PinKey> = idle.map(|(key, _)| *key).collect();
         let all_idle = idle.len() == off_target.len();
-        self.forget(now, group, &idle);
+        self.remove_pins(now, group, &idle);
         if all_idle && mark.target.is_some() {
-            self.mark_settled(now, group, mark);
+            self.append_settled_mark(now, group, mark);
         }
     }
 
-    fn mark_settled(&mut self, now: Timestamp, group: GroupIndex, mark: SettledMark) {
+    fn append_settled_mark(&mut self, now: Timestamp, group: GroupIndex, mark: SettledMark) {
         let Some(decided_under) = self.cluster.as_ref().map(Cluster::number) else {
             return;
         };
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        if held.acceptor.pins().marks().len() >= MAX_MARKS {
+        if state.acceptor.pins().marks().len() >= MAX_MARKS_PER_GROUP {
             return;
         }
-        let Some(leader) = held.serving() else {
+        let Some(leader) = state.serving() else {
             return;
         };
         let sequence = leader.append_mark(mark);
-        let clean = HeldClean {
+        let clean = PendingClean {
             settled: mark.settled,
             decided_under,
-            deadline: now.after(self.settings.packet_wait),
+            deadline: now.after(self.settings.packet_timeout),
         };
-        leader.hold(sequence, HeldItem::Clean(clean));
-        held.acceptor.pins_mut().mark(mark);
-        self.active.insert(group);
+        leader.add_pending(sequence, PendingItem::Clean(clean));
+        state.acceptor.pins_mut().apply_mark(mark);
+        self.active_groups.insert(group);
     }
 
     /// Drops reports about buckets that are not contested any more, and all reports when the
@@ -299,23 +308,23 @@
         };
         let is_known = |settled: &SettledBucket| {
             cluster
-                .bucket(place_in(*settled))
+                .bucket(lookup_place(*settled))
                 .is_some_and(|(service, bucket)| is_contested(service, bucket))
         };
         self.settlement
-            .gathered
+            .reports_by_bucket
             .retain(|settled, _| is_known(settled));
-        if cluster.has_other_members() {
-            self.settlement.gathered.clear();
+        if cluster.members_changed() {
+            self.settlement.reports_by_bucket.clear();
         }
         self.settlement
             .rounds
-            .retain(|node, _| cluster.knows(*node));
+            .retain(|node, _| cluster.is_known_member(*node));
     }
 }
 
 /// A place in `settled`, for look-ups that don't need a flow.
-fn place_in(settled: SettledBucket) -> FlowPlace {
+fn lookup_place(settled: SettledBucket) -> FlowPlace {
     FlowPlace {
         service: settled.service,
         bucket: settled.bucket,
--- a/crates/bellyoke-core/src/node/ownership/takeover.rs
+++ b/crates/bellyoke-core/src/node/ownership/takeover.rs
@@ -2,15 +2,15 @@
 
 use super::Ownership;
 use super::ballot::{Ballot, Configuration, LogPosition};
-use super::collection::{BestCopy, Collection};
+use super::claim::{BestCopy, Claim};
 use super::effect::OwnershipEffect;
-use super::group::{Group, Role};
-use super::held::HeldItem;
+use super::group::{GroupState, Role};
 use super::leader::Leader;
 use super::message::{
     FetchRequest, FetchedPins, Installation, OwnerHint, OwnershipMessage, PrepareRequest,
     ReplicaPromise,
 };
+use super::pending::PendingItem;
 use super::pin::PinTable;
 use crate::identity::{GenerationNumber, GroupIndex, NodeId};
 use crate::node::NodeEvent;
@@ -23,7 +23,7 @@
 
 impl Ownership {
     /// Takes up a newer generation's replica set of `group`.
-    pub(super) fn adopt_group(&mut self, now: Timestamp, group: GroupIndex) {
+    pub(super) fn apply_generation_to_group(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
         };
@@ -34,59 +34,59 @@
         let previous = previous.and_then(|known| known.configuration(group));
         let unchanged = previous.is_some_and(|known| known.replicas == configuration.replicas);
         if !unchanged {
-            self.adopt_replicas(group, configuration.clone());
+            self.set_replicas(group, configuration.clone());
         }
-        self.consider(now, group);
+        self.claim_if_needed(now, group);
     }
 
-    fn adopt_replicas(&mut self, group: GroupIndex, configuration: Configuration) {
-        let held = self.groups.entry(group).or_default();
-        held.announcement.restart();
-        held.replicas_since = configuration.generation;
-        held.hint = held
-            .hint
+    fn set_replicas(&mut self, group: GroupIndex, configuration: Configuration) {
+        let state = self.groups.entry(group).or_default();
+        state.announcement_backoff.restart();
+        state.replica_generation = configuration.generation;
+        state.highest_ballot = state
+            .highest_ballot
             .filter(|hint| hint.generation >= configuration.generation);
         if configuration.generation == FIRST_GENERATION {
             let installation = Installation {
                 configuration,
-                lost_before: GenerationNumber(0),
+                pins_lost_before: GenerationNumber(0),
             };
-            held.acceptor.found(self.node, installation);
+            state.acceptor.bootstrap(self.node, installation);
         }
-        if let Role::Collecting(_) = held.role {
-            held.role = Role::Follower;
+        if let Role::Claiming(_) = state.role {
+            state.role = Role::Follower;
         }
     }
 
     /// Claims `group` if it is in use, and this node is the one that should own it and
     /// doesn't.
-    pub(super) fn consider(&mut self, now: Timestamp, group: GroupIndex) {
+    pub(super) fn claim_if_needed(&mut self, now: Timestamp, group: GroupIndex) {
         let in_use = self
             .cluster
             .as_ref()
-            .is_some_and(|known| known.is_in_use(group));
+            .is_some_and(|known| known.has_contested_bucket(group));
         if in_use && self.should_claim(group) {
-            self.claim(now, group);
+            self.start_claim(now, group);
         }
     }
 
     /// Whether this node is the one that should own `group` and has not claimed it.
     fn should_claim(&self, group: GroupIndex) -> bool {
-        if self.believed_owner(group) != Some(self.node) {
+        if self.presumed_owner(group) != Some(self.node) {
             return false;
         }
-        let Some(configuration) = self.present_configuration(group) else {
+        let Some(configuration) = self.current_configuration(group) else {
             return false;
         };
-        let Some(held) = self.groups.get(&group) else {
+        let Some(state) = self.groups.get(&group) else {
             return false;
         };
         let replicas = &configuration.replicas;
-        let has_claimed = held.own_configuration().map(|own| &own.replicas) == Some(replicas);
+        let has_claimed = state.own_configuration().map(|own| &own.replicas) == Some(replicas);
         !has_claimed && replicas.contains(&self.node)
     }
 
-    fn present_configuration(&self, group: GroupIndex) -> Option<&Configuration> {
+    fn current_configuration(&self, group: GroupIndex) -> Option<&Configuration> {
         self.cluster.as_ref()?.configuration(group)
     }
 
@@ -110,46 +110,46 @@
         let Some(cluster) = &self.cluster else {
             return;
         };
-        if self.observed.barrier < cluster.number() {
+        if self.membership.barrier < cluster.number() {
             return;
         }
-        let mut room = self.room_for_claims();
+        let mut remaining = self.remaining_claims();
         for group in groups {
-            if room == 0 {
+            if remaining == 0 {
                 return;
             }
-            if self.lacks_link(*group) && self.should_claim(*group) {
-                self.claim(now, *group);
-                room -= 1;
+            if self.lacks_current_copy(*group) && self.should_claim(*group) {
+                self.start_claim(now, *group);
+                remaining -= 1;
             }
         }
     }
 
     /// A replica of an earlier generation waits for an owner to whom it can hand its copy.
-    pub(super) fn claim_for_announcer(&mut self, now: Timestamp, group: GroupIndex) {
-        if self.should_claim(group) && self.room_for_claims() > 0 {
-            self.claim(now, group);
+    pub(super) fn claim_announced_group(&mut self, now: Timestamp, group: GroupIndex) {
+        if self.should_claim(group) && self.remaining_claims() > 0 {
+            self.start_claim(now, group);
         }
     }
 
-    fn room_for_claims(&mut self) -> usize {
-        let collecting = self.groups.values_mut().filter_map(Group::collection);
-        MAX_UNUSED_CLAIMS.saturating_sub(collecting.count())
+    fn remaining_claims(&mut self) -> usize {
+        let claiming = self.groups.values_mut().filter_map(GroupState::claim);
+        MAX_UNUSED_CLAIMS.saturating_sub(claiming.count())
     }
 
     /// Whether complete copies of `group` lie with other replicas than the present.
-    fn lacks_link(&self, group: GroupIndex) -> bool {
+    fn lacks_current_copy(&self, group: GroupIndex) -> bool {
         let installed = self
             .groups
             .get(&group)
-            .and_then(|held| held.acceptor.installed());
-        let present = self.present_configuration(group);
+            .and_then(|state| state.acceptor.installed());
+        let present = self.current_configuration(group);
         installed.map(|copy| &copy.configuration.replicas)
             != present.map(|present| &present.replicas)
     }
 
     /// Asks for promises under a ballot above all that were heard of.
-    pub(super) fn claim(&mut self, now: Timestamp, group: GroupIndex) {
+    pub(super) fn start_claim(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
         };
@@ -160,38 +160,41 @@
         let previous = previous
             .and_then(|known| known.configuration(group))
             .cloned();
-        let held = self.groups.entry(group).or_default();
-        let highest = held.acceptor.promised().max(held.hint.unwrap_or_default());
+        let state = self.groups.entry(group).or_default();
+        let highest = state
+            .acceptor
+            .promised()
+            .max(state.highest_ballot.unwrap_or_default());
         let Some(ballot) = next_ballot(highest, configuration.generation, self.node) else {
             return;
         };
-        let installed = held
+        let installed = state
             .acceptor
             .installed()
             .map(|copy| copy.configuration.clone());
-        let successors = held.acceptor.successors().iter().cloned();
+        let successors = state.acceptor.successors().iter().cloned();
         let earlier: Vec<Configuration> = successors.chain(installed).chain(previous).collect();
-        let collection = Collection::new(now, group, ballot, configuration, earlier);
+        let claim = Claim::new(now, group, ballot, configuration, earlier);
         self.step_down(group);
-        if let Some(held) = self.groups.get_mut(&group) {
-            held.role = Role::Collecting(Box::new(collection));
-            held.retry.restart();
-            held.heard_of(ballot);
+        if let Some(state) = self.groups.get_mut(&group) {
+            state.role = Role::Claiming(Box::new(claim));
+            state.retry_backoff.restart();
+            state.record_ballot(ballot);
         }
-        self.ask_for_promises(group);
+        self.send_claim_requests(group);
     }
 
     /// Asks all replicas that have not promised, or for the next pins.
-    pub(super) fn ask_for_promises(&mut self, group: GroupIndex) {
-        let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) else {
+    pub(super) fn send_claim_requests(&mut self, group: GroupIndex) {
+        let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
         };
-        if let Some((source, request)) = collection.fetch_request() {
+        if let Some((source, request)) = claim.fetch_request() {
             self.send(source, OwnershipMessage::Fetch(Box::new(request)));
             return;
         }
-        let request = collection.request();
-        for replica in collection.unanswered() {
+        let request = claim.prepare_request();
+        for replica in claim.missing_promises() {
             if replica == self.node {
                 self.send(replica, OwnershipMessage::Prepare(vec![request.clone()]));
             } else {
@@ -201,42 +204,42 @@
     }
 
     /// A claimant asks for a promise.
-    pub(super) fn prepare(&mut self, from: NodeId, request: PrepareRequest) {
+    pub(super) fn handle_prepare(&mut self, from: NodeId, request: PrepareRequest) {
         if request.ballot.node != from {
             return;
         }
         let group = request.group;
-        let held = self.groups.entry(group).or_default();
-        match held.acceptor.prepare(&request) {
+        let state = self.groups.entry(group).or_default();
+        match state.acceptor.prepare(&request) {
             Ok(promise) => {
-                held.heard_of(request.ballot);
-                self.yield_to(group, request.ballot);
+                state.record_ballot(request.ballot);
+                self.yield_to_ballot(group, request.ballot);
                 if from == self.node {
                     self.send(from, OwnershipMessage::Promise(vec![promise]));
                 } else {
                     self.outbox.promise(from, promise);
                 }
             }
-            Err(refused) => {
-                let ballot = refused.promised;
+            Err(rejected) => {
+                let ballot = rejected.promised;
                 self.outbox.superseded(from, OwnerHint { group, ballot });
             }
         }
     }
 
     /// A replica promised.
-    pub(super) fn promised(&mut self, now: Timestamp, from: NodeId, promise: ReplicaPromise) {
+    pub(super) fn handle_promise(&mut self, now: Timestamp, from: NodeId, promise: ReplicaPromise) {
         let group = promise.group;
-        let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) else {
+        let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
         };
-        if collection.ballot() != promise.ballot || collection.is_fetching() {
+        if claim.ballot() != promise.ballot || claim.is_fetching() {
             return;
         }
-        let has_learned = collection.promised(from, promise);
-        match collection.outcome() {
+        let found_configuration = claim.record_promise(from, promise);
+        match claim.agreed_copy() {
             Some(best) => self.copy_from(now, group, best),
-            None if has_learned => self.ask_for_promises(group),
+            None if found_configuration => self.send_claim_requests(group),
             None => {}
         }
     }
@@ -246,138 +249,140 @@
             let pins = self
                 .groups
                 .get(&group)
-                .map(|held| held.acceptor.pins().clone());
-            self.install(now, group, pins.unwrap_or_default(), best.lost_before);
+                .map(|state| state.acceptor.pins().clone());
+            self.install_copy(now, group, pins.unwrap_or_default(), best.pins_lost_before);
             return;
         }
-        if let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) {
-            collection.fetch_from(best);
+        if let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) {
+            claim.start_fetch(best);
         }
-        self.ask_for_promises(group);
+        self.send_claim_requests(group);
     }
 
     /// A claimant copies pins.
-    pub(super) fn fetch(&mut self, from: NodeId, request: FetchRequest) {
-        let Some(held) = self.groups.get(&request.group) else {
+    pub(super) fn handle_fetch(&mut self, from: NodeId, request: FetchRequest) {
+        let Some(state) = self.groups.get(&request.group) else {
             return;
         };
-        let promised = held.acceptor.promised();
+        let promised = state.acceptor.promised();
         if promised != request.ballot {
             let group = request.group;
             let ballot = promised;
             self.outbox.superseded(from, OwnerHint { group, ballot });
             return;
         }
-        let (runs, more) = held
+        let (runs, more) = state
             .acceptor
             .pins()
-            .page(request.cursor, self.settings.max_batch);
+            .page(request.cursor, self.settings.max_batch_pins);
         let page = FetchedPins {
             request,
             runs,
-            marks: held.acceptor.pins().marks(),
-            more,
+            marks: state.acceptor.pins().marks(),
+            has_more: more,
         };
         self.send(from, OwnershipMessage::Fetched(Box::new(page)));
     }
 
     /// A page of pins has come.
-    pub(super) fn fetched(&mut self, now: Timestamp, page: &FetchedPins) {
+    pub(super) fn handle_fetched_pins(&mut self, now: Timestamp, page: &FetchedPins) {
         let group = page.request.group;
-        let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) else {
+        let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
         };
-        let before = collection.fetch_request();
-        if !collection.fetched(now, page) {
-            if before != collection.fetch_request() {
-                self.ask_for_promises(group);
+        let before = claim.fetch_request();
+        if !claim.apply_page(now, page) {
+            if before != claim.fetch_request() {
+                self.send_claim_requests(group);
             }
             return;
         }
-        if let Some((pins, source)) = collection.take_fetched() {
-            self.install(now, group, pins, source.lost_before);
+        if let Some((pins, source)) = claim.take_fetched() {
+            self.install_copy(now, group, pins, source.pins_lost_before);
         }
     }
 
     /// Gives the earlier pins up, when a majority of their replicas has not answered for long.
-    pub(super) fn abandon_overdue(&mut self, now: Timestamp, group: GroupIndex) {
-        let started = self
+    pub(super) fn abandon_overdue_claim(&mut self, now: Timestamp, group: GroupIndex) {
+        let started_at = self
             .groups
             .get_mut(&group)
-            .and_then(|held| Some(held.collection()?.started()));
-        let waited = started.map(|started| now.since(started));
-        if waited.is_none_or(|waited| waited < self.settings.abandon_empty_after) {
+            .and_then(|state| Some(state.claim()?.started_at()));
+        let waited = started_at.map(|started_at| now.since(started_at));
+        if waited.is_none_or(|waited| waited < self.settings.abandon_empty_timeout) {
             return;
         }
-        let limit = if self.may_have_lost_pins(group) {
-            self.settings.abandon_after
+        let limit = if self.had_contested_buckets(group) {
+            self.settings.abandon_timeout
         } else {
-            self.settings.abandon_empty_after
+            self.settings.abandon_empty_timeout
         };
         let number = self
             .cluster
             .as_ref()
             .map_or(GenerationNumber(0), |known| known.number());
-        let Some(collection) = self.groups.get_mut(&group).and_then(Group::collection) else {
+        let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
         };
-        let is_overdue = now.since(collection.started()) >= limit;
-        if !is_overdue || collection.is_fetching() || !collection.has_own_majority() {
+        let is_overdue = now.since(claim.started_at()) >= limit;
+        if !is_overdue || claim.is_fetching() || !claim.has_own_majority() {
             return;
         }
-        let lost_before = number;
-        let best = collection.best().map(|best| BestCopy {
-            lost_before,
+        let pins_lost_before = number;
+        let best = claim.best_copy().map(|best| BestCopy {
+            pins_lost_before,
             ..best
         });
         self.counters.abandoned += 1;
         match best {
             Some(best) => self.copy_from(now, group, best),
-            None => self.install(now, group, PinTable::default(), lost_before),
+            None => self.install_copy(now, group, PinTable::default(), pins_lost_before),
         }
     }
 
-    fn may_have_lost_pins(&self, group: GroupIndex) -> bool {
+    fn had_contested_buckets(&self, group: GroupIndex) -> bool {
         let Some(cluster) = &self.cluster else {
             return false;
         };
         cluster.has_bucket_contested_before(group, cluster.number())
     }
 
-    fn install(
+    fn install_copy(
         &mut self,
         now: Timestamp,
         group: GroupIndex,
         pins: PinTable,
-        lost_before: GenerationNumber,
+        pins_lost_before: GenerationNumber,
     ) {
         let limits = self.log_limits();
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let Some(collection) = held.collection() else {
+        let Some(claim) = state.claim() else {
             return;
         };
-        let ballot = collection.ballot();
+        let ballot = claim.ballot();
         let installation = Installation {
-            configuration: collection.configuration().clone(),
-            lost_before,
+            configuration: claim.configuration().clone(),
+            pins_lost_before,
         };
         let leader = Leader::new(now, group, ballot, &installation, &pins, limits);
-        let sequence = leader.sealed();
+        let sequence = leader.last_sealed();
         let position = LogPosition { ballot, sequence };
-        held.acceptor.lead(position, installation, pins);
-        held.role = Role::Leading(Box::new(leader));
-        held.retry.restart();
+        state
+            .acceptor
+            .install_own_copy(position, installation, pins);
+        state.role = Role::Leading(Box::new(leader));
+        state.retry_backoff.restart();
         self.counters.installed += 1;
-        self.count_owned_pins();
+        self.update_owned_pins();
         self.send_unsent(group);
-        self.committed(now, group);
+        self.handle_commit(now, group);
     }
 
     /// Gives up a claim below `ballot`.
-    pub(super) fn yield_to(&mut self, group: GroupIndex, ballot: Ballot) {
-        let own = self.groups.get(&group).and_then(Group::own_ballot);
+    pub(super) fn yield_to_ballot(&mut self, group: GroupIndex, ballot: Ballot) {
+        let own = self.groups.get(&group).and_then(GroupState::own_ballot);
         if own.is_some_and(|own| own < ballot) {
             self.counters.superseded += 1;
             self.step_down(group);
@@ -385,40 +390,40 @@
     }
 
     /// Some replica has promised a higher ballot.
-    pub(super) fn superseded(&mut self, now: Timestamp, hint: OwnerHint) {
-        self.heard_of_owner(hint);
-        self.yield_to(hint.group, hint.ballot);
-        self.consider(now, hint.group);
+    pub(super) fn handle_superseded(&mut self, now: Timestamp, hint: OwnerHint) {
+        self.handle_owner_hint(hint);
+        self.yield_to_ballot(hint.group, hint.ballot);
+        self.claim_if_needed(now, hint.group);
     }
 
     /// Another node says who owns a group.
-    pub(super) fn heard_of_owner(&mut self, hint: OwnerHint) {
+    pub(super) fn handle_owner_hint(&mut self, hint: OwnerHint) {
         let Some(cluster) = &self.cluster else {
             return;
         };
         if cluster.configuration(hint.group).is_none() {
             return;
         }
-        let held = self.groups.entry(hint.group).or_default();
-        held.heard_of(hint.ballot);
+        let state = self.groups.entry(hint.group).or_default();
+        state.record_ballot(hint.ballot);
     }
 
     /// Becomes a follower; what waited for a majority is dropped.
     pub(super) fn step_down(&mut self, group: GroupIndex) {
-        let Some(held) = self.groups.get_mut(&group) else {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        let role = std::mem::take(&mut held.role);
+        let role = std::mem::take(&mut state.role);
         let Role::Leading(mut leader) = role else {
             return;
         };
-        for item in leader.take_held() {
-            if let HeldItem::Packet(packet) = item {
-                self.budget.give_back(&packet.packet);
+        for item in leader.take_pending() {
+            if let PendingItem::Packet(packet) = item {
+                self.packet_budget.give_back(&packet.packet);
                 self.counters.dropped.stepped_down += 1;
             }
         }
-        self.count_owned_pins();
+        self.update_owned_pins();
     }
 
     /// Says that this node has become the owner by ballot, if not by rank.
