--- a/crates/bellyoke-core/tests/ownership_parts.rs
+++ b/crates/bellyoke-core/tests/ownership_parts.rs
@@ -14,15 +14,15 @@
 use bellyoke_core::node::{AdoptionReport, EscalatedPacket, RefusalReason};
 use bellyoke_core::packet::FlowHash;
 use bellyoke_core::time::Timestamp;
-use ownership_support::generations::{self, FIRST, PLACED};
-use ownership_support::world::settings;
+use ownership_support::generations::{self, FIRST_HASHED, LEAST_LOADED};
+use ownership_support::simulation::settings;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rkyv::util::AlignedVec;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-const PINS: u32 = 64;
+const FULL_BATCH_PINS: u32 = 64;
 
 fn place(service: ServiceId, hash: u128, buckets: usize) -> FlowPlace {
     let hash = FlowHash(hash << 40);
@@ -48,22 +48,22 @@
 }
 
 /// Nodes whose messages arrive at once, except those of nodes that are down.
-struct Direct {
+struct DirectNetwork {
     now: u64,
     nodes: BTreeMap<NodeId, Ownership>,
-    down: Vec<NodeId>,
+    down_nodes: Vec<NodeId>,
     sent: Vec<(NodeId, OwnershipMessage)>,
     effects: Vec<(NodeId, OwnershipEffect)>,
 }
 
-impl Direct {
+impl DirectNetwork {
     fn new(members: u64, settings: OwnershipSettings) -> Self {
         let ids = (1..=members).map(NodeId);
         let nodes = ids.map(|id| (id, Ownership::new(id, settings)));
         Self {
             now: 0,
             nodes: nodes.collect(),
-            down: Vec::new(),
+            down_nodes: Vec::new(),
             sent: Vec::new(),
             effects: Vec::new(),
         }
@@ -80,7 +80,11 @@
         let effects = input(owner, now);
         self.take_effects(node, effects, &mut arriving);
         while let Some((from, to, message)) = arriving.pop_front() {
-            let Some(owner) = self.nodes.get_mut(&to).filter(|_| !self.down.contains(&to)) else {
+            let Some(owner) = self
+                .nodes
+                .get_mut(&to)
+                .filter(|_| !self.down_nodes.contains(&to))
+            else {
                 continue;
             };
             let effects = owner.handle(now, from, message);
@@ -111,7 +115,7 @@
             for node in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let due = self.nodes[&node].next_timeout();
                 let is_due = due.is_some_and(|due| due <= Timestamp::from_micros(self.now));
-                if is_due && !self.down.contains(&node) {
+                if is_due && !self.down_nodes.contains(&node) {
                     self.at(node, |owner, now| owner.timeout(now));
                 }
             }
@@ -120,12 +124,12 @@
 
     fn adopt(&mut self, generation: &Arc<Generation>) {
         for node in self.nodes.keys().copied().collect::<Vec<_>>() {
-            self.at(node, |owner, now| owner.adopt(now, generation));
+            self.at(node, |owner, now| owner.apply_generation(now, generation));
             let report = AdoptionReport {
                 generation: generation.number,
                 opened: Vec::new(),
             };
-            self.at(node, |owner, now| owner.adopted(now, report));
+            self.at(node, |owner, now| owner.handle_adoption(now, report));
         }
         self.run(400);
     }
@@ -157,15 +161,15 @@
 }
 
 /// Three nodes under a generation whose first service's first bucket moved from 0 to 1.
-fn contested() -> (Direct, Arc<Generation>) {
+fn contested_network() -> (DirectNetwork, Arc<Generation>) {
     let generation = first(3);
-    let mut direct = Direct::new(3, settings(Ablation::None));
-    direct.adopt(&generation);
+    let mut network = DirectNetwork::new(3, settings(Ablation::None));
+    network.adopt(&generation);
     let mut next = generations::next(&generation);
-    generations::retarget(&mut next, FIRST, 0, Some(BackendId(1)));
+    generations::retarget(&mut next, FIRST_HASHED, 0, Some(BackendId(1)));
     let next = Arc::new(next);
-    direct.adopt(&next);
-    (direct, next)
+    network.adopt(&next);
+    (network, next)
 }
 
 #[test]
@@ -191,24 +195,24 @@
     let generation = generations::first(1..=3);
     let assignment = Assignment::new(&generation);
     let group = |service, bucket| assignment.group(service, BucketIndex(bucket));
-    assert_eq!(group(PLACED, 0), group(PLACED, 1));
+    assert_eq!(group(LEAST_LOADED, 0), group(LEAST_LOADED, 1));
     assert_eq!(generation.services[2].placement, Placement::LeastLoaded);
     let groups: std::collections::BTreeSet<_> =
-        (0..64).map(|bucket| group(FIRST, bucket)).collect();
-    assert_eq!(groups.len(), usize::from(generations::GROUPS));
+        (0..64).map(|bucket| group(FIRST_HASHED, bucket)).collect();
+    assert_eq!(groups.len(), usize::from(generations::GROUP_COUNT));
 }
 
 #[test]
 fn a_node_without_opened_flows_acknowledges_at_once() {
-    let (direct, _) = contested();
+    let (network, _) = contested_network();
     let acknowledged = |(_, effect): &&(NodeId, OwnershipEffect)| {
         *effect == OwnershipEffect::Acknowledge(GenerationNumber(2))
     };
-    assert_eq!(direct.effects.iter().filter(acknowledged).count(), 3);
+    assert_eq!(network.effects.iter().filter(acknowledged).count(), 3);
 }
 
 /// The first generation without the service that is always contested.
-fn all_clean(members: u64) -> Generation {
+fn clean_generation(members: u64) -> Generation {
     let mut generation = generations::first(1..=members);
     generation.services.truncate(2);
     generation
@@ -216,72 +220,75 @@
 
 #[test]
 fn groups_without_contested_buckets_cost_no_messages() {
-    let generation = Arc::new(all_clean(3));
-    let mut direct = Direct::new(3, settings(Ablation::None));
-    direct.adopt(&generation);
-    direct.barrier(1);
-    direct.run(5000);
-    assert_eq!(direct.sent, []);
+    let generation = Arc::new(clean_generation(3));
+    let mut network = DirectNetwork::new(3, settings(Ablation::None));
+    network.adopt(&generation);
+    network.barrier(1);
+    network.run(5000);
+    assert_eq!(network.sent, []);
     let mut next = generations::next(&generation);
-    generations::retarget(&mut next, FIRST, 0, Some(BackendId(1)));
+    generations::retarget(&mut next, FIRST_HASHED, 0, Some(BackendId(1)));
     let next = Arc::new(next);
-    direct.adopt(&next);
-    direct.barrier(2);
-    let installed = direct.nodes.values().map(|node| node.counters().installed);
+    network.adopt(&next);
+    network.barrier(2);
+    let installed = network.nodes.values().map(|node| node.counters().installed);
     assert_eq!(installed.sum::<u64>(), 1, "one group is in use");
-    direct.run(1000);
-    direct.sent.clear();
-    direct.run(5000);
-    assert_eq!(direct.sent, []);
+    network.run(1000);
+    network.sent.clear();
+    network.run(5000);
+    assert_eq!(network.sent, []);
 }
 
 #[test]
 fn a_list_that_comes_before_the_owner_serves_need_not_be_sent_again() {
-    let generation = Arc::new(all_clean(3));
+    let generation = Arc::new(clean_generation(3));
     let settings = OwnershipSettings::default();
-    let mut direct = Direct::new(3, settings);
-    direct.adopt(&generation);
-    direct.barrier(1);
+    let mut network = DirectNetwork::new(3, settings);
+    network.adopt(&generation);
+    network.barrier(1);
     let mut next = generations::next(&generation);
-    generations::retarget(&mut next, FIRST, 0, Some(BackendId(1)));
+    generations::retarget(&mut next, FIRST_HASHED, 0, Some(BackendId(1)));
     let next = Arc::new(next);
     // One node switches before the owner has learned the generation, the others after.
     for node in [1, 2, 3].map(NodeId) {
         let opened = OpenedFlow {
-            place: place(FIRST, u128::from(node.0), 4),
+            place: place(FIRST_HASHED, u128::from(node.0), 4),
             backend: BackendId(0),
         };
         let report = AdoptionReport {
             generation: GenerationNumber(2),
             opened: vec![opened],
         };
-        direct.at(node, |owner, now| owner.adopt(now, &next));
-        direct.at(node, |owner, now| owner.adopted(now, report));
+        network.at(node, |owner, now| owner.apply_generation(now, &next));
+        network.at(node, |owner, now| owner.handle_adoption(now, report));
     }
     let before_a_retry = settings.retry_interval.as_millis() as u64 / 4;
-    direct.run(before_a_retry);
+    network.run(before_a_retry);
     let acknowledged = |(_, effect): &&(NodeId, OwnershipEffect)| {
         *effect == OwnershipEffect::Acknowledge(GenerationNumber(2))
     };
-    assert_eq!(direct.effects.iter().filter(acknowledged).count(), 3);
+    assert_eq!(network.effects.iter().filter(acknowledged).count(), 3);
 }
 
 #[test]
 fn claims_of_many_groups_fill_few_messages_that_fit_a_datagram() {
-    let mut generation = all_clean(3);
+    let mut generation = clean_generation(3);
     generation.parameters.groups = 64;
-    generation.services = vec![generations::service(FIRST, Placement::Hashed, 1024)];
-    let mut direct = Direct::new(3, OwnershipSettings::default());
-    direct.adopt(&Arc::new(generation.clone()));
+    generation.services = vec![generations::service(FIRST_HASHED, Placement::Hashed, 1024)];
+    let mut network = DirectNetwork::new(3, OwnershipSettings::default());
+    network.adopt(&Arc::new(generation.clone()));
     let mut next = generations::next(&generation);
     for bucket in 0..1024 {
         let target = Some(BackendId(bucket as u32 % 2 + 2));
-        generations::retarget(&mut next, FIRST, bucket, target);
+        generations::retarget(&mut next, FIRST_HASHED, bucket, target);
     }
-    direct.adopt(&Arc::new(next));
-    let installed = direct.nodes.values().map(|node| node.counters().installed);
+    network.adopt(&Arc::new(next));
+    let installed = network.nodes.values().map(|node| node.counters().installed);
     assert_eq!(installed.sum::<u64>(), 64);
-    let sizes = direct.sent.iter().map(|(_, message)| encode(message).len());
+    let sizes = network
+        .sent
+        .iter()
+        .map(|(_, message)| encode(message).len());
     let sizes: Vec<usize> = sizes.collect();
     println!(
         "{} messages, {} bytes",
@@ -294,56 +301,56 @@
 
 #[test]
 fn unused_groups_follow_their_replicas_after_the_barrier() {
-    let generation = Arc::new(all_clean(4));
-    let mut direct = Direct::new(4, settings(Ablation::None));
-    direct.adopt(&generation);
+    let generation = Arc::new(clean_generation(4));
+    let mut network = DirectNetwork::new(4, settings(Ablation::None));
+    network.adopt(&generation);
     let mut next = generations::next(&generation);
     next.members.pop();
     let next = Arc::new(next);
-    direct.adopt(&next);
-    assert_eq!(direct.sent, []);
-    assert!(!direct.nodes[&NodeId(4)].is_drained());
-    direct.barrier(2);
-    direct.run(5000);
-    assert!(direct.nodes[&NodeId(4)].is_drained());
-    direct.sent.clear();
-    direct.run(5000);
-    assert_eq!(direct.sent, []);
+    network.adopt(&next);
+    assert_eq!(network.sent, []);
+    assert!(!network.nodes[&NodeId(4)].is_drained());
+    network.barrier(2);
+    network.run(5000);
+    assert!(network.nodes[&NodeId(4)].is_drained());
+    network.sent.clear();
+    network.run(5000);
+    assert_eq!(network.sent, []);
 }
 
 #[test]
 fn a_member_acknowledges_its_removal_after_the_delay_horizon() {
     let settings = settings(Ablation::None);
-    let generation = Arc::new(all_clean(4));
-    let mut direct = Direct::new(4, settings);
-    direct.adopt(&generation);
-    direct.effects.clear();
+    let generation = Arc::new(clean_generation(4));
+    let mut network = DirectNetwork::new(4, settings);
+    network.adopt(&generation);
+    network.effects.clear();
     let mut next = generations::next(&generation);
     next.members.pop();
-    direct.adopt(&Arc::new(next));
+    network.adopt(&Arc::new(next));
     let expected = OwnershipEffect::Acknowledge(GenerationNumber(2));
     let others = [1, 2, 3].map(|node| (NodeId(node), expected.clone()));
-    assert_eq!(direct.effects, others);
-    direct.effects.clear();
+    assert_eq!(network.effects, others);
+    network.effects.clear();
     let horizon = settings.delay_horizon.as_millis() as u64;
-    direct.run(horizon - 401);
-    assert_eq!(direct.effects, []);
-    direct.run(401);
-    assert_eq!(direct.effects, [(NodeId(4), expected)]);
+    network.run(horizon - 401);
+    assert_eq!(network.effects, []);
+    network.run(401);
+    assert_eq!(network.effects, [(NodeId(4), expected)]);
 }
 
 #[test]
 fn a_list_is_acknowledged_only_with_a_majority() {
-    let (mut direct, generation) = contested();
-    let place = place(FIRST, 7, 4);
-    let owner = direct.owner_of(place, &generation);
-    direct.down = direct
+    let (mut network, generation) = contested_network();
+    let place = place(FIRST_HASHED, 7, 4);
+    let owner = network.owner_of(place, &generation);
+    network.down_nodes = network
         .nodes
         .keys()
         .copied()
         .filter(|node| *node != owner)
         .collect();
-    direct.effects.clear();
+    network.effects.clear();
     let opened = vec![OpenedFlow {
         place,
         backend: BackendId(0),
@@ -353,93 +360,99 @@
         opened,
     };
     let next = Arc::new(generations::next(&generation));
-    direct.at(owner, |owner, now| owner.adopt(now, &next));
-    direct.at(owner, |owner, now| owner.adopted(now, report));
-    direct.run(1000);
-    assert_eq!(direct.effects, []);
-    direct.down.clear();
-    direct.run(1000);
+    network.at(owner, |owner, now| owner.apply_generation(now, &next));
+    network.at(owner, |owner, now| owner.handle_adoption(now, report));
+    network.run(1000);
+    assert_eq!(network.effects, []);
+    network.down_nodes.clear();
+    network.run(1000);
     let expected = OwnershipEffect::Acknowledge(GenerationNumber(3));
-    assert_eq!(direct.effects, [(owner, expected)]);
+    assert_eq!(network.effects, [(owner, expected)]);
 }
 
 #[test]
 fn base_before_the_barrier_and_target_after_it() {
-    let (mut direct, generation) = contested();
-    let owner = direct.owner_of(place(FIRST, 1, 4), &generation);
-    direct.at(owner, |owner, now| {
-        owner.escalated(now, opening(place(FIRST, 1, 4)))
+    let (mut network, generation) = contested_network();
+    let owner = network.owner_of(place(FIRST_HASHED, 1, 4), &generation);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place(FIRST_HASHED, 1, 4)))
     });
-    direct.run(10);
-    direct.barrier(2);
+    network.run(10);
+    network.barrier(2);
     for hash in [1, 2] {
-        direct.at(owner, |owner, now| {
-            owner.escalated(now, opening(place(FIRST, hash, 4)))
+        network.at(owner, |owner, now| {
+            owner.handle_escalation(now, opening(place(FIRST_HASHED, hash, 4)))
         });
     }
-    direct.run(10);
-    let mut forwards = direct.forwards();
+    network.run(10);
+    let mut forwards = network.forwards();
     forwards.sort_unstable();
     assert_eq!(forwards, [BackendId(0), BackendId(0), BackendId(1)]);
 }
 
 #[test]
 fn no_packet_goes_out_before_a_majority_has_its_pin() {
-    let (mut direct, generation) = contested();
-    direct.barrier(2);
-    let place = place(FIRST, 1, 4);
-    let owner = direct.owner_of(place, &generation);
-    direct.down = direct
+    let (mut network, generation) = contested_network();
+    network.barrier(2);
+    let place = place(FIRST_HASHED, 1, 4);
+    let owner = network.owner_of(place, &generation);
+    network.down_nodes = network
         .nodes
         .keys()
         .copied()
         .filter(|node| *node != owner)
         .collect();
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(1000);
-    assert_eq!(direct.forwards(), []);
-    assert_eq!(direct.nodes[&owner].counters().dropped.expired, 1);
-    direct.down.clear();
-    direct.run(1000);
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(10);
-    assert_eq!(direct.forwards(), [BackendId(1)]);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(1000);
+    assert_eq!(network.forwards(), []);
+    assert_eq!(network.nodes[&owner].counters().dropped.expired, 1);
+    network.down_nodes.clear();
+    network.run(1000);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(10);
+    assert_eq!(network.forwards(), [BackendId(1)]);
 }
 
 #[test]
 fn a_take_over_keeps_pins() {
-    let (mut direct, generation) = contested();
-    direct.barrier(2);
-    let place = place(FIRST, 1, 4);
-    let owner = direct.owner_of(place, &generation);
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(50);
-    direct.down = vec![owner];
+    let (mut network, generation) = contested_network();
+    network.barrier(2);
+    let place = place(FIRST_HASHED, 1, 4);
+    let owner = network.owner_of(place, &generation);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(50);
+    network.down_nodes = vec![owner];
     let failed = owner;
-    for node in direct
+    for node in network
         .nodes
         .keys()
         .copied()
         .filter(|node| *node != failed)
         .collect::<Vec<_>>()
     {
-        direct.at(node, |owner, now| owner.member_failed(now, failed));
+        network.at(node, |owner, now| owner.member_failed(now, failed));
     }
-    direct.nodes.remove(&failed);
-    direct.run(300);
-    let next = direct.owner_of(place, &generation);
+    network.nodes.remove(&failed);
+    network.run(300);
+    let next = network.owner_of(place, &generation);
     let mut packet = opening(place);
     packet.escalation.kind = EscalationKind::Other;
-    direct.at(next, |owner, now| owner.escalated(now, packet));
-    direct.run(10);
-    assert_eq!(direct.forwards(), [BackendId(1), BackendId(1)]);
+    network.at(next, |owner, now| owner.handle_escalation(now, packet));
+    network.run(10);
+    assert_eq!(network.forwards(), [BackendId(1), BackendId(1)]);
 }
 
 #[test]
 fn a_relay_from_a_stranger_is_dropped() {
-    let (mut direct, generation) = contested();
-    let place = place(FIRST, 1, 4);
-    let owner = direct.owner_of(place, &generation);
+    let (mut network, generation) = contested_network();
+    let place = place(FIRST_HASHED, 1, 4);
+    let owner = network.owner_of(place, &generation);
     let relayed = RelayedPacket {
         origin: NodeId(99),
         generation: generation.number,
@@ -448,46 +461,50 @@
         packet: vec![1],
     };
     let message = OwnershipMessage::Relay(Box::new(relayed));
-    direct.at(owner, |owner, now| owner.handle(now, NodeId(99), message));
-    direct.run(10);
-    assert_eq!(direct.forwards(), []);
-    assert_eq!(direct.nodes[&owner].counters().dropped.not_a_member, 1);
+    network.at(owner, |owner, now| owner.handle(now, NodeId(99), message));
+    network.run(10);
+    assert_eq!(network.forwards(), []);
+    assert_eq!(network.nodes[&owner].counters().dropped.not_a_member, 1);
 }
 
 #[test]
 fn waiting_packets_are_bounded_and_opening_ones_do_not_wait() {
     let settings = OwnershipSettings {
-        max_waiting_packets: 2,
+        max_queued_packets: 2,
         ..settings(Ablation::None)
     };
     let generation = first(1);
     let mut next = generations::next(&generation);
     next.members.clear();
     let mut node = Ownership::new(NodeId(1), settings);
-    node.adopt(Timestamp::ZERO, &Arc::new(next));
+    node.apply_generation(Timestamp::ZERO, &Arc::new(next));
     for hash in 0..4 {
-        let mut packet = opening(place(PLACED, hash, 2));
+        let mut packet = opening(place(LEAST_LOADED, hash, 2));
         packet.escalation.kind = EscalationKind::Other;
-        node.escalated(Timestamp::ZERO, packet);
+        node.handle_escalation(Timestamp::ZERO, packet);
     }
-    node.escalated(Timestamp::ZERO, opening(place(PLACED, 9, 2)));
+    node.handle_escalation(Timestamp::ZERO, opening(place(LEAST_LOADED, 9, 2)));
     let dropped = node.counters().dropped;
     assert_eq!((dropped.queue_full, dropped.opening_without_owner), (2, 1));
 }
 
 #[test]
 fn a_packet_that_waited_through_a_pause_is_dropped() {
-    let (mut direct, generation) = contested();
-    let place = place(FIRST, 1, 4);
-    let owner = direct.owner_of(place, &generation);
-    direct.now += 10_000_000;
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    assert_eq!(direct.nodes[&owner].counters().dropped.stale, 1);
-    direct.run(200);
-    assert_eq!(direct.forwards(), []);
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(10);
-    assert_eq!(direct.forwards(), [BackendId(0)]);
+    let (mut network, generation) = contested_network();
+    let place = place(FIRST_HASHED, 1, 4);
+    let owner = network.owner_of(place, &generation);
+    network.now += 10_000_000;
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    assert_eq!(network.nodes[&owner].counters().dropped.stale, 1);
+    network.run(200);
+    assert_eq!(network.forwards(), []);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(10);
+    assert_eq!(network.forwards(), [BackendId(0)]);
 }
 
 #[test]
@@ -496,63 +513,67 @@
         max_pins: 3,
         ..settings(Ablation::None)
     };
-    let mut direct = Direct::new(1, settings);
-    direct.adopt(&first(1));
+    let mut network = DirectNetwork::new(1, settings);
+    network.adopt(&first(1));
     for hash in 0..5 {
-        let packet = opening(place(PLACED, hash, 2));
-        direct.at(NodeId(1), |owner, now| owner.escalated(now, packet));
+        let packet = opening(place(LEAST_LOADED, hash, 2));
+        network.at(NodeId(1), |owner, now| owner.handle_escalation(now, packet));
     }
-    direct.run(10);
-    assert_eq!(direct.forwards().len(), 3);
-    assert_eq!(direct.nodes[&NodeId(1)].counters().dropped.pins_full, 2);
+    network.run(10);
+    assert_eq!(network.forwards().len(), 3);
+    assert_eq!(network.nodes[&NodeId(1)].counters().dropped.pins_full, 2);
 }
 
 #[test]
 fn load_is_spread_and_ended_flows_do_not_count() {
-    let mut direct = Direct::new(1, settings(Ablation::None));
-    direct.adopt(&first(1));
+    let mut network = DirectNetwork::new(1, settings(Ablation::None));
+    network.adopt(&first(1));
     let node = NodeId(1);
     for hash in 0..4 {
-        let packet = opening(place(PLACED, hash, 2));
-        direct.at(node, |owner, now| owner.escalated(now, packet));
-        direct.run(5);
+        let packet = opening(place(LEAST_LOADED, hash, 2));
+        network.at(node, |owner, now| owner.handle_escalation(now, packet));
+        network.run(5);
     }
-    let forwards = direct.forwards();
+    let forwards = network.forwards();
     let on_first = forwards.iter().filter(|backend| **backend == forwards[0]);
     assert_eq!(on_first.count(), 2);
     let ended: Vec<u128> = (0..4)
         .filter(|hash| forwards[*hash as usize] == forwards[0])
         .collect();
     for hash in ended {
-        direct.at(node, |owner, now| {
-            owner.flow_ended(now, place(PLACED, hash, 2))
+        network.at(node, |owner, now| {
+            owner.flow_ended(now, place(LEAST_LOADED, hash, 2))
         });
     }
     for hash in 4..6 {
-        let packet = opening(place(PLACED, hash, 2));
-        direct.at(node, |owner, now| owner.escalated(now, packet));
-        direct.run(5);
+        let packet = opening(place(LEAST_LOADED, hash, 2));
+        network.at(node, |owner, now| owner.handle_escalation(now, packet));
+        network.run(5);
     }
-    assert_eq!(direct.forwards()[4..], [forwards[0], forwards[0]]);
+    assert_eq!(network.forwards()[4..], [forwards[0], forwards[0]]);
 }
 
 #[test]
 fn without_a_backend_a_flow_is_refused_and_stays_refused() {
-    let (mut direct, generation) = contested();
+    let (mut network, generation) = contested_network();
     let mut next = generations::next(&generation);
-    generations::retarget(&mut next, FIRST, 0, None);
-    direct.adopt(&Arc::new(next.clone()));
-    direct.barrier(3);
-    let place = place(FIRST, 1, 4);
-    let owner = direct.owner_of(place, &next);
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(10);
+    generations::retarget(&mut next, FIRST_HASHED, 0, None);
+    network.adopt(&Arc::new(next.clone()));
+    network.barrier(3);
+    let place = place(FIRST_HASHED, 1, 4);
+    let owner = network.owner_of(place, &next);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(10);
     let mut again = generations::next(&next);
-    generations::retarget(&mut again, FIRST, 0, Some(BackendId(2)));
-    direct.adopt(&Arc::new(again));
-    direct.barrier(4);
-    direct.at(owner, |owner, now| owner.escalated(now, opening(place)));
-    direct.run(10);
+    generations::retarget(&mut again, FIRST_HASHED, 0, Some(BackendId(2)));
+    network.adopt(&Arc::new(again));
+    network.barrier(4);
+    network.at(owner, |owner, now| {
+        owner.handle_escalation(now, opening(place))
+    });
+    network.run(10);
     let refused = |(_, effect): &&(NodeId, OwnershipEffect)| {
         matches!(
             effect,
@@ -562,43 +583,45 @@
             }
         )
     };
-    assert_eq!(direct.effects.iter().filter(refused).count(), 2);
-    assert_eq!(direct.forwards(), []);
+    assert_eq!(network.effects.iter().filter(refused).count(), 2);
+    assert_eq!(network.forwards(), []);
 }
 
 #[test]
 fn a_replica_that_fell_behind_gets_a_new_copy() {
     let settings = OwnershipSettings {
-        max_unacknowledged: 4,
+        max_unacknowledged_batches: 4,
         ..settings(Ablation::None)
     };
     let generation = first(3);
-    let mut direct = Direct::new(3, settings);
-    direct.adopt(&generation);
-    let at = |hash| place(PLACED, hash, 2);
-    let owner = direct.owner_of(at(0), &generation);
-    let slow = *direct
+    let mut network = DirectNetwork::new(3, settings);
+    network.adopt(&generation);
+    let at = |hash| place(LEAST_LOADED, hash, 2);
+    let owner = network.owner_of(at(0), &generation);
+    let slow = *network
         .nodes
         .keys()
         .find(|node| **node != owner)
         .expect("another");
-    direct.down = vec![slow];
+    network.down_nodes = vec![slow];
     for hash in 0..20 {
-        direct.at(owner, |owner, now| owner.escalated(now, opening(at(hash))));
-        direct.run(10);
+        network.at(owner, |owner, now| {
+            owner.handle_escalation(now, opening(at(hash)))
+        });
+        network.run(10);
     }
-    assert_eq!(direct.forwards().len(), 20);
-    direct.down.clear();
-    direct.sent.clear();
-    direct.run(12_000);
+    assert_eq!(network.forwards().len(), 20);
+    network.down_nodes.clear();
+    network.sent.clear();
+    network.run(12_000);
     let completes = |(to, message): &&(NodeId, OwnershipMessage)| match message {
         OwnershipMessage::Replicate(batches) => {
-            *to == slow && batches.iter().any(|batch| batch.installs.is_some())
+            *to == slow && batches.iter().any(|batch| batch.installation.is_some())
         }
         _ => false,
     };
-    assert!(direct.sent.iter().filter(completes).count() > 0);
-    assert_eq!(direct.nodes[&owner].owned_pins(), 20);
+    assert!(network.sent.iter().filter(completes).count() > 0);
+    assert_eq!(network.nodes[&owner].owned_pins(), 20);
 }
 
 #[test]
@@ -631,22 +654,22 @@
 #[test]
 fn a_pin_costs_few_bytes_and_messages_survive_the_wire() {
     let production = OwnershipSettings::default();
-    for count in [1, 8, PINS] {
+    for count in [1, 8, FULL_BATCH_PINS] {
         let generation = first(3);
-        let mut direct = Direct::new(3, production);
-        direct.adopt(&generation);
-        direct.sent.clear();
-        let owner = direct.owner_of(place(PLACED, 0, 2), &generation);
+        let mut network = DirectNetwork::new(3, production);
+        network.adopt(&generation);
+        network.sent.clear();
+        let owner = network.owner_of(place(LEAST_LOADED, 0, 2), &generation);
         for hash in 0..count {
             let hash = u128::from(hash);
-            direct.at(owner, |owner, now| {
-                owner.escalated(now, opening(place(PLACED, hash, 2)))
+            network.at(owner, |owner, now| {
+                owner.handle_escalation(now, opening(place(LEAST_LOADED, hash, 2)))
             });
         }
-        direct.run(5);
+        network.run(5);
         let mut bytes = 0;
         let mut pins = 0;
-        for (_, message) in &direct.sent {
+        for (_, message) in &network.sent {
             let encoded = encode(message);
             let decoded = rkyv::from_bytes::<OwnershipMessage, rkyv::rancor::Error>(&encoded);
             assert_eq!(&decoded.expect("decodes"), message);
@@ -661,6 +684,6 @@
             "{count} pins in a batch: {} bytes a pin and replica",
             bytes / pins
         );
-        assert!(count < PINS || bytes / pins <= 24);
+        assert!(count < FULL_BATCH_PINS || bytes / pins <= 24);
     }
 }
--- a/crates/bellyoke-core/tests/ownership_schedules.rs
+++ b/crates/bellyoke-core/tests/ownership_schedules.rs
@@ -6,7 +6,7 @@
 mod ownership_support;
 
 use bellyoke_core::node::ownership::Ablation;
-use ownership_support::world::{Faults, Outcome, run};
+use ownership_support::simulation::{Faults, Outcome, run};
 
 const SCHEDULES: u64 = 1500;
 const ABLATION_SCHEDULES: u64 = 4000;
--- a/crates/bellyoke-core/tests/ownership_support/control.rs
+++ b/crates/bellyoke-core/tests/ownership_support/control.rs
@@ -1,6 +1,6 @@
 //! The store, membership and the barrier, as far as owners depend on them.
 
-use super::node::{HORIZON, LEASE};
+use super::node::{DELAY_HORIZON, LEASE_DURATION};
 use bellyoke_core::generation::Generation;
 use bellyoke_core::identity::{GenerationNumber, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,17 +65,14 @@
             .chain(&previous.members)
             .map(|member| member.node)
             .collect();
-        if !members
-            .iter()
-            .all(|node| self.needs_nothing(now, *node, next))
-        {
+        if !members.iter().all(|node| self.is_waived(now, *node, next)) {
             return None;
         }
         self.barrier = next;
         Some(next)
     }
 
-    fn needs_nothing(&self, now: u64, node: NodeId, number: GenerationNumber) -> bool {
+    fn is_waived(&self, now: u64, node: NodeId, number: GenerationNumber) -> bool {
         if self.acknowledged.get(&node) >= Some(&number) {
             return true;
         }
@@ -83,7 +80,7 @@
             .failed
             .get(&node)
             .and_then(|by| self.majority_at.get(by));
-        let wait = (LEASE + HORIZON).as_micros() as u64;
+        let wait = (LEASE_DURATION + DELAY_HORIZON).as_micros() as u64;
         majority_at.is_some_and(|majority| now >= majority + wait)
     }
 }
--- a/crates/bellyoke-core/tests/ownership_support/generations.rs
+++ b/crates/bellyoke-core/tests/ownership_support/generations.rs
@@ -8,18 +8,27 @@
 use bellyoke_core::packet::Transport;
 use std::net::SocketAddr;
 
-pub const GROUPS: u16 = 4;
+pub const GROUP_COUNT: u16 = 4;
 /// Longer than callers are silent, also when some of their packets go to nodes that lose them.
-pub const IDLE_SECONDS: u32 = 3;
+pub const IDLE_TIMEOUT_SECONDS: u32 = 3;
 /// Hashed, with changing targets.
-pub const FIRST: ServiceId = ServiceId(0);
+pub const FIRST_HASHED: ServiceId = ServiceId(0);
 /// Hashed, and at times without a target.
-pub const SECOND: ServiceId = ServiceId(1);
+pub const SECOND_HASHED: ServiceId = ServiceId(1);
 /// Placed by load.
-pub const PLACED: ServiceId = ServiceId(2);
+pub const LEAST_LOADED: ServiceId = ServiceId(2);
 
 /// Service of each backend.
-const BACKENDS: [ServiceId; 8] = [FIRST, FIRST, FIRST, FIRST, SECOND, SECOND, PLACED, PLACED];
+const BACKENDS: [ServiceId; 8] = [
+    FIRST_HASHED,
+    FIRST_HASHED,
+    FIRST_HASHED,
+    FIRST_HASHED,
+    SECOND_HASHED,
+    SECOND_HASHED,
+    LEAST_LOADED,
+    LEAST_LOADED,
+];
 
 fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
@@ -62,7 +71,7 @@
         transport: Transport::Tcp,
         placement,
         refusal: RefusalStyle::Http,
-        idle_timeout_seconds: IDLE_SECONDS,
+        idle_timeout_seconds: IDLE_TIMEOUT_SECONDS,
         backends: own
             .iter()
             .map(|backend| ServiceBackend {
@@ -90,12 +99,12 @@
         revision: StoreRevision::default(),
         parameters: ClusterParameters {
             flow_hash_seed: 1,
-            groups: GROUPS,
+            groups: GROUP_COUNT,
         },
         services: vec![
-            service(FIRST, Placement::Hashed, 4),
-            service(SECOND, Placement::Hashed, 2),
-            service(PLACED, Placement::LeastLoaded, 2),
+            service(FIRST_HASHED, Placement::Hashed, 4),
+            service(SECOND_HASHED, Placement::Hashed, 2),
+            service(LEAST_LOADED, Placement::LeastLoaded, 2),
         ],
         backends: backends
             .map(|(index, service)| backend(index, *service))
--- a/crates/bellyoke-core/tests/ownership_support/mod.rs
+++ b/crates/bellyoke-core/tests/ownership_support/mod.rs
@@ -7,4 +7,4 @@
 pub mod generations;
 pub mod ledger;
 pub mod node;
-pub mod world;
+pub mod simulation;
--- a/crates/bellyoke-core/tests/ownership_support/node.rs
+++ b/crates/bellyoke-core/tests/ownership_support/node.rs
@@ -1,6 +1,6 @@
 //! A node: the ownership state machine, and a stand-in for its traffic threads.
 
-use super::generations::IDLE_SECONDS;
+use super::generations::IDLE_TIMEOUT_SECONDS;
 use bellyoke_core::flow::{EscalationKind, FlowPlace, OpenedFlow, SettledBucket};
 use bellyoke_core::generation::{BackendState, Bucket, Generation, Placement, Service};
 use bellyoke_core::identity::{BackendId, BucketIndex, GenerationNumber, NodeId, ServiceId};
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const LEASE: Duration = Duration::from_millis(600);
-pub const HORIZON: Duration = Duration::from_millis(3000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(600);
+pub const DELAY_HORIZON: Duration = Duration::from_millis(3000);
 
 /// A flow in the table of a traffic thread.
 #[derive(Clone, Copy, Debug)]
@@ -46,8 +46,8 @@
 }
 
 pub fn is_contested(service: &Service, bucket: &Bucket) -> bool {
-    let placed = service.placement == Placement::LeastLoaded;
-    placed || bucket.is_contested() || bucket.target.is_none()
+    let by_load = service.placement == Placement::LeastLoaded;
+    by_load || bucket.is_contested() || bucket.target.is_none()
 }
 
 pub fn place(generation: &Generation, service: ServiceId, hash: FlowHash) -> FlowPlace {
@@ -78,7 +78,7 @@
 
     /// Without contact for the lease time, back from that and not caught up, or no member.
     pub fn is_fenced(&self, now: u64) -> bool {
-        let lease = LEASE.as_micros() as u64;
+        let lease = LEASE_DURATION.as_micros() as u64;
         let expired = self.contact_lost_at.is_some_and(|lost| now - lost > lease);
         let is_member = |generation: &Arc<Generation>| {
             generation
@@ -102,7 +102,7 @@
         let Some(generation) = self.forwarding.clone() else {
             return TrafficDecision::Drop;
         };
-        let idle = u64::from(IDLE_SECONDS) * 1_000_000;
+        let idle = u64::from(IDLE_TIMEOUT_SECONDS) * 1_000_000;
         self.flows.retain(|_, entry| now - entry.seen_at < idle);
         if let Some(entry) = self.flows.get_mut(&flow) {
             entry.seen_at = now;
@@ -138,7 +138,7 @@
     pub fn switch(&mut self, now: u64, generation: &Arc<Generation>) -> Vec<OpenedFlow> {
         let before = self.forwarding.replace(Arc::clone(generation));
         let before = before.map_or(GenerationNumber(0), |known| known.number);
-        let horizon = HORIZON.as_micros() as u64;
+        let horizon = DELAY_HORIZON.as_micros() as u64;
         let is_new = |entry: &&TableEntry| {
             let service = &generation.services[entry.place.service.0 as usize];
             let bucket = &service.buckets[entry.place.bucket.0 as usize];
@@ -162,12 +162,12 @@
         let Some(generation) = &self.forwarding else {
             return Vec::new();
         };
-        let idle = u64::from(IDLE_SECONDS) * 1_000_000;
+        let idle = u64::from(IDLE_TIMEOUT_SECONDS) * 1_000_000;
         let mut settled = Vec::new();
         for service in &generation.services {
             for (index, bucket) in (0..).map(BucketIndex).zip(&service.buckets) {
-                let placed = service.placement == Placement::LeastLoaded;
-                let target = bucket.target.filter(|_| !placed);
+                let by_load = service.placement == Placement::LeastLoaded;
+                let target = bucket.target.filter(|_| !by_load);
                 let off_target = self.flows.values().any(|entry| {
                     entry.place.service == service.id
                         && entry.place.bucket == index
--- a/crates/bellyoke-core/tests/ownership_support/world.rs
+++ b/crates/bellyoke-core/tests/ownership_support/simulation.rs
@@ -2,9 +2,9 @@
 
 use super::clients::{Client, ClientPacket};
 use super::control::Control;
-use super::generations::{self, FIRST, PLACED, SECOND};
+use super::generations::{self, FIRST_HASHED, LEAST_LOADED, SECOND_HASHED};
 use super::ledger::Ledger;
-use super::node::{HORIZON, LEASE, SimNode, TrafficDecision};
+use super::node::{DELAY_HORIZON, LEASE_DURATION, SimNode, TrafficDecision};
 use bellyoke_core::flow::{Escalation, EscalationKind, SettledBucket};
 use bellyoke_core::generation::{BackendState, Generation};
 use bellyoke_core::identity::{BackendId, GenerationNumber, NodeId};
@@ -20,11 +20,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const MILLISECOND: u64 = 1_000;
+const MILLISECOND_MICROS: u64 = 1_000;
 const SECOND_MICROS: u64 = 1_000_000;
-const CLIENTS: u32 = 60;
-const LAST_START: u64 = 7 * SECOND_MICROS;
-const END: u64 = 16 * SECOND_MICROS;
+const CLIENT_COUNT: u32 = 60;
+const LAST_START_MICROS: u64 = 7 * SECOND_MICROS;
+const END_MICROS: u64 = 16 * SECOND_MICROS;
 
 /// What may go wrong in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Disturbance {
+enum Fault {
     Crash,
     Pause,
     Cut,
@@ -52,7 +52,7 @@
     Barrier(NodeId, GenerationNumber),
     Suspect(NodeId, NodeId),
     Alive(NodeId, NodeId),
-    Disturb(NodeId, Disturbance),
+    InjectFault(NodeId, Fault),
     Restore(NodeId),
     RemoveFailed(NodeId),
     Change,
@@ -96,7 +96,7 @@
     pub messages: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     now: u64,
     random: ChaCha8Rng,
     queue: BTreeMap<(u64, u64), Event>,
@@ -109,34 +109,34 @@
     faults: Faults,
     next_node: u64,
     barrier_known: BTreeMap<GenerationNumber, u64>,
-    keeps_trace: bool,
+    records_trace: bool,
     outcome: Outcome,
 }
 
 pub fn settings(ablation: Ablation) -> OwnershipSettings {
     OwnershipSettings {
-        packet_wait: Duration::from_millis(500),
+        packet_timeout: Duration::from_millis(500),
         retry_interval: Duration::from_millis(50),
-        delay_horizon: HORIZON,
-        ended_linger: HORIZON,
-        abandon_after: HORIZON + LEASE + Duration::from_secs(1),
-        abandon_empty_after: Duration::from_secs(1),
-        max_batch: 4,
+        delay_horizon: DELAY_HORIZON,
+        ended_pin_retention: DELAY_HORIZON,
+        abandon_timeout: DELAY_HORIZON + LEASE_DURATION + Duration::from_secs(1),
+        abandon_empty_timeout: Duration::from_secs(1),
+        max_batch_pins: 4,
         ablation,
         ..OwnershipSettings::default()
     }
 }
 
 /// Runs the schedule of `seed`.
-pub fn run(seed: u64, faults: Faults, ablation: Ablation, keeps_trace: bool) -> Outcome {
-    let mut world = World::new(seed, faults, ablation, keeps_trace);
-    world.plan();
-    while world.step() {}
-    world.finish()
+pub fn run(seed: u64, faults: Faults, ablation: Ablation, records_trace: bool) -> Outcome {
+    let mut simulation = Simulation::new(seed, faults, ablation, records_trace);
+    simulation.plan();
+    while simulation.step() {}
+    simulation.finish()
 }
 
-impl World {
-    fn new(seed: u64, faults: Faults, ablation: Ablation, keeps_trace: bool) -> Self {
+impl Simulation {
+    fn new(seed: u64, faults: Faults, ablation: Ablation, records_trace: bool) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let members = random.random_range(4..=6);
         let first = Arc::new(generations::first(1..=members));
@@ -155,7 +155,7 @@
             faults,
             next_node: members + 1,
             barrier_known: BTreeMap::new(),
-            keeps_trace,
+            records_trace,
             outcome: Outcome::default(),
         }
     }
@@ -163,10 +163,10 @@
     fn plan(&mut self) {
         for node in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.at(0, Event::Learn(node));
-            self.at(100 * MILLISECOND, Event::Poll(node));
+            self.at(100 * MILLISECOND_MICROS, Event::Poll(node));
         }
-        for flow in 0..CLIENTS {
-            self.add_client(flow);
+        for flow in 0..CLIENT_COUNT {
+            self.schedule_client(flow);
         }
         let changes = self.random.random_range(2..7);
         for _ in 0..changes {
@@ -178,25 +178,33 @@
             return;
         }
         for _ in 0..self.random.random_range(1..4) {
-            self.add_disturbance();
+            self.schedule_fault();
         }
         for _ in 0..self.random.random_range(0..4) {
-            self.add_false_suspicion();
+            self.schedule_false_suspicion();
         }
     }
 
-    fn add_client(&mut self, flow: u32) {
-        let services = [FIRST, FIRST, FIRST, SECOND, PLACED];
+    fn schedule_client(&mut self, flow: u32) {
+        let services = [
+            FIRST_HASHED,
+            FIRST_HASHED,
+            FIRST_HASHED,
+            SECOND_HASHED,
+            LEAST_LOADED,
+        ];
         let service = services[self.random.random_range(0..services.len())];
-        let started_at = self.random.random_range(100 * MILLISECOND..LAST_START);
-        let life = self
+        let started_at = self
             .random
-            .random_range(500 * MILLISECOND..6 * SECOND_MICROS);
+            .random_range(100 * MILLISECOND_MICROS..LAST_START_MICROS);
+        let lifetime = self
+            .random
+            .random_range(500 * MILLISECOND_MICROS..6 * SECOND_MICROS);
         let client = Client {
             service,
             hash: FlowHash(self.random.random()),
             started_at,
-            ends_at: started_at + life,
+            ends_at: started_at + lifetime,
             established: false,
             over: false,
         };
@@ -204,15 +212,15 @@
         self.at(started_at, Event::Send(flow));
     }
 
-    fn add_disturbance(&mut self) {
+    fn schedule_fault(&mut self) {
         let at = self.random.random_range(SECOND_MICROS..9 * SECOND_MICROS);
         let node = self.any_node();
-        let kinds = [Disturbance::Crash, Disturbance::Pause, Disturbance::Cut];
+        let kinds = [Fault::Crash, Fault::Pause, Fault::Cut];
         let kind = kinds[self.random.random_range(0..kinds.len())];
-        self.at(at, Event::Disturb(node, kind));
+        self.at(at, Event::InjectFault(node, kind));
     }
 
-    fn add_false_suspicion(&mut self) {
+    fn schedule_false_suspicion(&mut self) {
         let at = self.random.random_range(SECOND_MICROS..9 * SECOND_MICROS);
         let (observer, node) = (self.any_node(), self.any_node());
         if observer != node {
@@ -233,9 +241,10 @@
     }
 
     fn delay(&mut self) -> u64 {
-        let tail = self.random.random_range(0..20) == 0;
-        let most = if tail { 300 } else { 30 };
-        self.random.random_range(MILLISECOND..most * MILLISECOND)
+        let is_slow = self.random.random_range(0..20) == 0;
+        let max_milliseconds = if is_slow { 300 } else { 30 };
+        self.random
+            .random_range(MILLISECOND_MICROS..max_milliseconds * MILLISECOND_MICROS)
     }
 
     fn after_delay(&mut self, event: Event) {
@@ -244,7 +253,7 @@
     }
 
     fn trace(&mut self, text: impl FnOnce() -> String) {
-        if self.keeps_trace {
+        if self.records_trace {
             let line = format!("{:>9} {}", self.now, text());
             self.outcome.trace.push(line);
         }
@@ -254,7 +263,7 @@
         let Some(((time, _), event)) = self.queue.pop_first() else {
             return false;
         };
-        if time > END || self.ledger.violation.is_some() {
+        if time > END_MICROS || self.ledger.violation.is_some() {
             return false;
         }
         self.now = time;
@@ -263,7 +272,7 @@
                 return true;
             };
             if let Some(until) = node.paused_until.filter(|until| *until > time) {
-                let jitter = self.random.random_range(0..5 * MILLISECOND);
+                let jitter = self.random.random_range(0..5 * MILLISECOND_MICROS);
                 self.at(until + jitter, event);
                 return true;
             }
@@ -288,7 +297,7 @@
             Event::Alive(observer, node) => {
                 self.input(observer, |owner, now| owner.member_alive(now, node));
             }
-            Event::Disturb(node, kind) => self.disturb(node, kind),
+            Event::InjectFault(node, kind) => self.inject_fault(node, kind),
             Event::Restore(node) => self.restore(node),
             Event::RemoveFailed(node) => self.remove_failed(node),
             Event::Change => self.change(),
@@ -357,7 +366,7 @@
                 self.trace(|| format!("node {node} acknowledges {number}"));
                 self.control.acknowledge(self.now, node, number);
             }
-            OwnershipEffect::Clean(buckets) => {
+            OwnershipEffect::MarkClean(buckets) => {
                 let number = self.node(node).learned;
                 self.after_delay(Event::Clean(number, buckets));
             }
@@ -409,7 +418,7 @@
                     escalation,
                     packet: packet.encode(),
                 };
-                self.input(node, |owner, now| owner.escalated(now, packet));
+                self.input(node, |owner, now| owner.handle_escalation(now, packet));
             }
         }
     }
@@ -445,7 +454,7 @@
             .flows
             .get(&flow)
             .is_none_or(|known| known.backend.is_none());
-        if is_new && self.is_left_behind(&client, backend) {
+        if is_new && self.is_on_former_base(&client, backend) {
             let text = format!("flow {flow} was opened on base {backend} after the barrier");
             self.ledger.fail(text);
         }
@@ -457,7 +466,7 @@
     }
 
     /// Whether all nodes knew that `backend` takes no new flow of the bucket when the flow began.
-    fn is_left_behind(&self, client: &Client, backend: BackendId) -> bool {
+    fn is_on_former_base(&self, client: &Client, backend: BackendId) -> bool {
         let place = |generation: &Generation| {
             let service = &generation.services[client.service.0 as usize];
             service.buckets[client.hash.bucket(service.buckets.len())]
@@ -500,7 +509,7 @@
         let copies = 1 + u64::from(self.random.random_range(0..4) == 0);
         for copy in 0..copies {
             let node = self.any_node();
-            let late = copy * self.random.random_range(0..500 * MILLISECOND);
+            let late = copy * self.random.random_range(0..500 * MILLISECOND_MICROS);
             let time = self.now + late + self.delay();
             self.at(time, Event::Packet(node, packet));
         }
@@ -508,10 +517,10 @@
         if client.established {
             let pause = self
                 .random
-                .random_range(50 * MILLISECOND..500 * MILLISECOND);
+                .random_range(50 * MILLISECOND_MICROS..500 * MILLISECOND_MICROS);
             self.at(self.now + pause, Event::Send(flow));
-        } else if waited < 600 * MILLISECOND {
-            self.at(self.now + 200 * MILLISECOND, Event::Send(flow));
+        } else if waited < 600 * MILLISECOND_MICROS {
+            self.at(self.now + 200 * MILLISECOND_MICROS, Event::Send(flow));
         }
     }
 
@@ -536,8 +545,8 @@
         }
         self.node(node).learned = newest.number;
         self.trace(|| format!("node {node} learns {}", newest.number));
-        self.input(node, |owner, now| owner.adopt(now, &newest));
-        let pause = self.random.random_range(0..20 * MILLISECOND);
+        self.input(node, |owner, now| owner.apply_generation(now, &newest));
+        let pause = self.random.random_range(0..20 * MILLISECOND_MICROS);
         self.at(self.now + pause, Event::Switch(node, newest.number));
     }
 
@@ -546,8 +555,8 @@
         let newest = self.control.newest().number;
         let now = self.now;
         let sim = self.node(node);
-        let held = sim.forwarding.as_ref().map(|known| known.number);
-        if held >= Some(number) {
+        let current = sim.forwarding.as_ref().map(|known| known.number);
+        if current >= Some(number) {
             return;
         }
         let opened = sim.switch(now, &generation);
@@ -559,13 +568,15 @@
             generation: number,
             opened,
         };
-        self.input(node, |owner, now| owner.adopted(now, report));
+        self.input(node, |owner, now| owner.handle_adoption(now, report));
     }
 
     fn poll(&mut self, node: NodeId) {
         let now = self.now;
         let settled = self.node(node).settled(now);
-        self.input(node, |owner, now| owner.settled(now, settled));
+        self.input(node, |owner, now| {
+            owner.update_settled_buckets(now, settled)
+        });
         self.after_delay(Event::Learn(node));
         let newest = Arc::clone(self.control.newest());
         let barrier_passed = self.control.barrier == newest.number;
@@ -578,19 +589,19 @@
             self.trace(|| format!("node {node} stops"));
             return;
         }
-        self.at(self.now + 150 * MILLISECOND, Event::Poll(node));
+        self.at(self.now + 150 * MILLISECOND_MICROS, Event::Poll(node));
     }
 
     fn control_tick(&mut self) {
         while let Some(number) = self.control.advance_barrier(self.now) {
             self.trace(|| format!("barrier of {number} passes"));
-            let known = self.now + 300 * MILLISECOND;
+            let known = self.now + 300 * MILLISECOND_MICROS;
             self.barrier_known.insert(number, known);
             for node in self.nodes.keys().copied().collect::<Vec<_>>() {
                 self.after_delay(Event::Barrier(node, number));
             }
         }
-        self.at(self.now + 20 * MILLISECOND, Event::ControlTick);
+        self.at(self.now + 20 * MILLISECOND_MICROS, Event::ControlTick);
     }
 
     fn publish(&mut self, generation: Generation) {
@@ -607,11 +618,11 @@
     fn change(&mut self) {
         let mut next = generations::next(self.control.newest());
         match self.random.random_range(0..10) {
-            0..=3 => self.retarget_first(&mut next),
-            4..=5 => self.retarget_second(&mut next),
+            0..=3 => self.retarget_first_hashed(&mut next),
+            4..=5 => self.retarget_second_hashed(&mut next),
             6..=7 => self.add_member(&mut next),
             8 => self.remove_member(&mut next),
-            _ => self.take_out_backend(&mut next),
+            _ => self.withdraw_backend(&mut next),
         }
         let text = format!("{:?}", next.services[0].buckets);
         let members: Vec<u64> = next.members.iter().map(|member| member.node.0).collect();
@@ -619,23 +630,23 @@
         self.publish(next);
     }
 
-    fn retarget_first(&mut self, next: &mut Generation) {
+    fn retarget_first_hashed(&mut self, next: &mut Generation) {
         let bucket = self.random.random_range(0..4);
         let takes =
             |backend: &BackendId| next.backends[backend.0 as usize].state == BackendState::Active;
-        let active: Vec<BackendId> = generations::backends_of(FIRST)
+        let active: Vec<BackendId> = generations::backends_of(FIRST_HASHED)
             .into_iter()
             .filter(takes)
             .collect();
         let target = active[self.random.random_range(0..active.len())];
-        generations::retarget(next, FIRST, bucket, Some(target));
+        generations::retarget(next, FIRST_HASHED, bucket, Some(target));
     }
 
-    fn retarget_second(&mut self, next: &mut Generation) {
+    fn retarget_second_hashed(&mut self, next: &mut Generation) {
         let bucket = self.random.random_range(0..2);
-        let backends = generations::backends_of(SECOND);
+        let backends = generations::backends_of(SECOND_HASHED);
         let choice = self.random.random_range(0..=backends.len());
-        generations::retarget(next, SECOND, bucket, backends.get(choice).copied());
+        generations::retarget(next, SECOND_HASHED, bucket, backends.get(choice).copied());
     }
 
     fn add_member(&mut self, next: &mut Generation) {
@@ -646,7 +657,7 @@
         self.at(self.now, Event::Poll(node));
         let barrier = self.control.barrier;
         self.after_delay(Event::Barrier(node, barrier));
-        let known_to_new = self.now + 300 * MILLISECOND;
+        let known_to_new = self.now + 300 * MILLISECOND_MICROS;
         for known in self.barrier_known.values_mut() {
             *known = known_to_new.max(*known);
         }
@@ -660,7 +671,7 @@
     }
 
     /// Drains a backend, or under all faults lets it die.
-    fn take_out_backend(&mut self, next: &mut Generation) {
+    fn withdraw_backend(&mut self, next: &mut Generation) {
         let backend = BackendId(self.random.random_range(0..2));
         next.backends[backend.0 as usize].state = match self.faults {
             Faults::Planned => BackendState::Draining,
@@ -669,7 +680,7 @@
         for bucket in 0..4 {
             if next.services[0].buckets[bucket].target == Some(backend) {
                 let target = BackendId(self.random.random_range(2..4));
-                generations::retarget(next, FIRST, bucket, Some(target));
+                generations::retarget(next, FIRST_HASHED, bucket, Some(target));
             }
         }
     }
@@ -690,27 +701,27 @@
         self.publish(next);
     }
 
-    fn disturb(&mut self, node: NodeId, kind: Disturbance) {
+    fn inject_fault(&mut self, node: NodeId, kind: Fault) {
         let lost = self.nodes.values().filter(|node| node.crashed).count();
-        let is_hit = self.node(node).crashed || self.node(node).contact_lost_at.is_some();
-        if is_hit || self.nodes.len() - lost <= 3 {
+        let is_affected = self.node(node).crashed || self.node(node).contact_lost_at.is_some();
+        if is_affected || self.nodes.len() - lost <= 3 {
             return;
         }
         let until = self.now
             + self
                 .random
-                .random_range(100 * MILLISECOND..4 * SECOND_MICROS);
+                .random_range(100 * MILLISECOND_MICROS..4 * SECOND_MICROS);
         self.trace(|| format!("{kind:?} of node {node} until {until}"));
         let now = self.now;
         let sim = self.node(node);
         match kind {
-            Disturbance::Crash => sim.crashed = true,
-            Disturbance::Pause => sim.paused_until = Some(until),
-            Disturbance::Cut => sim.cut_until = Some(until),
+            Fault::Crash => sim.crashed = true,
+            Fault::Pause => sim.paused_until = Some(until),
+            Fault::Cut => sim.cut_until = Some(until),
         }
         sim.contact_lost_at = Some(now);
-        self.spread_suspicion(node, kind, until);
-        if !matches!(kind, Disturbance::Crash) {
+        self.schedule_suspicions(node, kind, until);
+        if !matches!(kind, Fault::Crash) {
             let delay = self.delay();
             self.at(until + delay, Event::Restore(node));
         }
@@ -720,21 +731,24 @@
         }
     }
 
-    fn spread_suspicion(&mut self, node: NodeId, kind: Disturbance, until: u64) {
+    fn schedule_suspicions(&mut self, node: NodeId, kind: Fault, until: u64) {
         for other in self.nodes.keys().copied().collect::<Vec<_>>() {
             let at = self.now
                 + self
                     .random
-                    .random_range(200 * MILLISECOND..700 * MILLISECOND);
-            let back = at.max(until) + self.random.random_range(MILLISECOND..400 * MILLISECOND);
+                    .random_range(200 * MILLISECOND_MICROS..700 * MILLISECOND_MICROS);
+            let back = at.max(until)
+                + self
+                    .random
+                    .random_range(MILLISECOND_MICROS..400 * MILLISECOND_MICROS);
             if other == node {
                 continue;
             }
             self.at(at, Event::Suspect(other, node));
             match kind {
-                Disturbance::Crash => {}
-                Disturbance::Pause => self.at(back, Event::Alive(other, node)),
-                Disturbance::Cut => {
+                Fault::Crash => {}
+                Fault::Pause => self.at(back, Event::Alive(other, node)),
+                Fault::Cut => {
                     self.at(back, Event::Alive(other, node));
                     self.at(at, Event::Suspect(node, other));
                     self.at(back, Event::Alive(node, other));
@@ -745,7 +759,7 @@
 
     fn restore(&mut self, node: NodeId) {
         let now = self.now;
-        let lease = LEASE.as_micros() as u64;
+        let lease = LEASE_DURATION.as_micros() as u64;
         let newest = self.control.newest().number;
         let sim = self.node(node);
         let lost = sim.contact_lost_at.take();
--- a/crates/bellyoke-lab/src/experiment/costs/kind.rs
+++ b/crates/bellyoke-lab/src/experiment/costs/kind.rs
@@ -67,7 +67,7 @@
             OwnershipMessage::Handover(_) | OwnershipMessage::HandoverConfirmed(_) => {
                 Self::Handover
             }
-            OwnershipMessage::Ended(_)
+            OwnershipMessage::EndedFlows(_)
             | OwnershipMessage::Settled(_)
             | OwnershipMessage::SettledRound(_) => Self::Settlement,
             _ => Self::Claim,
