--- a/crates/bellyoke-core/src/node/ownership/acceptor.rs
+++ b/crates/bellyoke-core/src/node/ownership/acceptor.rs
@@ -7,12 +7,12 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Most batches that wait for an earlier one.
+/// Maximum number of batches that wait for an earlier one.
 const MAX_EARLY_BATCHES: usize = 64;
-/// Most replica sets that are remembered since the last complete copy.
+/// Maximum number of replica sets recorded since the last complete copy.
 const MAX_SUCCESSOR_CONFIGURATIONS: usize = 16;
 
-/// A higher ballot was promised.
+/// The error for a ballot below the promised one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BallotRejected {
     /// The promised ballot.
@@ -23,14 +23,17 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Acceptor {
     promised: Ballot,
+    /// The position of the complete copy.
     accepted: LogPosition,
+    /// What the complete copy is valid for.
     installed: Option<Installation>,
+    /// Replica sets that have claimed or installed the group since the complete copy.
     successors: Vec<Configuration>,
     pins: PinTable,
     incoming: IncomingCopy,
 }
 
-/// A copy that is not complete, and batches that came too early.
+/// An incomplete copy, and batches that arrived out of order.
 #[derive(Clone, Debug, Default)]
 struct IncomingCopy {
     ballot: Ballot,
@@ -60,8 +63,8 @@
         &mut self.pins
     }
 
-    /// Begins with the first generation. Nothing was before, so that its replicas have
-    /// complete, empty copies; others only know who has.
+    /// Starts with the first generation. There are no earlier pins: its replicas have complete,
+    /// empty copies, and other nodes only record which nodes are replicas.
     pub(super) fn bootstrap(&mut self, node: NodeId, installation: Installation) {
         if installation.configuration.replicas.contains(&node) {
             self.installed = Some(installation);
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Promises to refuse ballots below the request's.
+    /// Promises to reject ballots below that of the request.
     pub(super) fn prepare(
         &mut self,
         request: &PrepareRequest,
@@ -90,8 +93,8 @@
         Ok(promise)
     }
 
-    /// Applies a batch, or keeps it until the earlier ones have come. Returns how far the
-    /// copy of the batch's ballot goes.
+    /// Applies a batch, or stores it until the earlier ones have arrived. Returns the position
+    /// reached in the log of the batch's ballot.
     pub(super) fn accept(
         &mut self,
         now: Timestamp,
@@ -123,7 +126,7 @@
         Ok(LogPosition { ballot, sequence })
     }
 
-    /// Takes over `pins` as the complete copy of the node's own `position`.
+    /// Installs `pins` as this node's own complete copy at `position`.
     pub(super) fn install_own_copy(
         &mut self,
         position: LogPosition,
@@ -135,12 +138,12 @@
         self.set_installed(installation);
     }
 
-    /// The owner's own copy has applied `sequence`.
+    /// Records that the owner's own copy has applied batch `sequence`.
     pub(super) fn advance(&mut self, sequence: u64) {
         self.accepted.sequence = sequence;
     }
 
-    /// Drops the copy: newer replicas hold it.
+    /// Removes the copy after newer replicas have stored it.
     pub(super) fn retire(&mut self, newer: &Configuration) {
         self.pins = PinTable::default();
         self.incoming = IncomingCopy::default();
@@ -189,7 +192,7 @@
     }
 
     fn add_successor(&mut self, configuration: &Configuration) {
-        let installed = self.installed.as_ref().map(|known| &known.configuration);
+        let installed = self.installed.as_ref().map(|copy| &copy.configuration);
         if installed == Some(configuration) || self.successors.contains(configuration) {
             return;
         }
--- a/crates/bellyoke-core/src/node/ownership/assignment.rs
+++ b/crates/bellyoke-core/src/node/ownership/assignment.rs
@@ -1,4 +1,4 @@
-//! Which members own and replicate a group.
+//! Assignment of groups to the members that own and replicate them.
 
 use super::ballot::Configuration;
 use crate::generation::{Generation, Member, Placement, Service};
@@ -6,10 +6,10 @@
 use std::collections::HashMap;
 use twox_hash::XxHash3_64;
 
-/// Replicas of a group, the owner included.
+/// Replicas of a group, including the owner.
 const REPLICAS: usize = 3;
 
-/// Group of each bucket and replicas of each group: a pure function of a generation.
+/// The group of each bucket and the replicas of each group: a pure function of a generation.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     configurations: Vec<Configuration>,
@@ -17,7 +17,7 @@
 }
 
 impl Assignment {
-    /// The assignment of `generation`.
+    /// Computes the assignment of `generation`.
     #[must_use]
     pub fn new(generation: &Generation) -> Self {
         let groups = generation.parameters.groups.max(1);
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The group of a bucket. All buckets of a least-loaded service share one group, so that
-    /// its owner's counts are the whole truth.
+    /// Returns the group of a bucket. All buckets of a least-loaded service are in one group,
+    /// which gives its owner complete counts of open flows.
     #[must_use]
     pub fn group(&self, service: ServiceId, bucket: BucketIndex) -> GroupIndex {
         let placement = self.placements.get(&service).copied().unwrap_or_default();
@@ -46,20 +46,20 @@
         GroupIndex((hash % groups) as u16)
     }
 
-    /// The replicas of `group`, in rank.
+    /// Returns the replicas of `group` in order of rank.
     #[must_use]
     pub fn configuration(&self, group: GroupIndex) -> Option<&Configuration> {
         self.configurations.get(usize::from(group.0))
     }
 
-    /// All groups.
+    /// Returns all groups.
     pub fn groups(&self) -> impl Iterator<Item = GroupIndex> + use<> {
         (0..self.configurations.len() as u16).map(GroupIndex)
     }
 }
 
-/// The replicas of `group` by rendezvous hash (Thaler and Ravishankar 1998), each in another
-/// zone as far as there are zones.
+/// Chooses the replicas of `group` by rendezvous hashing (Thaler and Ravishankar 1998), in
+/// different zones as far as there are enough zones.
 fn replicas(group: GroupIndex, members: &[Member]) -> Vec<NodeId> {
     let mut ranked: Vec<&Member> = members.iter().collect();
     ranked.sort_by_cached_key(|member| {
@@ -68,14 +68,14 @@
     });
     let mut chosen: Vec<&Member> = Vec::with_capacity(REPLICAS);
     for member in &ranked {
-        let other_zone = chosen.iter().all(|replica| replica.zone != member.zone);
-        if other_zone && chosen.len() < REPLICAS {
+        let is_new_zone = chosen.iter().all(|replica| replica.zone != member.zone);
+        if is_new_zone && chosen.len() < REPLICAS {
             chosen.push(member);
         }
     }
     for member in &ranked {
-        let new = chosen.iter().all(|replica| replica.node != member.node);
-        if new && chosen.len() < REPLICAS {
+        let is_unchosen = chosen.iter().all(|replica| replica.node != member.node);
+        if is_unchosen && chosen.len() < REPLICAS {
             chosen.push(member);
         }
     }
--- a/crates/bellyoke-core/src/node/ownership/backoff.rs
+++ b/crates/bellyoke-core/src/node/ownership/backoff.rs
@@ -1,15 +1,15 @@
-//! When an unanswered message is sent again.
+//! Backoff between repetitions of an unanswered message.
 
 use crate::time::Timestamp;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The wait grows up to two to this power times the first.
+/// Maximum number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Exponential backoff. Half of each wait is drawn, so that nodes that began at one time don't
-/// go on together (Floyd and Jacobson, "The synchronization of periodic routing messages",
+/// Exponential backoff. Half of each delay is random: nodes that started at the same time don't
+/// stay synchronized (Floyd and Jacobson, "The synchronization of periodic routing messages",
 /// 1994).
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
@@ -18,13 +18,13 @@
 }
 
 impl Backoff {
-    /// Something was sent, or an answer has come: the next wait is the first again.
+    /// Resets the delay to its initial value, after something was sent or an answer has arrived.
     pub(super) fn restart(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether to send again at `now`; if so, the next wait is twice as long. The first call
-    /// after a restart only begins the first wait, of up to `interval`.
+    /// Returns whether to send again at `now` and, if so, doubles the next delay. The first call
+    /// after a restart only starts the first delay of up to `interval`.
     pub(super) fn is_due(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/node/ownership/claim.rs
+++ b/crates/bellyoke-core/src/node/ownership/claim.rs
@@ -1,4 +1,4 @@
-//! A claim to a group: promises from majorities of all replica sets that may hold pins.
+//! A claim to a group: promises from majorities of all replica sets that may store pins.
 
 use super::ballot::{Ballot, Configuration, LogPosition};
 use super::message::{FetchRequest, Installation, PrepareRequest, ReplicaPromise};
@@ -9,14 +9,15 @@
 
 /// A claim to a group.
 ///
-/// Replica sets change with generations, and a node may have missed some. A replica tells
-/// with its promise which sets claimed the group after its own was complete; those are asked
-/// too (Lamport, Malkhi, Zhou, "Vertical Paxos", 2009).
+/// Replica sets change with generations, and a node may have skipped generations. With its
+/// promise, a replica reports the sets that have claimed the group since its own copy was
+/// complete. The claimant asks these, too (Lamport, Malkhi, Zhou, "Vertical Paxos", 2009).
 #[derive(Debug)]
 pub(super) struct Claim {
     group: GroupIndex,
     ballot: Ballot,
     configuration: Configuration,
+    /// Replica sets that may store pins, by generation.
     configurations: BTreeMap<GenerationNumber, Configuration>,
     promises: BTreeMap<NodeId, PromisedCopy>,
     fetch: Option<Fetch>,
@@ -30,7 +31,7 @@
     installed: Option<Installation>,
 }
 
-/// The copy that the claim goes on with.
+/// The copy that the claimant continues with.
 #[derive(Clone, Debug)]
 pub(super) struct BestCopy {
     pub(super) node: NodeId,
@@ -80,14 +81,14 @@
         self.started_at
     }
 
-    /// Another replica set may hold pins.
+    /// Adds a replica set that may store pins.
     pub(super) fn add_configuration(&mut self, configuration: Configuration) {
         self.configurations
             .entry(configuration.generation)
             .or_insert(configuration);
     }
 
-    /// A replica promised; true if it named a replica set that was not known.
+    /// Records a replica's promise. Returns whether it named a replica set that was not known.
     pub(super) fn record_promise(&mut self, from: NodeId, promise: ReplicaPromise) -> bool {
         let count = self.configurations.len();
         for successor in promise.successors {
@@ -104,7 +105,7 @@
         self.configurations.len() > count
     }
 
-    /// Replicas that have not promised yet.
+    /// Returns the replicas that have not promised yet.
     pub(super) fn missing_promises(&self) -> Vec<NodeId> {
         let replicas = self
             .configurations
@@ -127,24 +128,24 @@
         }
     }
 
-    /// The copy to go on with, once majorities of all replica sets since the newest complete
-    /// one have promised.
+    /// Returns the copy to continue with, once majorities of the newest complete replica set and
+    /// of all later ones have promised.
     pub(super) fn agreed_copy(&self) -> Option<BestCopy> {
         let complete = self.promises.values().filter_map(|copy| {
             let installed = copy.installed.as_ref()?;
             Some(installed.configuration.generation)
         });
         let newest = complete.max()?;
-        let promised = |node| self.promises.contains_key(&node);
+        let has_promised = |node| self.promises.contains_key(&node);
         let agreed = self
             .configurations
             .range(newest..)
-            .all(|(_, configuration)| configuration.has_majority(promised));
+            .all(|(_, configuration)| configuration.has_majority(has_promised));
         if agreed { self.best_copy() } else { None }
     }
 
-    /// The most complete copy among those promised so far. Copies at one position are equal:
-    /// the claimant's own needs no fetching.
+    /// Returns the most complete copy promised so far. Copies at the same position are equal; of
+    /// those, the claimant's own is preferred because it needs no fetch.
     pub(super) fn best_copy(&self) -> Option<BestCopy> {
         let complete = self.promises.iter().filter_map(|(node, copy)| {
             let installed = copy.installed.as_ref()?;
@@ -158,10 +159,10 @@
         })
     }
 
-    /// Whether a majority of the claim's own replicas has promised.
+    /// Returns whether a majority of the claim's own replicas has promised.
     pub(super) fn has_own_majority(&self) -> bool {
-        let promised = |node| self.promises.contains_key(&node);
-        self.configuration.has_majority(promised)
+        let has_promised = |node| self.promises.contains_key(&node);
+        self.configuration.has_majority(has_promised)
     }
 
     /// Starts to copy the pins of `source`.
@@ -173,7 +174,7 @@
         });
     }
 
-    /// The next question to the replica whose pins are copied.
+    /// Returns the next request to the replica whose pins are copied.
     pub(super) fn fetch_request(&self) -> Option<(NodeId, FetchRequest)> {
         let fetch = self.fetch.as_ref()?;
         let request = FetchRequest {
@@ -188,7 +189,8 @@
         self.fetch.is_some()
     }
 
-    /// Takes a page of pins, if it is the one asked for.
+    /// Applies a page of pins if it answers the current request. Returns whether the copy is
+    /// complete.
     pub(super) fn apply_page(
         &mut self,
         now: Timestamp,
@@ -206,13 +208,13 @@
         !page.has_more
     }
 
-    /// The copied pins and where they came from.
+    /// Takes the copied pins and their source.
     pub(super) fn take_fetched(&mut self) -> Option<(PinTable, BestCopy)> {
         let fetch = self.fetch.take()?;
         Some((fetch.pins, fetch.source))
     }
 
-    /// A replica died: its promise may not be relied on to copy from.
+    /// Removes the promise of a failed replica: its pins can no longer be copied.
     pub(super) fn remove_promise(&mut self, node: NodeId) {
         self.promises.remove(&node);
         if self
--- a/crates/bellyoke-core/src/node/ownership/cluster.rs
+++ b/crates/bellyoke-core/src/node/ownership/cluster.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the cluster: its generation, members, barrier, and who is suspected.
+//! This node's view of the cluster: generation, members, barrier and suspected members.
 
 use super::assignment::Assignment;
 use super::ballot::Configuration;
@@ -8,10 +8,10 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Most suspected nodes that are remembered without being members.
+/// Number of suspected nodes above which those that are not members are removed.
 const MAX_SUSPECTED: usize = 4096;
 
-/// What membership tells, which may come before the first generation.
+/// What membership has reported. Reports may arrive before the first generation.
 #[derive(Debug, Default)]
 pub(super) struct MembershipView {
     /// The newest generation that all members have acknowledged.
@@ -21,7 +21,7 @@
 }
 
 impl MembershipView {
-    /// Forgets nodes that are gone, when there are many.
+    /// Removes nodes that are no longer members if there are many.
     pub(super) fn trim_suspected(&mut self, cluster: &Cluster) {
         if self.suspected.len() > MAX_SUSPECTED {
             self.suspected.retain(|node| cluster.is_known_member(*node));
@@ -29,13 +29,14 @@
     }
 }
 
-/// What this node knows of the cluster.
+/// This node's view of the cluster.
 #[derive(Debug)]
 pub(super) struct Cluster {
     pub(super) generation: Arc<Generation>,
     pub(super) assignment: Assignment,
     pub(super) previous_assignment: Option<Assignment>,
-    /// For each group with contested buckets, since when the first of them is.
+    /// For each group with contested buckets, the generation in which the first of them became
+    /// contested.
     contested_since: HashMap<GroupIndex, GenerationNumber>,
     members: HashSet<NodeId>,
     previous_members: HashSet<NodeId>,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Goes on to a newer generation.
+    /// Switches to a newer generation.
     pub(super) fn advance(&mut self, generation: &Arc<Generation>) {
         self.generation = Arc::clone(generation);
         let assignment = Assignment::new(generation);
@@ -68,12 +69,12 @@
         self.generation.number
     }
 
-    /// Whether `node` is a member of this generation or the previous.
+    /// Returns whether `node` is a member of this generation or the previous one.
     pub(super) fn is_known_member(&self, node: NodeId) -> bool {
         self.members.contains(&node) || self.previous_members.contains(&node)
     }
 
-    /// Whether this generation has other members than the previous.
+    /// Returns whether the members differ from those of the previous generation.
     pub(super) fn members_changed(&self) -> bool {
         self.members != self.previous_members
     }
@@ -99,19 +100,20 @@
         index.ok().and_then(|index| backends.get(index))
     }
 
-    /// Whether `backend` may be given packets of `service`.
+    /// Returns whether packets of `service` may be forwarded to `backend`.
     pub(super) fn accepts_packets(&self, backend: BackendId, service: ServiceId) -> bool {
         self.backend(backend).is_some_and(|backend| {
             backend.state != BackendState::Dead && backend.service == Some(service)
         })
     }
 
-    /// Whether this generation can tell what became of `backend`.
+    /// Returns whether `backend` had been allocated by this generation. If not, its state isn't
+    /// known yet.
     pub(super) fn has_allocated(&self, backend: BackendId) -> bool {
         backend < self.generation.next_backend
     }
 
-    /// Whether `backend` may be given new flows of `service`.
+    /// Returns whether `backend` accepts new flows of `service`.
     pub(super) fn accepts_flows(&self, backend: BackendId, service: ServiceId) -> bool {
         self.backend(backend).is_some_and(|backend| {
             backend.state == BackendState::Active && backend.service == Some(service)
@@ -126,7 +128,7 @@
         self.assignment.group(place.service, place.bucket)
     }
 
-    /// Whether the bucket is contested, and has been since that very generation.
+    /// Returns whether the bucket is contested and became so in exactly `generation`.
     pub(super) fn is_contested_since(
         &self,
         settled: SettledBucket,
@@ -139,12 +141,12 @@
         })
     }
 
-    /// Whether a bucket of `group` is contested: only then it needs an owner.
+    /// Returns whether a bucket of `group` is contested. Other groups need no owner.
     pub(super) fn has_contested_bucket(&self, group: GroupIndex) -> bool {
         self.contested_since.contains_key(&group)
     }
 
-    /// Whether a bucket of `group` was contested before `generation`.
+    /// Returns whether a bucket of `group` became contested before `generation`.
     pub(super) fn has_bucket_contested_before(
         &self,
         group: GroupIndex,
@@ -154,7 +156,7 @@
         first.is_some_and(|since| *since < generation)
     }
 
-    /// The first replica that is not suspected.
+    /// Returns the first replica that is not suspected, or else the first replica.
     pub(super) fn first_alive(
         &self,
         group: GroupIndex,
@@ -166,7 +168,7 @@
     }
 }
 
-/// Whether only an owner can tell where flows of `bucket` go.
+/// Returns whether only an owner can decide where flows of `bucket` go.
 pub(super) fn is_contested(service: &Service, bucket: &Bucket) -> bool {
     let by_load = service.placement == Placement::LeastLoaded;
     by_load || bucket.is_contested() || bucket.target.is_none()
@@ -180,7 +182,8 @@
         .collect()
 }
 
-/// Looks at every bucket once a generation, so that no timer has to.
+/// Finds the earliest contested generation of each group. This visits every bucket once per
+/// generation, which no timer then has to.
 fn earliest_contested_generations(
     generation: &Generation,
     assignment: &Assignment,
--- a/crates/bellyoke-core/src/node/ownership/decision.rs
+++ b/crates/bellyoke-core/src/node/ownership/decision.rs
@@ -1,4 +1,4 @@
-//! Where an owner sends a packet of a flow that has no pin.
+//! Decisions of an owner about packets of flows without a pin.
 
 use super::cluster::{Cluster, is_contested};
 use super::pending::PacketAction;
@@ -6,18 +6,18 @@
 use crate::generation::{Bucket, Service};
 use crate::identity::{BackendId, GenerationNumber};
 
-/// What an owner does with a packet of a flow that has no pin.
+/// What an owner does with a packet of a flow without a pin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnpinnedDecision {
-    /// Pin the flow to the base: until the barrier others may open flows there.
+    /// Pins the flow to the base: until the barrier, other nodes may open flows there.
     PinToBase(BackendId),
-    /// Choose a backend and pin the flow.
+    /// Selects a backend and pins the flow to it.
     Place,
-    /// Send it on, once the owner has made sure that it still is the owner.
+    /// Performs the action after confirming that this node is still the owner.
     Confirm(PacketAction),
-    /// Drop it: the caller sends it again.
+    /// Drops the packet. The caller retransmits it.
     Drop(DropCause),
-    /// Keep it until this node knows a newer generation.
+    /// Queues the packet until this node has a newer generation.
     AwaitGeneration,
 }
 
@@ -28,20 +28,20 @@
     GenerationSkew,
 }
 
-/// What an owner knows of the state of a bucket.
+/// An owner's view of a bucket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BucketState {
     /// Whether all members have acknowledged the generation that made the bucket contested.
     pub(super) barrier_passed: bool,
     /// Whether pins of the bucket may have been lost.
     pub(super) pins_lost: bool,
-    /// Whether no flow without a pin is left on the base.
+    /// Whether no unpinned flow remains on the base.
     pub(super) is_settled: bool,
     /// The generation of the relaying node.
     pub(super) relay_generation: GenerationNumber,
 }
 
-/// Decides a packet of a flow that has no pin.
+/// Decides a packet of a flow without a pin.
 pub(super) fn decide_unpinned(
     cluster: &Cluster,
     service: &Service,
@@ -79,7 +79,8 @@
     UnpinnedDecision::Drop(DropCause::BaseDead)
 }
 
-/// The relaying node takes for contested what is clean here: one of both lags.
+/// Decides a packet of a bucket that is clean here but contested on the relaying node: one of the
+/// two nodes has an older generation.
 fn decide_clean(
     cluster: &Cluster,
     bucket: &Bucket,
--- a/crates/bellyoke-core/src/node/ownership/early_handovers.rs
+++ b/crates/bellyoke-core/src/node/ownership/early_handovers.rs
@@ -1,6 +1,6 @@
-//! Handover lists that reach their owner before it can take them in: it has yet to learn the
-//! generation, or to claim the group. Kept, they need not be sent again, which would make
-//! the barrier wait for the sender's next try.
+//! Handover lists that arrive before their owner can accept them, because it has not received the
+//! generation or not completed its claim to the group. They are stored: otherwise the barrier
+//! would wait until the sender's next retry.
 
 use super::Ownership;
 use super::message::{HandoverBatch, HandoverReceipt};
@@ -8,17 +8,17 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Most parts of lists that are kept; their senders send the others again.
+/// Maximum number of stored parts. Senders repeat the others.
 const MAX_EARLY_PARTS: usize = 1024;
 
-/// Parts of handover lists that came too early.
+/// Parts of handover lists that arrived too early.
 #[derive(Debug, Default)]
 pub(super) struct EarlyHandovers {
     parts: BTreeMap<(NodeId, HandoverReceipt), HandoverBatch>,
 }
 
 impl EarlyHandovers {
-    /// Keeps a part, if there is room.
+    /// Stores a part unless the limit has been reached.
     pub(super) fn insert(&mut self, from: NodeId, batch: HandoverBatch) {
         if self.parts.len() < MAX_EARLY_PARTS {
             self.parts.insert((from, batch.receipt), batch);
@@ -27,7 +27,7 @@
 }
 
 impl Ownership {
-    /// Takes in what came too early. What still does is kept again.
+    /// Handles the stored parts. Those that are still too early are stored again.
     pub(super) fn apply_early_handovers(&mut self, now: Timestamp) {
         let parts = std::mem::take(&mut self.early_handovers.parts);
         for ((from, _), batch) in parts {
--- a/crates/bellyoke-core/src/node/ownership/effect.rs
+++ b/crates/bellyoke-core/src/node/ownership/effect.rs
@@ -1,100 +1,100 @@
-//! What ownership asks of the node around it, and what it counts.
+//! Effects that ownership requests from its node, and its counters.
 
 use super::message::OwnershipMessage;
 use crate::flow::{FlowPlace, SettledBucket};
 use crate::identity::{BackendId, GenerationNumber, NodeId, ServiceId};
 use crate::node::{NodeEvent, RefusalReason};
 
-/// What ownership asks of the node around it.
+/// An action that ownership requests from its node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipEffect {
-    /// Send a message to a peer.
+    /// Sends a message to a peer.
     Send {
         /// The receiver.
         to: NodeId,
-        /// What to say.
+        /// The message.
         message: OwnershipMessage,
     },
-    /// Encapsulate a packet to a backend.
+    /// Encapsulates a packet to a backend.
     Forward {
         /// The backend.
         backend: BackendId,
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// Tell the traffic threads where a flow is.
+    /// Reports the backend of a flow to the traffic threads.
     Learn {
         /// The flow.
         place: FlowPlace,
         /// Its backend.
         backend: BackendId,
     },
-    /// Answer the caller from the sorry server of this node.
+    /// Answers the caller from this node's sorry server.
     Refuse {
-        /// The service the caller wanted.
+        /// The requested service.
         service: ServiceId,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// Reset the flow of a packet.
+    /// Resets the flow of a packet.
     Reset {
-        /// The whole IP packet.
+        /// The complete IP packet.
         packet: Vec<u8>,
     },
-    /// All recently opened flows are handed over: this node acknowledges the generation.
+    /// Acknowledges the generation: all recently opened flows have been handed over.
     Acknowledge(GenerationNumber),
-    /// These buckets can be clean in the next generation.
+    /// Proposes to mark these buckets clean in the next generation.
     MarkClean(Vec<SettledBucket>),
-    /// Tell people.
+    /// Reports an event to operators.
     Event(NodeEvent),
 }
 
-/// What ownership counts, since the start of the process.
+/// Ownership counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipCounters {
     /// Packets relayed to an owner.
     pub relayed: u64,
     /// Packets decided as the owner.
     pub decided: u64,
-    /// Pins made.
+    /// Pins created for flows to a backend.
     pub pinned: u64,
-    /// Pins of refused flows made.
+    /// Pins created for refused flows.
     pub refused: u64,
-    /// Pins dropped.
+    /// Pins removed.
     pub unpinned: u64,
-    /// Groups taken over or received from earlier replicas.
+    /// Groups whose copy this node installed as the owner.
     pub installed: u64,
-    /// Groups whose earlier pins were taken for lost.
+    /// Groups whose earlier pins were considered lost.
     pub abandoned: u64,
-    /// Groups given up to a higher ballot.
+    /// Claims and groups given up to a higher ballot.
     pub superseded: u64,
-    /// Packets dropped, by reason.
+    /// Dropped packets by reason.
     pub dropped: DropCounters,
 }
 
-/// Packets that ownership dropped.
+/// Packets that ownership has dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters {
-    /// The relaying node is no member of this generation nor the previous.
+    /// The relaying node is not a member of this generation or the previous one.
     pub not_a_member: u64,
-    /// An opening packet while the owner recovers.
+    /// An opening packet arrived while the group had no owner.
     pub opening_without_owner: u64,
-    /// No owner was known, or no majority of replicas answered, in time.
+    /// The owner stayed unknown, or no majority of replicas answered, until the timeout.
     pub expired: u64,
-    /// The process was paused, and the packet may have waited since before.
+    /// The process had been paused, and the packet may have been queued since before the pause.
     pub stale: u64,
-    /// Too many packets wait.
+    /// Too many packets were queued.
     pub queue_full: u64,
-    /// Too many pins are held.
+    /// The owner stored too many pins.
     pub pins_full: u64,
-    /// An opening packet before the barrier, with a dead base.
+    /// An opening packet arrived before the barrier, and the base is dead.
     pub base_dead: u64,
-    /// The service or bucket is unknown here.
+    /// The service or bucket is unknown to this node.
     pub unknown_place: u64,
-    /// The relaying node or this one lags by a generation.
+    /// The generations of the relaying node and of this node differ.
     pub generation_skew: u64,
-    /// The group was given up while the packet waited.
+    /// This node stepped down while the packet was queued.
     pub stepped_down: u64,
 }
--- a/crates/bellyoke-core/src/node/ownership/group.rs
+++ b/crates/bellyoke-core/src/node/ownership/group.rs
@@ -1,4 +1,4 @@
-//! What a node holds for one group.
+//! The state of one group on a node.
 
 use super::acceptor::Acceptor;
 use super::backoff::Backoff;
@@ -7,35 +7,35 @@
 use super::leader::Leader;
 use crate::identity::GenerationNumber;
 
-/// The part that a node plays in a group.
+/// The role of a node in a group.
 #[derive(Debug, Default)]
 pub(super) enum Role {
-    /// Another node owns it.
+    /// Another node owns the group.
     #[default]
     Follower,
-    /// This node asks for promises.
+    /// This node requests promises.
     Claiming(Box<Claim>),
-    /// This node owns it, or copies its pins to the replicas in order to.
+    /// This node owns the group, or copies its pins to the replicas before it serves as the owner.
     Leading(Box<Leader>),
 }
 
-/// What a node holds for one group.
+/// The state of one group on a node.
 #[derive(Debug, Default)]
 pub(super) struct GroupState {
     pub(super) acceptor: Acceptor,
     pub(super) role: Role,
-    /// The highest ballot heard of under the present replicas.
+    /// The highest ballot seen under the current replicas.
     pub(super) highest_ballot: Option<Ballot>,
-    /// The generation since which this node knows the present replicas.
+    /// The generation since which this node knows the current replicas.
     pub(super) replica_generation: GenerationNumber,
-    /// When what this node asks for in its role is asked for again.
+    /// Backoff for the requests of this node's role.
     pub(super) retry_backoff: Backoff,
-    /// When this node tells the present replicas again that it holds a copy of earlier ones.
+    /// Backoff for announcing this node's copy of an earlier replica set to the current replicas.
     pub(super) announcement_backoff: Backoff,
 }
 
 impl GroupState {
-    /// The log, if this node owns the group and may decide.
+    /// Returns the log if this node owns the group and may decide.
     pub(super) fn serving(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leading(leader) if leader.serves() => Some(leader),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The ballot under which this node claims or owns the group.
+    /// Returns the ballot of this node's claim or log.
     pub(super) fn own_ballot(&self) -> Option<Ballot> {
         match &self.role {
             Role::Follower => None,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The replicas under which this node claims or owns the group.
+    /// Returns the replicas of this node's claim or log.
     pub(super) fn own_configuration(&self) -> Option<&Configuration> {
         match &self.role {
             Role::Follower => None,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes note of a ballot, if it is the highest under the present replicas.
+    /// Records a ballot if it is the highest under the current replicas.
     pub(super) fn record_ballot(&mut self, ballot: Ballot) {
         if ballot.generation < self.replica_generation {
             return;
--- a/crates/bellyoke-core/src/node/ownership/handover.rs
+++ b/crates/bellyoke-core/src/node/ownership/handover.rs
@@ -1,4 +1,4 @@
-//! Lists of recently opened flows on their way to the owners of their buckets.
+//! Handover lists: recently opened flows, sent to the owners of their buckets.
 
 use super::Ownership;
 use super::backoff::Backoff;
@@ -12,10 +12,10 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Most parts that are sent at a time.
+/// Maximum number of unconfirmed parts that are sent at a time.
 const MAX_PARTS_IN_FLIGHT: usize = 32;
 
-/// A part of a handover list that was not confirmed.
+/// An unconfirmed part of a handover list.
 #[derive(Debug)]
 struct Part {
     batch: HandoverBatch,
@@ -24,21 +24,21 @@
     retry: Backoff,
 }
 
-/// Parts of handover lists that were not confirmed, and what waits for them.
+/// Unconfirmed parts of handover lists, and the acknowledgement that depends on them.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
     parts: BTreeMap<HandoverReceipt, Part>,
     next_part: u64,
     unacknowledged: Option<GenerationNumber>,
-    /// Whether a generation has listed this node as a member.
+    /// Whether some generation has listed this node as a member.
     was_member: bool,
-    /// After this time no copy of a packet is under way that opened a flow here, if this node
-    /// is no member any more.
+    /// Set if this node is no longer a member: from this time on, the network contains no copy of
+    /// a packet that opened a flow here.
     quiet_at: Option<Timestamp>,
 }
 
 impl Handovers {
-    /// Whether all that this node opened is in other hands, and acknowledged.
+    /// Returns whether all flows opened here have been handed over and acknowledged.
     pub(super) fn is_done(&self) -> bool {
         self.parts.is_empty() && self.unacknowledged.is_none()
     }
@@ -84,10 +84,12 @@
         self.acknowledge_when_done(now);
     }
 
-    /// The generation that removes a member is the last whose barrier waits for it. A bucket
-    /// that becomes contested right after would not wait for the list of the flows that it
-    /// opened last; late copies of their opening packets would be placed again. So it
-    /// acknowledges its removal when there can be no such copy any more.
+    /// Delays a removed member's acknowledgement until no copy of its opening packets can be in
+    /// the network.
+    ///
+    /// The generation that removes a member is the last whose barrier waits for it. A bucket that
+    /// becomes contested right afterwards would not wait for the list of the flows that the member
+    /// opened last, and late copies of their opening packets would be placed again.
     fn record_departure(&mut self, now: Timestamp) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -123,8 +125,7 @@
         }
     }
 
-    /// Sends those of the oldest parts that are new or overdue to whom this node takes for
-    /// their owners.
+    /// Sends those of the oldest parts that are new or overdue to the presumed owners.
     pub(super) fn send_handovers(&mut self, now: Timestamp) {
         let interval = self.settings.retry_interval;
         let mut due = Vec::new();
@@ -165,7 +166,7 @@
         Some(cluster.assignment.group(run.service, bucket))
     }
 
-    /// The owner of a part's flows holds them.
+    /// Removes a part that its owner has confirmed.
     pub(super) fn handle_handover_confirmation(
         &mut self,
         now: Timestamp,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Acknowledges the newest generation, once all parts are confirmed.
+    /// Acknowledges the newest generation once all parts are confirmed.
     pub(super) fn acknowledge_when_done(&mut self, now: Timestamp) {
         if let Some(generation) = self.handovers.take_acknowledgement(now) {
             let effect = OwnershipEffect::Acknowledge(generation);
--- a/crates/bellyoke-core/src/node/ownership/leader.rs
+++ b/crates/bellyoke-core/src/node/ownership/leader.rs
@@ -1,4 +1,4 @@
-//! The owner's log of one group: batches of pins, and what waits for a majority to hold them.
+//! The owner's log of one group: batches of pins, and the items that wait for their commit.
 
 use super::ballot::{Ballot, Configuration};
 use super::message::{Installation, PinBatch};
@@ -10,7 +10,7 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Most batches that are sent again to one replica at a time.
+/// Maximum number of batches that are sent again to one replica at a time.
 const MAX_RESENT_BATCHES: usize = 4;
 
 /// The owner's log of one group.
@@ -21,25 +21,33 @@
     ballot: Ballot,
     configuration: Configuration,
     started_at: Timestamp,
-    /// The batch that is being filled has this number plus one.
+    /// The last sealed batch. The open batch has the next number.
     last_sealed: u64,
+    /// The last batch that a majority stores.
     last_committed: u64,
+    /// The batch that completes the initial copy.
     copy_end: u64,
     service_started: bool,
+    /// Changes in the open batch.
     open_changes: BTreeMap<PinKey, PinChange>,
     open_marks: Vec<SettledMark>,
+    /// Whether an item waits for the open batch, even if it is empty.
     needs_seal: bool,
     unsent: Vec<u64>,
+    /// Batches that may be sent again.
     retained: BTreeMap<u64, PinBatch>,
     acknowledged: BTreeMap<NodeId, u64>,
     progress: BTreeMap<NodeId, Progress>,
+    /// Replicas that need a new copy.
     lagging: BTreeSet<NodeId>,
+    /// The batch of each uncommitted change.
     uncommitted_pins: HashMap<PinKey, u64>,
     open_flows: HashMap<BackendId, u32>,
+    /// Items that wait for the commit of a batch, by its number.
     pending: BTreeMap<u64, Vec<PendingItem>>,
 }
 
-/// How far a replica was when it was last looked at.
+/// A replica's progress when it was last checked.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     acknowledged: u64,
@@ -47,7 +55,8 @@
 }
 
 impl Progress {
-    /// Whether what was on its way then has not been acknowledged by `later`.
+    /// Returns whether batches that were already sealed at this check are still unacknowledged at
+    /// `later`.
     fn is_stalled(self, later: Self) -> bool {
         self.acknowledged < self.last_sealed && self.acknowledged == later.acknowledged
     }
@@ -61,7 +70,7 @@
 }
 
 impl Leader {
-    /// A log that starts with a complete copy of `pins`.
+    /// Creates a log that starts with a complete copy of `pins`.
     pub(super) fn new(
         now: Timestamp,
         group: GroupIndex,
@@ -150,23 +159,24 @@
         self.last_sealed
     }
 
-    /// Whether a majority of the replicas holds a complete copy.
+    /// Returns whether a majority of the replicas stores a complete copy.
     pub(super) fn serves(&self) -> bool {
         self.last_committed >= self.copy_end
     }
 
-    /// True the first time that it is asked.
+    /// Returns true on the first call only.
     pub(super) fn start_service(&mut self) -> bool {
         !std::mem::replace(&mut self.service_started, true)
     }
 
-    /// Whether the log may grow: false when replicas have not answered for long.
+    /// Returns whether the log may grow. False if replicas have left too many batches
+    /// unacknowledged.
     pub(super) fn has_capacity(&self, limits: LogLimits) -> bool {
         let outstanding = self.last_sealed - self.last_committed;
         outstanding < limits.unacknowledged_batches as u64 / 2
     }
 
-    /// Puts a change into the log; returns the batch that carries it.
+    /// Appends a change to the open batch and returns the number of that batch.
     pub(super) fn append(&mut self, key: PinKey, change: PinChange, limits: LogLimits) -> u64 {
         let sequence = self.last_sealed + 1;
         self.open_changes.insert(key, change);
@@ -177,26 +187,26 @@
         sequence
     }
 
-    /// Puts a mark into the log; returns the batch that carries it.
+    /// Appends a mark to the open batch and returns the number of that batch.
     pub(super) fn append_mark(&mut self, mark: SettledMark) -> u64 {
         self.open_marks.push(mark);
         self.request_confirmation()
     }
 
-    /// The batch whose commit shows that this node still was the owner after now.
+    /// Returns the batch whose commit shows that this node was still the owner after this call.
     pub(super) fn request_confirmation(&mut self) -> u64 {
         self.needs_seal = true;
         self.last_sealed + 1
     }
 
-    /// The batch that an uncommitted pin waits for.
+    /// Returns the batch that contains an uncommitted change of a pin.
     pub(super) fn uncommitted_batch(&self, key: &PinKey) -> Option<u64> {
         self.uncommitted_pins.get(key).copied()
     }
 
-    /// Closes the batch that is being filled, if anything waits for it and the batch before
-    /// is committed. One batch on its way at a time gathers what comes in the meantime, so
-    /// that a slow replica or a spent budget makes batches larger and not more.
+    /// Seals the open batch if something waits for it and the previous batch is committed. With
+    /// only one batch in flight, a slow replica or an exhausted budget leads to larger batches
+    /// instead of more of them.
     pub(super) fn seal_if_ready(&mut self) {
         if !self.has_open_batch() || self.last_sealed > self.last_committed {
             return;
@@ -204,7 +214,7 @@
         self.seal_batch();
     }
 
-    /// Whether anything waits for the next batch.
+    /// Returns whether something waits for the open batch.
     pub(super) fn has_open_batch(&self) -> bool {
         !self.open_changes.is_empty() || self.needs_seal
     }
@@ -217,7 +227,7 @@
         self.advance_commit();
     }
 
-    /// Batches that were never sent, for each other replica.
+    /// Takes the batches that were never sent, for each other replica.
     pub(super) fn take_unsent(&mut self, suspected: &BTreeSet<NodeId>) -> Vec<(NodeId, PinBatch)> {
         let unsent = std::mem::take(&mut self.unsent);
         let batches: Vec<&PinBatch> = unsent
@@ -235,8 +245,8 @@
         messages
     }
 
-    /// Batches that were not acknowledged, oldest first, for each other replica that has
-    /// acknowledged none since this was last asked.
+    /// Returns unacknowledged batches, oldest first, for each other replica that has acknowledged
+    /// none since the previous call.
     pub(super) fn take_stalled_batches(
         &mut self,
         suspected: &BTreeSet<NodeId>,
@@ -265,7 +275,7 @@
         replicas.filter(receives).collect()
     }
 
-    /// A replica holds all batches up to `sequence`.
+    /// Records that a replica stores all batches up to `sequence`.
     pub(super) fn acknowledge(&mut self, replica: NodeId, sequence: u64) {
         if !self.configuration.replicas.contains(&replica) || sequence > self.last_sealed {
             return;
@@ -298,8 +308,8 @@
         }
     }
 
-    /// Drops batches that all replicas hold. A replica that is too far behind gets no more of
-    /// them: it needs a new copy.
+    /// Drops batches that all replicas store. A replica that is too far behind receives no more
+    /// batches: it needs a new copy.
     pub(super) fn trim(&mut self, limits: LogLimits) {
         while self.retained.len() > limits.unacknowledged_batches && self.serves() {
             let receivers = self.receivers();
@@ -321,41 +331,41 @@
     fn drop_fully_replicated(&mut self) {
         let receivers = self.receivers();
         let positions = receivers.iter().map(|node| self.acknowledged_by(*node));
-        let all = positions
+        let fully_replicated = positions
             .min()
             .unwrap_or(self.last_sealed)
             .min(self.last_committed);
-        self.retained = self.retained.split_off(&(all + 1));
+        self.retained = self.retained.split_off(&(fully_replicated + 1));
     }
 
     pub(super) fn lagging(&self) -> &BTreeSet<NodeId> {
         &self.lagging
     }
 
-    /// Holds `item` until batch `sequence` is committed.
+    /// Keeps `item` until batch `sequence` is committed.
     pub(super) fn add_pending(&mut self, sequence: u64, item: PendingItem) {
         self.pending.entry(sequence).or_default().push(item);
     }
 
-    /// Whether a confirmation of the same part to the same node waits already.
+    /// Returns whether a confirmation of the same part to the same node is already pending.
     pub(super) fn has_pending_receipt(&self, receipt: &PendingReceipt) -> bool {
         let mut pending = self.pending.values().flatten();
         pending.any(|item| match item {
-            PendingItem::Receipt(known) => {
-                known.to == receipt.to && known.receipt == receipt.receipt
+            PendingItem::Receipt(other) => {
+                other.to == receipt.to && other.receipt == receipt.receipt
             }
             _ => false,
         })
     }
 
-    /// Takes what waited for batches that are committed now.
+    /// Takes the items whose batches are committed.
     pub(super) fn take_committed(&mut self) -> Vec<PendingItem> {
         let later = self.pending.split_off(&(self.last_committed + 1));
         let released = std::mem::replace(&mut self.pending, later);
         released.into_values().flatten().collect()
     }
 
-    /// Takes what has waited for too long.
+    /// Takes the items whose deadline has passed.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<PendingItem> {
         let mut expired = Vec::new();
         for items in self.pending.values_mut() {
@@ -365,7 +375,7 @@
         expired
     }
 
-    /// Takes all that waits.
+    /// Takes all pending items.
     pub(super) fn take_pending(&mut self) -> Vec<PendingItem> {
         let pending = std::mem::take(&mut self.pending);
         pending.into_values().flatten().collect()
@@ -386,7 +396,7 @@
         }
     }
 
-    /// Flows pinned to `backend` whose end was not reported.
+    /// Returns the number of flows pinned to `backend` whose end was not reported.
     pub(super) fn open_flows(&self, backend: BackendId) -> u32 {
         self.open_flows.get(&backend).copied().unwrap_or(0)
     }
--- a/crates/bellyoke-core/src/node/ownership/message.rs
+++ b/crates/bellyoke-core/src/node/ownership/message.rs
@@ -1,4 +1,4 @@
-//! What owners, replicas and relaying nodes say to each other.
+//! Messages between owners, replicas and relaying nodes.
 
 use super::ballot::{Ballot, Configuration, LogPosition};
 use super::pin::{PinKey, PinRun, SettledMark};
@@ -8,61 +8,61 @@
 
 /// A message between two nodes.
 ///
-/// Large variants are boxed: an archived enum takes the room of its largest variant.
+/// Large variants are boxed because an archived enum has the size of its largest variant.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub enum OwnershipMessage {
-    /// To the owner: a packet whose flow the sender doesn't know.
+    /// To the owner: a packet of a flow that the sender doesn't know.
     Relay(Box<RelayedPacket>),
-    /// From the owner: where relayed flows are.
+    /// From the owner: the backends of relayed flows.
     Learned(Vec<LearnedFlow>),
-    /// From a node that is not the owner: who is taken to be.
+    /// From a node that is not the owner: the highest ballots that it knows.
     OwnerHints(Vec<OwnerHint>),
-    /// From the owner: pins to keep.
+    /// From the owner: pins to store.
     Replicate(Vec<PinBatch>),
-    /// From a replica: pins that it keeps.
+    /// From a replica: the position up to which it has stored pins.
     Replicated(Vec<ReplicaPosition>),
-    /// From a replica: a higher ballot was promised.
+    /// From a replica: it has promised a higher ballot.
     Superseded(Vec<OwnerHint>),
-    /// From a claimant: asks for promises.
+    /// From a claimant: a request for promises.
     Prepare(Vec<PrepareRequest>),
-    /// From a replica: promised.
+    /// From a replica: its promise.
     Promise(Vec<ReplicaPromise>),
-    /// From a claimant: asks for the next pins of a group.
+    /// From a claimant: a request for the next pins of a group.
     Fetch(Box<FetchRequest>),
     /// From a replica: the next pins of a group.
     Fetched(Box<FetchedPins>),
-    /// From a replica of an earlier generation: it holds pins that the receiver needs.
+    /// From a replica of an earlier generation: it stores pins that the receiver needs.
     Announce(Vec<ReplicaAnnouncement>),
-    /// From the owner: a majority of the newer replicas holds the pins.
+    /// From the owner: a majority of the newer replicas stores the pins.
     Installed(Vec<ReplicaAnnouncement>),
     /// To the owner: recently opened flows.
     Handover(Vec<HandoverBatch>),
-    /// From the owner: the flows are on a majority of replicas.
+    /// From the owner: a majority of the replicas stores the flows.
     HandoverConfirmed(Vec<HandoverReceipt>),
-    /// To the owner: flows that ended.
+    /// To the owner: flows that have ended.
     EndedFlows(Vec<FlowPlace>),
     /// To the owner: settled buckets.
     Settled(Box<SettledReport>),
-    /// From the owner: the round that the next report should name.
+    /// From the owner: the round number that the next report should carry.
     SettledRound(u32),
 }
 
-/// A packet on its way to the owner.
+/// A packet relayed to the owner.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RelayedPacket {
     /// The node that received it from the fabric.
     pub origin: NodeId,
     /// The generation of that node.
     pub generation: GenerationNumber,
-    /// How often it was relayed.
+    /// How many times it has been relayed.
     pub hops: u8,
-    /// Its flow and whether it may open it.
+    /// Its flow, and whether the packet may open it.
     pub escalation: Escalation,
-    /// The whole IP packet.
+    /// The complete IP packet.
     pub packet: Vec<u8>,
 }
 
-/// Where a flow is.
+/// The backend of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct LearnedFlow {
     /// The flow.
@@ -71,7 +71,7 @@
     pub backend: BackendId,
 }
 
-/// The highest ballot that the sender knows of for a group.
+/// The highest ballot of a group that the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct OwnerHint {
     /// The group.
@@ -80,25 +80,25 @@
     pub ballot: Ballot,
 }
 
-/// The next pins of a group. Without pins it asks whether the ballot still holds.
+/// The next entries of a group's log. An empty batch asks whether the ballot is still the highest.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PinBatch {
     /// The group.
     pub group: GroupIndex,
     /// The owner's ballot.
     pub ballot: Ballot,
-    /// Counts the batches of the ballot, from 1.
+    /// The number of the batch within the ballot, starting at 1.
     pub sequence: u64,
     /// Set on the batch that completes the copy of the group.
     pub installation: Option<Box<Installation>>,
     /// The pins.
     pub runs: Vec<PinRun>,
-    /// Buckets that became settled.
+    /// Buckets that have become settled.
     pub marks: Vec<SettledMark>,
 }
 
 impl PinBatch {
-    /// Where the batch stands in the log of its group.
+    /// Returns the position of the batch in the log of its group.
     pub(super) const fn position(&self) -> LogPosition {
         LogPosition {
             ballot: self.ballot,
@@ -107,48 +107,48 @@
     }
 }
 
-/// What a complete copy of a group is valid for.
+/// The replicas and the losses of a complete copy of a group.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct Installation {
     /// The replicas.
     pub configuration: Configuration,
-    /// Pins of buckets that were contested before this generation may have been lost; 0 when
-    /// none were.
+    /// Pins of buckets that became contested before this generation may have been lost; 0 if none
+    /// were.
     pub pins_lost_before: GenerationNumber,
 }
 
-/// How far a replica's copy of a group goes.
+/// How much of a group's log a replica has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReplicaPosition {
     /// The group.
     pub group: GroupIndex,
-    /// All batches up to this one were applied.
+    /// The last applied batch. All earlier ones have been applied, too.
     pub position: LogPosition,
 }
 
-/// Asks a replica to refuse lower ballots.
+/// Asks a replica to reject lower ballots.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct PrepareRequest {
     /// The group.
     pub group: GroupIndex,
     /// The claimant's ballot.
     pub ballot: Ballot,
-    /// The replicas that the claimant will serve with.
+    /// The replicas of the claimant's log.
     pub configuration: Configuration,
 }
 
-/// A replica refuses lower ballots from now on.
+/// A replica's promise to reject lower ballots.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReplicaPromise {
     /// The group.
     pub group: GroupIndex,
-    /// The ballot that was asked for.
+    /// The ballot of the request.
     pub ballot: Ballot,
-    /// How far the replica's copy goes.
+    /// The position of the replica's copy.
     pub accepted: LogPosition,
-    /// What its copy is valid for; none if it has no complete copy.
+    /// What its copy is valid for; `None` without a complete copy.
     pub installed: Option<Installation>,
-    /// Replica sets of other claimants since, which may have served.
+    /// Replica sets of claims made since its copy was completed. They may have served the group.
     pub successors: Vec<Configuration>,
 }
 
@@ -166,17 +166,17 @@
 /// The pins that follow `cursor`.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct FetchedPins {
-    /// The request that is answered.
+    /// The request that this answers.
     pub request: FetchRequest,
     /// The pins.
     pub runs: Vec<PinRun>,
     /// All settled buckets of the group.
     pub marks: Vec<SettledMark>,
-    /// Whether more follow.
+    /// Whether more pins follow.
     pub has_more: bool,
 }
 
-/// Which replicas hold the pins of a group.
+/// The replicas that store the pins of a group.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct ReplicaAnnouncement {
     /// The group.
@@ -188,7 +188,7 @@
 /// A part of a handover list.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct HandoverBatch {
-    /// Which part.
+    /// Identifies the part.
     pub receipt: HandoverReceipt,
     /// The group of all its flows.
     pub group: GroupIndex,
@@ -196,21 +196,21 @@
     pub runs: Vec<PinRun>,
 }
 
-/// Names a part of a handover list.
+/// Identifies a part of a handover list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct HandoverReceipt {
     /// The generation that made the buckets contested.
     pub generation: GenerationNumber,
-    /// Counts the parts of one node.
+    /// The number of the part, unique within its sender.
     pub part: u64,
 }
 
 /// All buckets of one owner that are settled on the sender.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct SettledReport {
-    /// The generation that the sender's traffic threads forward by.
+    /// The generation that the sender's traffic threads forward with.
     pub generation: GenerationNumber,
-    /// The owner's round, as the sender knows it.
+    /// The owner's round number that the sender knows.
     pub round: u32,
     /// The buckets.
     pub buckets: Vec<SettledEntry>,
@@ -221,6 +221,6 @@
 pub struct SettledEntry {
     /// The bucket.
     pub bucket: SettledBucket,
-    /// Since which of the sender's reports it has been settled without a break.
+    /// The sender's report since which the bucket has been settled without interruption.
     pub since_report: u32,
 }
--- a/crates/bellyoke-core/src/node/ownership/mod.rs
+++ b/crates/bellyoke-core/src/node/ownership/mod.rs
@@ -1,5 +1,5 @@
-//! Ownership of contested buckets: who decides where their flows go, and how that is
-//! remembered on replicas (docs/PROTOCOL.md, sections 2, 3, 4 and 6).
+//! Ownership of contested buckets: one node, the owner, decides where the flows of a bucket go,
+//! and replicates its decisions (docs/PROTOCOL.md, sections 2, 3, 4 and 6).
 
 mod acceptor;
 mod assignment;
@@ -62,10 +62,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often pins are looked through for those that aren't needed any more.
+/// How often this node removes pins that are no longer needed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A node's part in the ownership of contested buckets, without IO or clock.
+/// The ownership state of one node, without IO or clock.
 #[derive(Debug)]
 pub struct Ownership {
     node: NodeId,
@@ -73,9 +73,9 @@
     cluster: Option<Cluster>,
     membership: MembershipView,
     groups: BTreeMap<GroupIndex, GroupState>,
-    /// The generation that the traffic threads forward by.
+    /// The generation that the traffic threads forward with.
     forwarding_generation: GenerationNumber,
-    /// Groups with batches that are being filled.
+    /// Groups with an open or unsent batch.
     active_groups: BTreeSet<GroupIndex>,
     handovers: Handovers,
     settlement: Settlement,
@@ -86,7 +86,7 @@
     load_reports: LoadReports,
     random: ChaCha8Rng,
     outbox: Outbox,
-    /// Messages of this node to itself.
+    /// Messages that this node has sent to itself.
     loopback: VecDeque<OwnershipMessage>,
     effects: Vec<OwnershipEffect>,
     counters: OwnershipCounters,
@@ -97,7 +97,7 @@
 }
 
 impl Ownership {
-    /// A node that knows no generation yet.
+    /// Returns the state of a node that has no generation yet.
     #[must_use]
     pub fn new(node: NodeId, settings: OwnershipSettings) -> Self {
         let packet_budget =
@@ -129,19 +129,19 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> OwnershipCounters {
         self.counters
     }
 
-    /// Number of pins in the groups that this node owns.
+    /// Returns the number of pins in the groups that this node owns.
     #[must_use]
     pub fn owned_pins(&self) -> usize {
         self.owned_pins
     }
 
-    /// Whether this node serves as the owner of `group`.
+    /// Returns whether this node serves `group` as its owner.
     #[must_use]
     pub fn is_serving(&self, group: GroupIndex) -> bool {
         match self.groups.get(&group).map(|state| &state.role) {
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Whether no other node may still need the pins that this one holds: a node that leaves
-    /// may stop.
+    /// Returns whether no other node can still need the pins stored here. A node that leaves may
+    /// then stop.
     #[must_use]
     pub fn is_drained(&self) -> bool {
-        let holds_none = |group: &GroupState| group.acceptor.installed().is_none();
-        self.handovers.is_done() && self.groups.values().all(holds_none)
+        let has_no_copy = |group: &GroupState| group.acceptor.installed().is_none();
+        self.handovers.is_done() && self.groups.values().all(has_no_copy)
     }
 
-    /// This node learned a generation. Older ones are ignored.
+    /// Switches to a newer generation. Ignores older ones.
     pub fn apply_generation(
         &mut self,
         now: Timestamp,
@@ -172,7 +172,7 @@
         let groups = self
             .cluster
             .iter()
-            .flat_map(|known| known.assignment.groups());
+            .flat_map(|cluster| cluster.assignment.groups());
         for group in groups.collect::<Vec<_>>() {
             self.apply_generation_to_group(now, group);
         }
@@ -185,7 +185,8 @@
         self.finish(now)
     }
 
-    /// The traffic threads switched to a generation.
+    /// Records that the traffic threads have switched to a generation, and hands over the flows
+    /// that they opened recently.
     pub fn handle_adoption(
         &mut self,
         now: Timestamp,
@@ -196,7 +197,7 @@
         self.finish(now)
     }
 
-    /// A peer's message, authenticated.
+    /// Handles an authenticated message from a peer.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -208,7 +209,7 @@
         self.finish(now)
     }
 
-    /// A traffic thread could not decide a packet.
+    /// Handles a packet that the traffic threads could not decide.
     pub fn handle_escalation(
         &mut self,
         now: Timestamp,
@@ -230,9 +231,10 @@
         self.finish(now)
     }
 
-    /// The buckets in which the traffic threads have seen no flow off target for the idle
-    /// time: all of them, so that a bucket that is missing isn't settled any more. The threads
-    /// judge by the targets of the generation that [`Self::adopted`] named last.
+    /// Replaces the set of settled buckets: those in which the traffic threads saw no off-target
+    /// flow for the idle timeout. A bucket that is missing from `buckets` is no longer settled.
+    /// The threads compare with the targets of the generation last passed to
+    /// [`Self::handle_adoption`].
     pub fn update_settled_buckets(
         &mut self,
         now: Timestamp,
@@ -242,7 +244,7 @@
         self.finish(now)
     }
 
-    /// A peer is suspected or has failed.
+    /// Records that a peer is suspected or has failed.
     pub fn member_failed(&mut self, now: Timestamp, node: NodeId) -> Vec<OwnershipEffect> {
         self.membership.suspected.insert(node);
         let groups: Vec<GroupIndex> = self.groups.keys().copied().collect();
@@ -256,13 +258,13 @@
         self.finish(now)
     }
 
-    /// A peer that was suspected is alive.
+    /// Records that a suspected peer is alive.
     pub fn member_alive(&mut self, now: Timestamp, node: NodeId) -> Vec<OwnershipEffect> {
         self.membership.suspected.remove(&node);
         self.finish(now)
     }
 
-    /// All members have acknowledged a generation.
+    /// Records that all members have acknowledged a generation.
     pub fn barrier_passed(
         &mut self,
         now: Timestamp,
@@ -272,18 +274,18 @@
         self.finish(now)
     }
 
-    /// A backend says how loaded it is.
+    /// Records a load report of a backend.
     pub fn record_load(&mut self, now: Timestamp, backend: BackendId, load: LoadReport) {
         self.load_reports.record(now, backend, load);
     }
 
-    /// A flow in a contested bucket has ended.
+    /// Records that a flow in a contested bucket has ended.
     pub fn flow_ended(&mut self, now: Timestamp, place: FlowPlace) -> Vec<OwnershipEffect> {
         self.report_flow_end(now, place);
         self.finish(now)
     }
 
-    /// The time that [`Self::next_timeout`] named has come.
+    /// Runs the timers that are due.
     pub fn timeout(&mut self, now: Timestamp) -> Vec<OwnershipEffect> {
         self.detect_pause(now);
         if self.sweep_at.take_if(|due| *due <= now).is_some() {
@@ -299,7 +301,7 @@
         self.finish(now)
     }
 
-    /// When [`Self::timeout`] is due.
+    /// Returns when [`Self::timeout`] is due.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timers = [self.flush_at, self.retry_at, self.sweep_at];
@@ -351,7 +353,7 @@
         self.effects.extend(flows.iter().map(effect));
     }
 
-    /// Sends a message at once.
+    /// Sends a message without batching it.
     fn send(&mut self, to: NodeId, message: OwnershipMessage) {
         if to == self.node {
             self.loopback.push_back(message);
@@ -386,7 +388,7 @@
         self.claim_if_needed(now, group);
     }
 
-    /// Handles this node's messages to itself, and sets the timers.
+    /// Handles this node's messages to itself and sets the timers.
     fn finish(&mut self, now: Timestamp) -> Vec<OwnershipEffect> {
         while let Some(message) = self.loopback.pop_front() {
             self.dispatch(now, self.node, message);
--- a/crates/bellyoke-core/src/node/ownership/outbox.rs
+++ b/crates/bellyoke-core/src/node/ownership/outbox.rs
@@ -1,4 +1,4 @@
-//! Gathers what goes to one peer into few messages.
+//! Batches the entries for each peer into few messages.
 
 use super::ballot::Configuration;
 use super::effect::OwnershipEffect;
@@ -14,12 +14,12 @@
 /// ([`crate::node::message::MAXIMUM_CONTROL_LENGTH`]) with its headers.
 const MAX_ENTRY_BYTES: usize = 1040;
 
-/// Roughly the bytes of an entry in a message.
+/// The approximate encoded size of an entry in bytes.
 trait EncodedSize {
     fn encoded_size(&self) -> usize;
 }
 
-/// Bytes of a replica set.
+/// Returns the approximate bytes of a replica set.
 fn configuration_size(configuration: &Configuration) -> usize {
     16 + 8 * configuration.replicas.len()
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// What waits to be sent to one peer.
+/// Entries to be sent to one peer.
 #[derive(Debug, Default)]
 struct PeerOutbox {
     batches: Vec<PinBatch>,
@@ -108,7 +108,7 @@
     confirmed: Vec<HandoverReceipt>,
 }
 
-/// What waits to be sent, by peer.
+/// Entries to be sent, by peer.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     peers: BTreeMap<NodeId, PeerOutbox>,
@@ -173,7 +173,7 @@
         self.peer(to).confirmed.push(receipt);
     }
 
-    /// Takes all that waits, as messages.
+    /// Takes all entries as messages.
     pub(super) fn flush(&mut self) -> Vec<OwnershipEffect> {
         let mut effects = Vec::new();
         for (to, peer) in std::mem::take(&mut self.peers) {
@@ -216,8 +216,8 @@
     }
 }
 
-/// Puts `entries` into as few messages as hold them. An entry that is too long for one gets
-/// one of its own.
+/// Packs `entries` into as few messages as possible. An entry that exceeds the limit is sent in a
+/// message of its own.
 fn pack<T: EncodedSize>(
     messages: &mut Vec<OwnershipMessage>,
     entries: impl IntoIterator<Item = T>,
--- a/crates/bellyoke-core/src/node/ownership/owner.rs
+++ b/crates/bellyoke-core/src/node/ownership/owner.rs
@@ -201,7 +201,7 @@
         LeastLoaded { random }.select(&candidates)
     }
 
-    /// Pins a flow and has the packet wait for a majority of the replicas.
+    /// Pins a flow. Its packet waits for a majority of the replicas.
     fn pin_flow(
         &mut self,
         now: Timestamp,
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Carries out what waited for a majority.
+    /// Completes the items whose batches are committed.
     pub(super) fn complete_committed(&mut self, group: GroupIndex) {
         let number = self.cluster.as_ref().map(Cluster::number);
         let Some(leader) = self.groups.get_mut(&group).and_then(|group| group.leader()) else {
@@ -321,8 +321,8 @@
         self.effects.push(OwnershipEffect::Learn { place, backend });
     }
 
-    /// Takes in a part of a handover list, and confirms it once a majority holds it. A part
-    /// that waits already, and comes again since the confirmation takes long, adds nothing.
+    /// Stores a part of a handover list and confirms it once a majority stores it. A repeated part
+    /// whose confirmation is pending is ignored.
     pub(super) fn handle_handover(&mut self, now: Timestamp, from: NodeId, batch: HandoverBatch) {
         let known = self.cluster.as_ref().map(Cluster::number);
         if known.is_none_or(|number| number < batch.receipt.generation) {
@@ -353,16 +353,16 @@
             return;
         }
         self.active_groups.insert(batch.group);
-        let mut new = Vec::new();
+        let mut new_pins = Vec::new();
         for (key, change) in decode_runs(&batch.runs) {
             if state.acceptor.pins().get(&key).is_none() {
-                new.push((key, change));
+                new_pins.push((key, change));
             }
         }
         let Some(leader) = state.leader() else {
             return;
         };
-        for (key, change) in &new {
+        for (key, change) in &new_pins {
             leader.append(*key, *change, limits);
             if let Some(destination) = change.decode() {
                 leader.count_opened(destination);
@@ -370,12 +370,13 @@
         }
         let sequence = leader.request_confirmation();
         leader.add_pending(sequence, PendingItem::Receipt(receipt));
-        for (key, change) in new {
+        for (key, change) in new_pins {
             state.acceptor.pins_mut().apply_change(now, key, change);
         }
     }
 
-    /// Whether a packet may wait for an owner: one that may open a flow is sent again anyway.
+    /// Returns whether a packet may wait for an owner. The caller retransmits opening packets in
+    /// any case.
     pub(super) fn is_queueable(relayed: &RelayedPacket) -> bool {
         relayed.escalation.kind == EscalationKind::Other
     }
--- a/crates/bellyoke-core/src/node/ownership/pause.rs
+++ b/crates/bellyoke-core/src/node/ownership/pause.rs
@@ -1,11 +1,11 @@
-//! Tells when the process did not run for a while.
+//! Detection of pauses of the process.
 
 use super::Ownership;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Tells when the process did not run for a while, by the gap between two inputs: its timers
-/// never leave one as long when it runs.
+/// Detects pauses of the process by the gap between two inputs: while it runs, its timers cause no
+/// gap of that length.
 #[derive(Debug, Default)]
 pub(super) struct PauseDetector {
     last_input: Option<Timestamp>,
@@ -13,8 +13,8 @@
 }
 
 impl PauseDetector {
-    /// Takes note of an input; after a gap longer than `limit`, what comes within `drain` may
-    /// have waited in a queue for as long.
+    /// Records an input. After a gap longer than `max_gap`, inputs within `stale_duration` may
+    /// have been queued during the gap.
     fn record_input(&mut self, now: Timestamp, max_gap: Duration, stale_duration: Duration) {
         let last = self.last_input.replace(now).unwrap_or(now);
         if now.since(last) > max_gap {
@@ -22,15 +22,15 @@
         }
     }
 
-    /// Whether a packet that comes now may be older than the limit.
+    /// Returns whether a packet that arrives now may have been queued during a pause.
     pub(super) fn may_be_stale(&self, now: Timestamp) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
 }
 
 impl Ownership {
-    /// Takes note of an input. A packet that has waited longer than the delay horizon must not
-    /// be decided: the barrier waits for older copies no longer.
+    /// Records an input. A packet that was queued for longer than the delay horizon must not be
+    /// decided: the barrier doesn't wait for older copies.
     pub(super) fn detect_pause(&mut self, now: Timestamp) {
         let max_gap = self.settings.delay_horizon;
         self.pause_detector
--- a/crates/bellyoke-core/src/node/ownership/pending.rs
+++ b/crates/bellyoke-core/src/node/ownership/pending.rs
@@ -1,4 +1,4 @@
-//! What waits at an owner for a majority of replicas.
+//! Items of an owner that wait for a majority of replicas.
 
 use super::message::HandoverReceipt;
 use crate::flow::{Escalation, SettledBucket};
@@ -6,18 +6,18 @@
 use crate::node::RefusalReason;
 use crate::time::Timestamp;
 
-/// What becomes of a packet.
+/// What is done with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PacketAction {
-    /// To this backend.
+    /// Forwards it to this backend.
     Forward(BackendId),
-    /// To the sorry server.
+    /// Passes it to the sorry server.
     Refuse(RefusalReason),
-    /// The flow is reset.
+    /// Resets the flow.
     Reset,
 }
 
-/// A packet whose verdict waits for a majority.
+/// A packet whose action waits for a majority.
 #[derive(Clone, Debug)]
 pub(super) struct PendingPacket {
     pub(super) origin: NodeId,
@@ -35,16 +35,17 @@
     pub(super) deadline: Timestamp,
 }
 
-/// A bucket that can be clean once a majority knows that it is settled.
+/// A bucket that can be marked clean once a majority has recorded that it is settled.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingClean {
     pub(super) settled: SettledBucket,
-    /// The generation whose target it is settled on; a newer one may have another.
+    /// The generation of the target that it is settled on. A newer generation may have another
+    /// target.
     pub(super) decided_under: GenerationNumber,
     pub(super) deadline: Timestamp,
 }
 
-/// What waits for a majority.
+/// An item that waits for a majority.
 #[derive(Clone, Debug)]
 pub(super) enum PendingItem {
     Packet(PendingPacket),
@@ -53,7 +54,7 @@
 }
 
 impl PendingItem {
-    /// When it is dropped.
+    /// Returns when the item expires.
     pub(super) fn deadline(&self) -> Timestamp {
         match self {
             Self::Packet(item) => item.deadline,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Packets and bytes that may still be kept waiting.
+/// Packets and bytes that may still be queued.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PacketBudget {
     packets: usize,
@@ -75,7 +76,7 @@
         Self { packets, bytes }
     }
 
-    /// Takes a packet's share; false if nothing is left.
+    /// Reserves room for a packet. Returns false if none is left.
     pub(super) fn take(&mut self, packet: &[u8]) -> bool {
         if self.packets == 0 || self.bytes < packet.len() {
             return false;
@@ -85,7 +86,7 @@
         true
     }
 
-    /// Gives a packet's share back.
+    /// Releases the room of a packet.
     pub(super) fn give_back(&mut self, packet: &[u8]) {
         self.packets += 1;
         self.bytes += packet.len();
--- a/crates/bellyoke-core/src/node/ownership/pin.rs
+++ b/crates/bellyoke-core/src/node/ownership/pin.rs
@@ -1,4 +1,4 @@
-//! Pins: the owner's record of where it placed a flow, or that it refused it.
+//! Pins: the owner's records of the backend of a flow, or of its refusal.
 
 use crate::flow::{FlowPlace, SettledBucket};
 use crate::identity::{BackendId, BucketIndex, GenerationNumber, ServiceId};
@@ -9,8 +9,8 @@
 
 /// The first 96 bits of a flow hash.
 ///
-/// They name the bucket as well as the whole hash does, and take a quarter less of the control
-/// traffic: at 13 million flows of a service the chance that any two agree is below 2^-49.
+/// They determine the bucket as the full hash does, and need a quarter less control traffic. With
+/// 13 million flows of a service, the probability that any two collide is below 2^-49.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
@@ -25,7 +25,7 @@
 }
 
 impl ShortHash {
-    /// The bucket of the flow among `buckets`.
+    /// Returns the bucket of the flow among `buckets`.
     pub(super) fn bucket(self, buckets: usize) -> BucketIndex {
         let mut padded = [0; 16];
         padded[..12].copy_from_slice(&self.0);
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a pin is found by.
+/// The key of a pin.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
@@ -62,7 +62,7 @@
     Refused,
 }
 
-/// A change of one pin, in the four bytes that go over the wire.
+/// A change of one pin, encoded in four bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PinChange(u32);
 
@@ -70,7 +70,7 @@
     const REFUSED: u32 = u32::MAX;
     const REMOVED: u32 = u32::MAX - 1;
 
-    /// The flow is pinned.
+    /// Sets the pin.
     pub(super) const fn set(destination: PinDestination) -> Self {
         match destination {
             PinDestination::Backend(backend) => Self(backend.0),
@@ -78,12 +78,12 @@
         }
     }
 
-    /// The pin is dropped.
+    /// Removes the pin.
     pub(super) const fn removed() -> Self {
         Self(Self::REMOVED)
     }
 
-    /// The new pin; none when it is dropped.
+    /// Returns the new destination; `None` for a removal.
     pub(super) const fn decode(self) -> Option<PinDestination> {
         match self.0 {
             Self::REFUSED => Some(PinDestination::Refused),
@@ -93,12 +93,12 @@
     }
 }
 
-/// One pin as it goes over the wire: 16 bytes.
+/// An encoded pin of 16 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EncodedPin {
     /// The flow.
     pub hash: ShortHash,
-    /// What becomes of its pin.
+    /// The change of its pin.
     pub change: PinChange,
 }
 
@@ -111,15 +111,15 @@
     pub pins: Vec<EncodedPin>,
 }
 
-/// A bucket in which no flow without a pin is left on the base: from now on such a flow
-/// belongs to the target, as it does for nodes that already forward by a clean bucket.
+/// Marks a bucket in which no unpinned flow remains on the base. Such a flow is sent to the target
+/// from now on, as on nodes for which the bucket is already clean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SettledMark {
     /// The bucket.
     pub settled: SettledBucket,
     /// The generation in which it became contested.
     pub contested_since: GenerationNumber,
-    /// Its target; none when the mark is dropped.
+    /// Its target; `None` removes the mark.
     pub target: Option<BackendId>,
 }
 
@@ -135,7 +135,7 @@
     runs.into_iter().map(run).collect()
 }
 
-/// All changes in `runs`, one by one.
+/// Returns all changes in `runs`.
 pub(super) fn decode_runs(runs: &[PinRun]) -> impl Iterator<Item = (PinKey, PinChange)> {
     runs.iter().flat_map(|run| {
         run.pins.iter().map(|pin| {
@@ -148,14 +148,14 @@
     })
 }
 
-/// One pin as a replica holds it.
+/// A pin as a replica stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Pin {
     /// Where the flow goes.
     pub(super) destination: PinDestination,
-    /// When the owner last saw a packet of it.
+    /// When the owner last received a packet of the flow.
     pub(super) last_used: Timestamp,
-    /// Whether the flow's end was reported.
+    /// Whether the end of the flow was reported.
     pub(super) ended: bool,
 }
 
@@ -183,7 +183,7 @@
         self.pins.iter()
     }
 
-    /// Applies `runs` and `marks`, taking new pins as used at `now`.
+    /// Applies `runs` and `marks`. New pins count as used at `now`.
     pub(super) fn apply(&mut self, now: Timestamp, runs: &[PinRun], marks: &[SettledMark]) {
         for mark in marks {
             self.apply_mark(*mark);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Applies a change of one mark.
+    /// Sets or removes one mark.
     pub(super) fn apply_mark(&mut self, mark: SettledMark) {
         match mark.target {
             Some(_) => self.marks.insert(mark.settled, mark),
@@ -201,12 +201,12 @@
         };
     }
 
-    /// The mark of a bucket, if it has one.
+    /// Returns the mark of a bucket.
     pub(super) fn mark(&self, settled: SettledBucket) -> Option<SettledMark> {
         self.marks.get(&settled).copied()
     }
 
-    /// All marks.
+    /// Returns all marks.
     pub(super) fn marks(&self) -> Vec<SettledMark> {
         self.marks.values().copied().collect()
     }
@@ -225,16 +225,16 @@
         self.pins.insert(key, pin);
     }
 
-    /// At most `limit` pins after `cursor`, and whether more follow.
+    /// Returns at most `limit` pins after `cursor`, and whether more follow.
     pub(super) fn page(&self, cursor: Option<PinKey>, limit: usize) -> (Vec<PinRun>, bool) {
         let lower = cursor.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let mut rest = self.pins.range((lower, std::ops::Bound::Unbounded));
-        let page = rest.by_ref().take(limit);
+        let mut following = self.pins.range((lower, std::ops::Bound::Unbounded));
+        let page = following.by_ref().take(limit);
         let runs = encode_runs(page.map(|(key, pin)| (*key, PinChange::set(pin.destination))));
-        (runs, rest.next().is_some())
+        (runs, following.next().is_some())
     }
 
-    /// The last key, in the order in which pages are read.
+    /// Returns the last key in the order of pages.
     pub(super) fn last_key(&self) -> Option<PinKey> {
         self.pins.last_key_value().map(|(key, _)| *key)
     }
--- a/crates/bellyoke-core/src/node/ownership/pin_sweep.rs
+++ b/crates/bellyoke-core/src/node/ownership/pin_sweep.rs
@@ -1,4 +1,4 @@
-//! Pins that aren't needed any more.
+//! Removal of pins that are no longer needed.
 
 use super::Ownership;
 use super::cluster::{Cluster, is_contested};
@@ -9,18 +9,18 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Most pins that are dropped from one group at a time.
+/// Maximum number of pins that one sweep removes from a group.
 const MAX_PINS_PER_SWEEP: usize = 1024;
 
 impl Ownership {
-    /// Drops pins that aren't needed any more from the groups that this node owns.
+    /// Removes pins that are no longer needed from the groups that this node owns.
     ///
-    /// A pin of a flow that goes to a backend is kept while its bucket is contested, until its
-    /// end is reported or the bucket is settled: other nodes forward the flow from their own
-    /// tables, so that the owner can't tell an idle flow from a busy one, and a flow whose pin
-    /// is lost would go to the base. `max_pins` bounds what is kept: above it, new flows are
-    /// dropped and old ones keep their place. All packets of a refused flow pass the owner, so
-    /// its pin is dropped after the idle time.
+    /// While a bucket is contested, the pin of a flow to a backend is kept until the end of the
+    /// flow is reported or the bucket is settled. Other nodes forward the flow from their own
+    /// tables: the owner can't distinguish an idle flow from an active one, and without its pin
+    /// the flow would go to the base. `max_pins` bounds the number of pins; at the limit, new
+    /// flows are dropped and existing pins are kept. All packets of a refused flow pass through
+    /// the owner, which can therefore remove its pin after the idle timeout.
     pub(super) fn sweep(&mut self, now: Timestamp) {
         let groups: Vec<GroupIndex> = self.groups.keys().copied().collect();
         for group in groups {
@@ -58,7 +58,8 @@
         self.sweep_marks(group);
     }
 
-    /// Drops the marks of buckets that are clean, or contested anew, once all members know.
+    /// Removes the marks of buckets that are clean or have become contested again, once all
+    /// members know it.
     fn sweep_marks(&mut self, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Drops pins here and on the replicas.
+    /// Removes pins on this node and on the replicas.
     pub(super) fn remove_pins(&mut self, now: Timestamp, group: GroupIndex, keys: &[PinKey]) {
         let limits = self.log_limits();
         let Some(state) = self.groups.get_mut(&group) else {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The owner learns that flows have ended.
+    /// Handles reports of ended flows as the owner.
     pub(super) fn handle_ended_flows(&mut self, now: Timestamp, places: Vec<FlowPlace>) {
         for place in places {
             self.mark_flow_ended(now, place);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Tells the owner that a flow has ended.
+    /// Reports the end of a flow to the owner.
     pub(super) fn report_flow_end(&mut self, now: Timestamp, place: FlowPlace) {
         let Some(cluster) = &self.cluster else {
             return;
--- a/crates/bellyoke-core/src/node/ownership/placement/hashed.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/hashed.rs
@@ -3,7 +3,7 @@
 use super::{BackendSelection, Candidate};
 use crate::identity::BackendId;
 
-/// The bucket's target, whatever the load.
+/// Selects the bucket's target regardless of its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Hashed {
     /// The target of the flow's bucket.
--- a/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
@@ -1,4 +1,4 @@
-//! Placement on the backend with the fewest open flows for its weight.
+//! Placement on the backend with the fewest open flows relative to its weight.
 
 use super::{BackendSelection, Candidate, LoadReport};
 use crate::identity::BackendId;
@@ -6,13 +6,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
 
-/// The fewest open flows of the owner's own count, for the weight. Among equals two are drawn
-/// and the one that reports less load is taken (Mitzenmacher, "The power of two choices in
-/// randomized load balancing", 2001): a report is never trusted alone, since one that lies or
-/// is late would draw all new flows to its backend.
+/// Selects the backend with the fewest open flows relative to its weight, by the owner's own
+/// count. Among tied backends it draws two at random and selects the one that reports less load
+/// (Mitzenmacher, "The power of two choices in randomized load balancing", 2001). It never relies
+/// on reports alone: a false or late one would draw all new flows to its backend.
 #[derive(Debug)]
 pub struct LeastLoaded<'a> {
-    /// Draws among equals.
+    /// Source of randomness for tied backends.
     pub random: &'a mut ChaCha8Rng,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Compares open flows after one more, each divided by the weight.
+/// Compares the open flows including one more, each divided by the weight.
 fn compare_open_flows(first: &Candidate, second: &Candidate) -> Ordering {
     let scaled = |one: &Candidate, other: &Candidate| {
         (u64::from(one.open_flows) + 1) * u64::from(other.weight.max(1))
--- a/crates/bellyoke-core/src/node/ownership/placement/mod.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend a new flow is placed on. One module an algorithm.
+//! Selection of a backend for a new flow, with one module per algorithm.
 
 mod hashed;
 mod least_loaded;
@@ -11,36 +11,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a load report counts.
+/// How long a load report is valid.
 const REPORT_LIFETIME: Duration = Duration::from_secs(10);
-/// Most backends whose reports are kept.
+/// Maximum number of backends whose reports are stored.
 const MAX_LOAD_REPORTS: usize = 1 << 16;
 
-/// A backend's own account of its load.
+/// The load that a backend reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Slots that work.
+    /// Busy slots.
     pub busy: u32,
-    /// Slots it has; 0 if it doesn't say.
+    /// All slots; 0 if not reported.
     pub slots: u32,
 }
 
-/// A backend that may take a new flow.
+/// A backend that may receive a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The backend.
     pub backend: BackendId,
-    /// Its share of new flows, relative to the others; at least 1.
+    /// Its relative share of new flows; at least 1.
     pub weight: u32,
     /// Open flows that this owner has placed on it.
     pub open_flows: u32,
-    /// Its report, if there is a recent one.
+    /// Its load report if it is recent.
     pub load: Option<LoadReport>,
 }
 
-/// Chooses a backend for a new flow.
+/// Selects a backend for a new flow.
 pub trait BackendSelection {
-    /// The backend of a new flow; none if no candidate takes it.
+    /// Returns the backend of a new flow, or `None` if no candidate accepts it.
     fn select(&mut self, candidates: &[Candidate]) -> Option<BackendId>;
 }
 
@@ -52,8 +52,8 @@
 
 impl LoadReports {
     pub(super) fn record(&mut self, now: Timestamp, backend: BackendId, load: LoadReport) {
-        let known = self.reports.contains_key(&backend);
-        if known || self.reports.len() < MAX_LOAD_REPORTS {
+        let is_known = self.reports.contains_key(&backend);
+        if is_known || self.reports.len() < MAX_LOAD_REPORTS {
             self.reports.insert(backend, (now, load));
         }
     }
--- a/crates/bellyoke-core/src/node/ownership/relay.rs
+++ b/crates/bellyoke-core/src/node/ownership/relay.rs
@@ -1,4 +1,4 @@
-//! Packets on their way to the owner of their bucket.
+//! Relaying of packets to the owner of their bucket.
 
 use super::Ownership;
 use super::group::{GroupState, Role};
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 
-/// How often a packet is relayed at most.
+/// Maximum number of times that a packet is relayed.
 const MAX_RELAY_HOPS: u8 = 2;
 
 /// A packet that waits for an owner or a generation.
@@ -21,7 +21,8 @@
 pub(super) type PacketQueue = VecDeque<QueuedPacket>;
 
 impl Ownership {
-    /// The node that this one takes for the owner of `group`.
+    /// Returns the presumed owner of `group`: the node with the highest known ballot or else the
+    /// first replica, suspected nodes excluded.
     pub(super) fn presumed_owner(&self, group: GroupIndex) -> Option<NodeId> {
         let cluster = self.cluster.as_ref()?;
         let highest = self
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Decides a packet, or sends it on to the owner.
+    /// Decides a packet, or relays it to the owner.
     pub(super) fn route(&mut self, now: Timestamp, relayed: RelayedPacket) {
         let Some(cluster) = &self.cluster else {
             self.counters.dropped.unknown_place += 1;
@@ -80,7 +81,7 @@
         self.send(owner, OwnershipMessage::Relay(Box::new(relayed)));
     }
 
-    /// Takes a packet that another node relayed.
+    /// Handles a packet that another node has relayed.
     pub(super) fn handle_relay(&mut self, now: Timestamp, from: NodeId, relayed: RelayedPacket) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -92,7 +93,7 @@
         self.route(now, relayed);
     }
 
-    /// Keeps a packet that opens no flow until its owner or generation is known.
+    /// Queues a packet that opens no flow until its owner or generation is known.
     pub(super) fn queue_packet(&mut self, now: Timestamp, relayed: RelayedPacket) {
         if !Self::is_queueable(&relayed) {
             self.counters.dropped.opening_without_owner += 1;
@@ -106,7 +107,7 @@
         self.queue.push_back(QueuedPacket { relayed, deadline });
     }
 
-    /// Tries all waiting packets once more; those that still wait keep their deadline.
+    /// Retries all queued packets. Those that are queued again keep their deadline.
     pub(super) fn retry_queued_packets(&mut self, now: Timestamp) {
         for queued in std::mem::take(&mut self.queue) {
             self.packet_budget.give_back(&queued.relayed.packet);
--- a/crates/bellyoke-core/src/node/ownership/replication.rs
+++ b/crates/bellyoke-core/src/node/ownership/replication.rs
@@ -1,4 +1,4 @@
-//! Batches of pins on their way from the owner to the replicas.
+//! Replication of pins from the owner to the replicas.
 
 use super::Ownership;
 use super::group::{GroupState, Role};
@@ -10,7 +10,7 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How often a replica that fell behind gets a new copy.
+/// Minimum interval between new copies for a replica that is too far behind.
 const MIN_COPY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Ownership {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Closes and sends all batches.
+    /// Seals and sends the batches of all active groups.
     pub(super) fn flush_batches(&mut self, now: Timestamp) {
         let groups: Vec<GroupIndex> = self.active_groups.iter().copied().collect();
         for group in groups {
@@ -35,7 +35,7 @@
         self.active_groups.clear();
     }
 
-    /// Sends the batches of `group` that were closed.
+    /// Sends the sealed batches of `group`.
     pub(super) fn send_unsent(&mut self, group: GroupIndex) {
         let Some(state) = self.groups.get_mut(&group) else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Carries out what batches that are committed now have held up.
+    /// Completes the items that waited for committed batches.
     pub(super) fn handle_commit(&mut self, now: Timestamp, group: GroupIndex) {
         let limits = self.log_limits();
         let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The owner of a group sends pins.
+    /// Handles a batch of pins from the owner of a group.
     pub(super) fn handle_pin_batch(&mut self, now: Timestamp, from: NodeId, batch: PinBatch) {
         if batch.ballot.node != from || from == self.node {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A replica holds pins.
+    /// Handles a replica's acknowledgement.
     pub(super) fn handle_replica_position(
         &mut self,
         now: Timestamp,
@@ -114,7 +114,7 @@
         self.handle_commit(now, group);
     }
 
-    /// Drops what has waited for too long.
+    /// Drops the items whose deadline has passed.
     pub(super) fn drop_expired_items(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(leader) = self.groups.get_mut(&group).and_then(GroupState::leader) else {
             return;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Sends again what was not acknowledged.
+    /// Sends unacknowledged batches again.
     pub(super) fn resend_batches(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(state) = self.groups.get_mut(&group) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Counts the pins in groups that this node owns.
+    /// Updates the number of pins in the groups that this node owns.
     pub(super) fn update_owned_pins(&mut self) {
         let is_owned = |group: &&GroupState| matches!(group.role, Role::Leading(_));
         let owned = self.groups.values().filter(is_owned);
--- a/crates/bellyoke-core/src/node/ownership/retirement.rs
+++ b/crates/bellyoke-core/src/node/ownership/retirement.rs
@@ -1,4 +1,4 @@
-//! How replicas of earlier generations hand their copies on, and drop them.
+//! Retirement of the copies of earlier replica sets, once newer replicas store the pins.
 
 use super::Ownership;
 use super::group::Role;
@@ -7,8 +7,8 @@
 use crate::time::Timestamp;
 
 impl Ownership {
-    /// Tells the present replicas again of an earlier copy. A group that isn't in use needs
-    /// none before all members know the present replicas.
+    /// Repeats the announcement of an earlier copy. A group without contested buckets needs none
+    /// until all members know the current replicas.
     pub(super) fn retry_announcement(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Tells the present replicas that this node holds pins of an earlier replica set.
+    /// Announces to the current replicas that this node stores pins of an earlier replica set.
     pub(super) fn send_announcement(&mut self, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A replica of an earlier generation holds pins.
+    /// Handles the announcement of a replica of an earlier generation.
     pub(super) fn handle_announcement(
         &mut self,
         now: Timestamp,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A newer replica set holds the pins: this node's copy isn't needed any more.
+    /// Removes this node's copy after a newer replica set has stored the pins.
     pub(super) fn handle_installed(&mut self, announcement: &ReplicaAnnouncement) {
         let newer = &announcement.configuration;
         let group = announcement.group;
--- a/crates/bellyoke-core/src/node/ownership/settings.rs
+++ b/crates/bellyoke-core/src/node/ownership/settings.rs
@@ -1,41 +1,42 @@
-//! Limits and times of ownership.
+//! Limits and timeouts of ownership.
 
 use std::time::Duration;
 
-/// Limits and times of ownership. All are per node.
+/// Limits and timeouts of ownership, per node.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnershipSettings {
-    /// How long pins, answers and confirmations to one peer are gathered before they are sent.
+    /// How long pins, answers and confirmations to one peer are collected before they are sent.
     pub batch_delay: Duration,
-    /// After how long an unanswered message is sent again for the first time. Longer than an
-    /// answer takes that waits for the control budget, as it does at a change.
+    /// Delay before an unanswered message is first sent again. It must exceed the time that an
+    /// answer needs while it waits for the control budget, as it does during a change of
+    /// generation.
     pub retry_interval: Duration,
-    /// How long a packet may wait: for an owner to be known, or for a majority of replicas.
-    /// Shorter than the delay horizon, so that no copy of it outlives the barrier's wait.
+    /// How long a packet may wait for a known owner or for a majority of replicas. It must be
+    /// shorter than `delay_horizon`: otherwise a queued copy could outlive the barrier's wait.
     pub packet_timeout: Duration,
-    /// Longest time that a copy of a packet is taken to stay in the network.
+    /// Longest time that a copy of a packet can stay in the network.
     pub delay_horizon: Duration,
-    /// How long the pin of an ended flow is kept, for late copies of its packets (RFC 9293,
+    /// How long the pin of an ended flow is kept for late copies of its packets (RFC 9293,
     /// TIME-WAIT).
     pub ended_pin_retention: Duration,
-    /// How long a new owner waits for a majority of earlier replicas before it takes their
-    /// pins for lost. Longer than lease time and delay horizon together.
+    /// How long a new owner waits for a majority of earlier replicas before it considers their
+    /// pins lost. It must exceed the sum of the lease time and `delay_horizon`.
     pub abandon_timeout: Duration,
-    /// The same for a group in which no pin can have been lost.
+    /// Like `abandon_timeout`, for a group in which no pin can have been lost.
     pub abandon_empty_timeout: Duration,
-    /// Most pins in the groups that this node owns; with more it opens no flow.
+    /// Maximum number of pins in the groups that this node owns. At the limit it opens no flow.
     pub max_pins: usize,
-    /// Most packets that wait, and most bytes in them.
+    /// Maximum number of queued packets.
     pub max_queued_packets: usize,
-    /// Most bytes in packets that wait.
+    /// Maximum total bytes of queued packets.
     pub max_queued_bytes: usize,
-    /// Most pins in one message.
+    /// Maximum number of pins in one message.
     pub max_batch_pins: usize,
-    /// Most batches of one group that are kept to be sent again.
+    /// Maximum number of batches per group that are retained for sending again.
     pub max_unacknowledged_batches: usize,
-    /// Seed of tie breaks between backends.
+    /// Seed for breaking ties between backends.
     pub seed: u64,
-    /// Switches one mechanism off, to show by a test that it is needed.
+    /// Disables one mechanism, for tests that show that it is needed.
     #[doc(hidden)]
     pub ablation: Ablation,
 }
@@ -61,21 +62,21 @@
     }
 }
 
-/// A mechanism that a test has switched off.
+/// A mechanism that a test has disabled.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Ablation {
-    /// All mechanisms work.
+    /// All mechanisms are enabled.
     #[default]
     None,
-    /// New flows are placed on the target before the barrier.
+    /// New flows are placed on the target before the barrier has passed.
     NoBarrierWait,
     /// Recently opened flows are not handed over.
     NoHandoverList,
-    /// Packets go out before their pin is on a majority of replicas.
+    /// Packets are forwarded before a majority of replicas stores their pin.
     NoPinReplication,
-    /// Replicas accept whatever ballot they are sent.
+    /// Replicas accept any ballot.
     NoBallotCheck,
-    /// The owner serves unpinned flows without asking whether it still is the owner.
+    /// The owner serves unpinned flows without confirming that it is still the owner.
     NoReadConfirmation,
 }
--- a/crates/bellyoke-core/src/node/ownership/settlement.rs
+++ b/crates/bellyoke-core/src/node/ownership/settlement.rs
@@ -1,9 +1,10 @@
-//! Contested buckets that can be clean again.
+//! Detection of contested buckets that can be marked clean.
 //!
-//! A flow that moves between nodes can be missed if they report at different times. So the
-//! owner first gathers a report of each member, then begins a round, and asks that each
-//! member's second report, made in that round, names the same beginning: then all members were
-//! settled at one time, for the idle time before it.
+//! If members report at different times, a flow that moves between nodes can be missed. Therefore
+//! the owner first collects a report from each member and then starts a round. In that round each
+//! member must report again, and both of its reports must name the same start of the settled
+//! period. Then there was a time at which all members were settled, each for the preceding idle
+//! timeout.
 
 use super::Ownership;
 use super::cluster::{Cluster, is_contested};
@@ -18,12 +19,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most settled buckets of a group that wait to be clean, so that they fit into a message.
+/// Maximum number of settled buckets of a group that wait to be marked clean. All of them must fit
+/// into one message.
 const MAX_MARKS_PER_GROUP: usize = 64;
-/// Most buckets in one report.
+/// Maximum number of buckets in one report.
 const MAX_ENTRIES_PER_REPORT: usize = 64;
 
-/// What this node reports, and what it gathers as an owner.
+/// The reports of this node, and those that it collects as an owner.
 #[derive(Debug, Default)]
 pub(super) struct Settlement {
     report_count: u32,
@@ -33,14 +35,14 @@
     reports_by_bucket: BTreeMap<SettledBucket, BucketReports>,
 }
 
-/// A round that began when each member had reported once.
+/// A round, started after each member had reported once.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     number: u32,
     started_at: Timestamp,
 }
 
-/// Reports about one bucket.
+/// The reports about one bucket.
 #[derive(Debug)]
 struct BucketReports {
     bucket: Bucket,
@@ -65,7 +67,7 @@
         if self
             .first_reports
             .get(&from)
-            .is_some_and(|known| *known != since_report)
+            .is_some_and(|previous| *previous != since_report)
         {
             *self = Self::new(self.bucket, self.recorded_under);
         }
@@ -80,7 +82,7 @@
 }
 
 impl Ownership {
-    /// Tells the owners which of their buckets are settled here.
+    /// Reports to the owners which of their buckets are settled on this node.
     pub(super) fn report_settled(&mut self, now: Timestamp, buckets: &[SettledBucket]) {
         let settlement = &mut self.settlement;
         settlement.report_count += 1;
@@ -134,19 +136,19 @@
         }
     }
 
-    /// An owner begins a round.
+    /// Records the round that an owner has started.
     pub(super) fn handle_settled_round(&mut self, from: NodeId, round: u32) {
         let is_member = self
             .cluster
             .as_ref()
-            .is_some_and(|known| known.is_known_member(from));
+            .is_some_and(|cluster| cluster.is_known_member(from));
         if is_member {
-            let known = self.settlement.rounds.entry(from).or_default();
-            *known = (*known).max(round);
+            let current_round = self.settlement.rounds.entry(from).or_default();
+            *current_round = (*current_round).max(round);
         }
     }
 
-    /// A member reports settled buckets of this owner.
+    /// Handles a member's report of settled buckets that this node owns.
     pub(super) fn handle_settled_report(
         &mut self,
         now: Timestamp,
@@ -156,7 +158,7 @@
         let is_member = self
             .cluster
             .as_ref()
-            .is_some_and(|known| known.members().contains(&from));
+            .is_some_and(|cluster| cluster.members().contains(&from));
         if !is_member {
             return;
         }
@@ -167,7 +169,8 @@
         self.send(from, OwnershipMessage::SettledRound(round));
     }
 
-    /// Takes in one entry. Until the barrier new flows still go to the base.
+    /// Records one entry. Until the barrier, new flows still go to the base, and entries are
+    /// ignored.
     fn record_settled_entry(
         &mut self,
         now: Timestamp,
@@ -207,7 +210,7 @@
         {
             return;
         }
-        let Some(second) = reports.second_round else {
+        let Some(second_round) = reports.second_round else {
             self.settlement.own_round += 1;
             reports.second_round = Some(Round {
                 number: self.settlement.own_round,
@@ -222,13 +225,14 @@
             return;
         }
         self.settlement.reports_by_bucket.remove(&entry.bucket);
-        self.settle_bucket(now, group, entry.bucket, second.started_at);
+        self.settle_bucket(now, group, entry.bucket, second_round.started_at);
     }
 
-    /// Drops the idle pins of a bucket that is settled on all members. If none is left that
-    /// keeps it contested, a majority is told that it is settled, and then the bucket can be clean.
-    /// All members were settled when the round `began`; a pin that was used since may be of a
-    /// flow that was opened since.
+    /// Removes the idle pins of a bucket that is settled on all members. If no other pin keeps it
+    /// contested, marks it as settled; it can be clean once a majority has stored the mark.
+    ///
+    /// All members were settled when the round started at `started_at`. A pin that was used since
+    /// then may belong to a flow that was opened since then.
     fn settle_bucket(
         &mut self,
         now: Timestamp,
@@ -300,20 +304,20 @@
         self.active_groups.insert(group);
     }
 
-    /// Drops reports about buckets that are not contested any more, and all reports when the
-    /// members have changed: those of a new member are later than the others' round.
+    /// Removes reports about buckets that are no longer contested. Removes all reports if the
+    /// members have changed, because those of a new member are later than the round of the others.
     pub(super) fn trim_settlement(&mut self) {
         let Some(cluster) = &self.cluster else {
             return;
         };
-        let is_known = |settled: &SettledBucket| {
+        let is_still_contested = |settled: &SettledBucket| {
             cluster
                 .bucket(lookup_place(*settled))
                 .is_some_and(|(service, bucket)| is_contested(service, bucket))
         };
         self.settlement
             .reports_by_bucket
-            .retain(|settled, _| is_known(settled));
+            .retain(|settled, _| is_still_contested(settled));
         if cluster.members_changed() {
             self.settlement.reports_by_bucket.clear();
         }
@@ -323,7 +327,7 @@
     }
 }
 
-/// A place in `settled`, for look-ups that don't need a flow.
+/// Returns a place in bucket `settled` for look-ups that need no flow.
 fn lookup_place(settled: SettledBucket) -> FlowPlace {
     FlowPlace {
         service: settled.service,
--- a/crates/bellyoke-core/src/node/ownership/takeover.rs
+++ b/crates/bellyoke-core/src/node/ownership/takeover.rs
@@ -1,4 +1,4 @@
-//! How a node becomes the owner of a group, and ceases to be.
+//! How a node becomes the owner of a group, and how it steps down.
 
 use super::Ownership;
 use super::ballot::{Ballot, Configuration, LogPosition};
@@ -16,13 +16,13 @@
 use crate::node::NodeEvent;
 use crate::time::Timestamp;
 
-/// Nothing was before this generation, so its replicas start with complete, empty copies.
+/// There are no pins from before this generation: its replicas start with complete, empty copies.
 const FIRST_GENERATION: GenerationNumber = GenerationNumber(1);
-/// Groups that aren't in use and are claimed at a time.
+/// Maximum number of concurrent claims to groups without contested buckets.
 const MAX_UNUSED_CLAIMS: usize = 16;
 
 impl Ownership {
-    /// Takes up a newer generation's replica set of `group`.
+    /// Applies the replica set of `group` in a newer generation.
     pub(super) fn apply_generation_to_group(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -31,8 +31,9 @@
             return;
         };
         let previous = cluster.previous_assignment.as_ref();
-        let previous = previous.and_then(|known| known.configuration(group));
-        let unchanged = previous.is_some_and(|known| known.replicas == configuration.replicas);
+        let previous = previous.and_then(|assignment| assignment.configuration(group));
+        let unchanged =
+            previous.is_some_and(|previous| previous.replicas == configuration.replicas);
         if !unchanged {
             self.set_replicas(group, configuration.clone());
         }
@@ -58,19 +59,18 @@
         }
     }
 
-    /// Claims `group` if it is in use, and this node is the one that should own it and
-    /// doesn't.
+    /// Claims `group` if it has contested buckets and this node should own it but doesn't.
     pub(super) fn claim_if_needed(&mut self, now: Timestamp, group: GroupIndex) {
-        let in_use = self
+        let is_contested = self
             .cluster
             .as_ref()
-            .is_some_and(|known| known.has_contested_bucket(group));
-        if in_use && self.should_claim(group) {
+            .is_some_and(|cluster| cluster.has_contested_bucket(group));
+        if is_contested && self.should_claim(group) {
             self.start_claim(now, group);
         }
     }
 
-    /// Whether this node is the one that should own `group` and has not claimed it.
+    /// Returns whether this node should own `group` and has not claimed it.
     fn should_claim(&self, group: GroupIndex) -> bool {
         if self.presumed_owner(group) != Some(self.node) {
             return false;
@@ -90,22 +90,24 @@
         self.cluster.as_ref()?.configuration(group)
     }
 
-    /// Claims a few of the groups that are not in use, and whose complete copies lie with
-    /// replicas of an earlier generation, once all members know the present replicas.
+    /// Claims unused groups, which have no contested buckets, if their complete copies are still
+    /// on replicas of an earlier generation. Does so for a few groups at a time, once all members
+    /// know the current replicas.
     ///
-    /// A group without contested buckets needs no owner: no flow of it is pinned. While its
-    /// replicas stay the same, no message is sent for it, and whoever claims it when a bucket
-    /// becomes contested finds their complete and empty copies, as in the first generation.
-    /// A claim links a replica set with the one before: it has promises of majorities of both.
-    /// If a set of an unused group began empty by itself, two nodes, of which one has skipped
-    /// generations, could begin two chains that don't know of each other. So a change of
-    /// replicas is followed by a claim in any case. It is not urgent and waits for the
-    /// barrier; when a bucket becomes contested earlier, [`Self::consider`] makes it, with
-    /// promises of the same sets.
+    /// An unused group needs no owner because none of its flows is pinned. While its replicas stay
+    /// the same, no message is sent for it. When a bucket becomes contested, the claimant finds
+    /// the complete, empty copies of these replicas, as in the first generation.
     ///
-    /// A group that was in use, became clean and is contested again keeps its owner and its
-    /// log, or is claimed in the same chain: nothing is taken for empty that was not read from
-    /// a majority.
+    /// A claim has promises from majorities of two replica sets and so links the new set to the
+    /// previous one. If the replica set of an unused group started empty without a claim, two
+    /// nodes, one of which has skipped generations, could start two independent chains. Therefore
+    /// every change of replicas is followed by a claim. It is not urgent and waits for the
+    /// barrier. If a bucket becomes contested earlier, [`Self::claim_if_needed`] makes the claim,
+    /// with promises of the same sets.
+    ///
+    /// If buckets of a group become clean and later contested again, the group keeps its owner and
+    /// log, or is claimed in the same chain: a group is never assumed to be empty unless a
+    /// majority was read.
     pub(super) fn claim_unused(&mut self, now: Timestamp, groups: &[GroupIndex]) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// A replica of an earlier generation waits for an owner to whom it can hand its copy.
+    /// Claims a group for which a replica of an earlier generation has announced its copy.
     pub(super) fn claim_announced_group(&mut self, now: Timestamp, group: GroupIndex) {
         if self.should_claim(group) && self.remaining_claims() > 0 {
             self.start_claim(now, group);
@@ -137,7 +139,7 @@
         MAX_UNUSED_CLAIMS.saturating_sub(claiming.count())
     }
 
-    /// Whether complete copies of `group` lie with other replicas than the present.
+    /// Returns whether the complete copies of `group` are on other replicas than the current ones.
     fn lacks_current_copy(&self, group: GroupIndex) -> bool {
         let installed = self
             .groups
@@ -148,7 +150,7 @@
             != present.map(|present| &present.replicas)
     }
 
-    /// Asks for promises under a ballot above all that were heard of.
+    /// Requests promises under a ballot above all known ones.
     pub(super) fn start_claim(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -158,7 +160,7 @@
         };
         let previous = cluster.previous_assignment.as_ref();
         let previous = previous
-            .and_then(|known| known.configuration(group))
+            .and_then(|assignment| assignment.configuration(group))
             .cloned();
         let state = self.groups.entry(group).or_default();
         let highest = state
@@ -184,7 +186,7 @@
         self.send_claim_requests(group);
     }
 
-    /// Asks all replicas that have not promised, or for the next pins.
+    /// Sends requests to all replicas that have not promised, or requests the next pins.
     pub(super) fn send_claim_requests(&mut self, group: GroupIndex) {
         let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
@@ -203,7 +205,7 @@
         }
     }
 
-    /// A claimant asks for a promise.
+    /// Handles a claimant's request for a promise.
     pub(super) fn handle_prepare(&mut self, from: NodeId, request: PrepareRequest) {
         if request.ballot.node != from {
             return;
@@ -227,7 +229,7 @@
         }
     }
 
-    /// A replica promised.
+    /// Handles a replica's promise.
     pub(super) fn handle_promise(&mut self, now: Timestamp, from: NodeId, promise: ReplicaPromise) {
         let group = promise.group;
         let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
@@ -259,7 +261,7 @@
         self.send_claim_requests(group);
     }
 
-    /// A claimant copies pins.
+    /// Handles a claimant's request for pins.
     pub(super) fn handle_fetch(&mut self, from: NodeId, request: FetchRequest) {
         let Some(state) = self.groups.get(&request.group) else {
             return;
@@ -271,7 +273,7 @@
             self.outbox.superseded(from, OwnerHint { group, ballot });
             return;
         }
-        let (runs, more) = state
+        let (runs, has_more) = state
             .acceptor
             .pins()
             .page(request.cursor, self.settings.max_batch_pins);
@@ -279,12 +281,12 @@
             request,
             runs,
             marks: state.acceptor.pins().marks(),
-            has_more: more,
+            has_more,
         };
         self.send(from, OwnershipMessage::Fetched(Box::new(page)));
     }
 
-    /// A page of pins has come.
+    /// Handles a page of pins.
     pub(super) fn handle_fetched_pins(&mut self, now: Timestamp, page: &FetchedPins) {
         let group = page.request.group;
         let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
@@ -302,7 +304,8 @@
         }
     }
 
-    /// Gives the earlier pins up, when a majority of their replicas has not answered for long.
+    /// Considers the earlier pins lost if a majority of their replicas has not answered within the
+    /// timeout.
     pub(super) fn abandon_overdue_claim(&mut self, now: Timestamp, group: GroupIndex) {
         let started_at = self
             .groups
@@ -320,7 +323,7 @@
         let number = self
             .cluster
             .as_ref()
-            .map_or(GenerationNumber(0), |known| known.number());
+            .map_or(GenerationNumber(0), |cluster| cluster.number());
         let Some(claim) = self.groups.get_mut(&group).and_then(GroupState::claim) else {
             return;
         };
@@ -380,7 +383,7 @@
         self.handle_commit(now, group);
     }
 
-    /// Gives up a claim below `ballot`.
+    /// Steps down if this node's ballot is below `ballot`.
     pub(super) fn yield_to_ballot(&mut self, group: GroupIndex, ballot: Ballot) {
         let own = self.groups.get(&group).and_then(GroupState::own_ballot);
         if own.is_some_and(|own| own < ballot) {
@@ -389,14 +392,14 @@
         }
     }
 
-    /// Some replica has promised a higher ballot.
+    /// Handles the report that a replica has promised a higher ballot.
     pub(super) fn handle_superseded(&mut self, now: Timestamp, hint: OwnerHint) {
         self.handle_owner_hint(hint);
         self.yield_to_ballot(hint.group, hint.ballot);
         self.claim_if_needed(now, hint.group);
     }
 
-    /// Another node says who owns a group.
+    /// Records the ballot that another node reports for a group.
     pub(super) fn handle_owner_hint(&mut self, hint: OwnerHint) {
         let Some(cluster) = &self.cluster else {
             return;
@@ -408,7 +411,7 @@
         state.record_ballot(hint.ballot);
     }
 
-    /// Becomes a follower; what waited for a majority is dropped.
+    /// Becomes a follower and drops all pending items.
     pub(super) fn step_down(&mut self, group: GroupIndex) {
         let Some(state) = self.groups.get_mut(&group) else {
             return;
@@ -426,7 +429,7 @@
         self.update_owned_pins();
     }
 
-    /// Says that this node has become the owner by ballot, if not by rank.
+    /// Reports an event if this node owns the group by a later ballot and not by its rank.
     pub(super) fn report_takeover(&mut self, group: GroupIndex, ballot: Ballot) {
         if ballot.attempt > 0 {
             let event = NodeEvent::OwnershipTaken(group);
@@ -435,7 +438,8 @@
     }
 }
 
-/// The lowest ballot of `node` above `highest`; none if a newer generation is at work.
+/// Returns the lowest ballot of `node` above `highest`, or `None` if a newer generation has
+/// ballots.
 fn next_ballot(highest: Ballot, generation: GenerationNumber, node: NodeId) -> Option<Ballot> {
     if highest.generation > generation {
         return None;
--- a/crates/bellyoke-core/tests/ownership_parts.rs
+++ b/crates/bellyoke-core/tests/ownership_parts.rs
@@ -1,4 +1,4 @@
-//! Parts of ownership, one by one: assignment, placement, bounds and the size of messages.
+//! Separate tests of the parts of ownership: assignment, placement, limits and message sizes.
 
 mod ownership_support;
 
@@ -47,7 +47,7 @@
     rkyv::to_bytes::<rkyv::rancor::Error>(message).expect("encodes")
 }
 
-/// Nodes whose messages arrive at once, except those of nodes that are down.
+/// A network that delivers messages immediately, except to nodes that are down.
 struct DirectNetwork {
     now: u64,
     nodes: BTreeMap<NodeId, Ownership>,
@@ -160,7 +160,8 @@
     Arc::new(generations::first(1..=members))
 }
 
-/// Three nodes under a generation whose first service's first bucket moved from 0 to 1.
+/// Creates three nodes with a generation in which the first bucket of the first service has moved
+/// from backend 0 to 1.
 fn contested_network() -> (DirectNetwork, Arc<Generation>) {
     let generation = first(3);
     let mut network = DirectNetwork::new(3, settings(Ablation::None));
@@ -173,25 +174,25 @@
 }
 
 #[test]
-fn replicas_stand_in_other_zones_and_few_move() {
+fn replicas_are_in_different_zones_and_a_new_member_moves_no_other_owner() {
     let before = generations::first(1..=9);
     let mut after = before.clone();
     after.members.push(generations::member(10));
     let (before, after) = (Assignment::new(&before), Assignment::new(&after));
-    let mut moved = 0;
+    let mut moved_owners = 0;
     for group in before.groups() {
         let replicas = &before.configuration(group).expect("a group").replicas;
         let mut zones: Vec<u64> = replicas.iter().map(|node| node.0 % 3).collect();
         zones.sort_unstable();
         assert_eq!(zones, [0, 1, 2]);
         let now = &after.configuration(group).expect("a group").replicas;
-        moved += usize::from(replicas[0] != now[0] && now[0] != NodeId(10));
+        moved_owners += usize::from(replicas[0] != now[0] && now[0] != NodeId(10));
     }
-    assert_eq!(moved, 0, "an owner changed without need");
+    assert_eq!(moved_owners, 0, "an owner changed unnecessarily");
 }
 
 #[test]
-fn a_service_placed_by_load_has_one_group() {
+fn a_least_loaded_service_has_one_group() {
     let generation = generations::first(1..=3);
     let assignment = Assignment::new(&generation);
     let group = |service, bucket| assignment.group(service, BucketIndex(bucket));
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_node_without_opened_flows_acknowledges_at_once() {
+fn a_node_without_opened_flows_acknowledges_immediately() {
     let (network, _) = contested_network();
     let acknowledged = |(_, effect): &&(NodeId, OwnershipEffect)| {
         *effect == OwnershipEffect::Acknowledge(GenerationNumber(2))
@@ -211,7 +212,7 @@
     assert_eq!(network.effects.iter().filter(acknowledged).count(), 3);
 }
 
-/// The first generation without the service that is always contested.
+/// Returns a first generation without the service that is always contested.
 fn clean_generation(members: u64) -> Generation {
     let mut generation = generations::first(1..=members);
     generation.services.truncate(2);
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn groups_without_contested_buckets_cost_no_messages() {
+fn groups_without_contested_buckets_send_no_messages() {
     let generation = Arc::new(clean_generation(3));
     let mut network = DirectNetwork::new(3, settings(Ablation::None));
     network.adopt(&generation);
@@ -232,7 +233,7 @@
     network.adopt(&next);
     network.barrier(2);
     let installed = network.nodes.values().map(|node| node.counters().installed);
-    assert_eq!(installed.sum::<u64>(), 1, "one group is in use");
+    assert_eq!(installed.sum::<u64>(), 1, "one group has contested buckets");
     network.run(1000);
     network.sent.clear();
     network.run(5000);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn a_list_that_comes_before_the_owner_serves_need_not_be_sent_again() {
+fn an_early_handover_list_is_confirmed_without_a_retry() {
     let generation = Arc::new(clean_generation(3));
     let settings = OwnershipSettings::default();
     let mut network = DirectNetwork::new(3, settings);
@@ -249,7 +250,7 @@
     let mut next = generations::next(&generation);
     generations::retarget(&mut next, FIRST_HASHED, 0, Some(BackendId(1)));
     let next = Arc::new(next);
-    // One node switches before the owner has learned the generation, the others after.
+    // The first node switches before the owner has the generation, the others afterwards.
     for node in [1, 2, 3].map(NodeId) {
         let opened = OpenedFlow {
             place: place(FIRST_HASHED, u128::from(node.0), 4),
@@ -262,8 +263,8 @@
         network.at(node, |owner, now| owner.apply_generation(now, &next));
         network.at(node, |owner, now| owner.handle_adoption(now, report));
     }
-    let before_a_retry = settings.retry_interval.as_millis() as u64 / 4;
-    network.run(before_a_retry);
+    let before_retry_ms = settings.retry_interval.as_millis() as u64 / 4;
+    network.run(before_retry_ms);
     let acknowledged = |(_, effect): &&(NodeId, OwnershipEffect)| {
         *effect == OwnershipEffect::Acknowledge(GenerationNumber(2))
     };
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn claims_of_many_groups_fill_few_messages_that_fit_a_datagram() {
+fn claims_to_many_groups_are_packed_into_few_datagrams() {
     let mut generation = clean_generation(3);
     generation.parameters.groups = 64;
     generation.services = vec![generations::service(FIRST_HASHED, Placement::Hashed, 1024)];
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn unused_groups_follow_their_replicas_after_the_barrier() {
+fn unused_groups_move_to_their_new_replicas_after_the_barrier() {
     let generation = Arc::new(clean_generation(4));
     let mut network = DirectNetwork::new(4, settings(Ablation::None));
     network.adopt(&generation);
@@ -340,7 +341,7 @@
 }
 
 #[test]
-fn a_list_is_acknowledged_only_with_a_majority() {
+fn a_handover_is_acknowledged_only_after_a_majority_stores_it() {
     let (mut network, generation) = contested_network();
     let place = place(FIRST_HASHED, 7, 4);
     let owner = network.owner_of(place, &generation);
@@ -371,7 +372,7 @@
 }
 
 #[test]
-fn base_before_the_barrier_and_target_after_it() {
+fn flows_open_on_the_base_before_the_barrier_and_on_the_target_after_it() {
     let (mut network, generation) = contested_network();
     let owner = network.owner_of(place(FIRST_HASHED, 1, 4), &generation);
     network.at(owner, |owner, now| {
@@ -391,7 +392,7 @@
 }
 
 #[test]
-fn no_packet_goes_out_before_a_majority_has_its_pin() {
+fn no_packet_is_forwarded_before_a_majority_stores_its_pin() {
     let (mut network, generation) = contested_network();
     network.barrier(2);
     let place = place(FIRST_HASHED, 1, 4);
@@ -418,7 +419,7 @@
 }
 
 #[test]
-fn a_take_over_keeps_pins() {
+fn a_takeover_keeps_pins() {
     let (mut network, generation) = contested_network();
     network.barrier(2);
     let place = place(FIRST_HASHED, 1, 4);
@@ -449,7 +450,7 @@
 }
 
 #[test]
-fn a_relay_from_a_stranger_is_dropped() {
+fn a_packet_relayed_by_a_nonmember_is_dropped() {
     let (mut network, generation) = contested_network();
     let place = place(FIRST_HASHED, 1, 4);
     let owner = network.owner_of(place, &generation);
@@ -468,7 +469,7 @@
 }
 
 #[test]
-fn waiting_packets_are_bounded_and_opening_ones_do_not_wait() {
+fn queued_packets_are_bounded_and_opening_packets_are_not_queued() {
     let settings = OwnershipSettings {
         max_queued_packets: 2,
         ..settings(Ablation::None)
@@ -489,7 +490,7 @@
 }
 
 #[test]
-fn a_packet_that_waited_through_a_pause_is_dropped() {
+fn a_packet_after_a_pause_is_dropped() {
     let (mut network, generation) = contested_network();
     let place = place(FIRST_HASHED, 1, 4);
     let owner = network.owner_of(place, &generation);
@@ -525,7 +526,7 @@
 }
 
 #[test]
-fn load_is_spread_and_ended_flows_do_not_count() {
+fn new_flows_are_spread_and_ended_flows_are_not_counted() {
     let mut network = DirectNetwork::new(1, settings(Ablation::None));
     network.adopt(&first(1));
     let node = NodeId(1);
@@ -554,7 +555,7 @@
 }
 
 #[test]
-fn without_a_backend_a_flow_is_refused_and_stays_refused() {
+fn a_flow_refused_without_a_backend_stays_refused() {
     let (mut network, generation) = contested_network();
     let mut next = generations::next(&generation);
     generations::retarget(&mut next, FIRST_HASHED, 0, None);
@@ -566,9 +567,9 @@
         owner.handle_escalation(now, opening(place))
     });
     network.run(10);
-    let mut again = generations::next(&next);
-    generations::retarget(&mut again, FIRST_HASHED, 0, Some(BackendId(2)));
-    network.adopt(&Arc::new(again));
+    let mut with_target = generations::next(&next);
+    generations::retarget(&mut with_target, FIRST_HASHED, 0, Some(BackendId(2)));
+    network.adopt(&Arc::new(with_target));
     network.barrier(4);
     network.at(owner, |owner, now| {
         owner.handle_escalation(now, opening(place))
@@ -588,7 +589,7 @@
 }
 
 #[test]
-fn a_replica_that_fell_behind_gets_a_new_copy() {
+fn a_lagging_replica_receives_a_new_copy() {
     let settings = OwnershipSettings {
         max_unacknowledged_batches: 4,
         ..settings(Ablation::None)
@@ -602,7 +603,7 @@
         .nodes
         .keys()
         .find(|node| **node != owner)
-        .expect("another");
+        .expect("another node");
     network.down_nodes = vec![slow];
     for hash in 0..20 {
         network.at(owner, |owner, now| {
@@ -614,18 +615,18 @@
     network.down_nodes.clear();
     network.sent.clear();
     network.run(12_000);
-    let completes = |(to, message): &&(NodeId, OwnershipMessage)| match message {
+    let is_complete_copy = |(to, message): &&(NodeId, OwnershipMessage)| match message {
         OwnershipMessage::Replicate(batches) => {
             *to == slow && batches.iter().any(|batch| batch.installation.is_some())
         }
         _ => false,
     };
-    assert!(network.sent.iter().filter(completes).count() > 0);
+    assert!(network.sent.iter().filter(is_complete_copy).count() > 0);
     assert_eq!(network.nodes[&owner].owned_pins(), 20);
 }
 
 #[test]
-fn least_loaded_counts_by_weight_and_breaks_ties_by_report() {
+fn least_loaded_weighs_open_flows_and_breaks_ties_by_reported_load() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut select = |candidates: &[Candidate]| {
         let random = &mut random;
@@ -639,24 +640,27 @@
     };
     let weighted = [candidate(0, 1, 1, 0), candidate(1, 4, 3, 0)];
     assert_eq!(select(&weighted), Some(BackendId(1)));
-    let lies = [candidate(0, 1, 5, 0), candidate(1, 1, 4, 9)];
-    assert_eq!(select(&lies), Some(BackendId(1)));
-    let ties = [candidate(0, 1, 2, 9), candidate(1, 1, 2, 1)];
-    let chosen: Vec<_> = (0..100).filter_map(|_| select(&ties)).collect();
-    let lighter = chosen.iter().filter(|backend| backend.0 == 1).count();
-    assert!(lighter > 60, "{lighter} of 100 went to the lighter one");
+    let false_report = [candidate(0, 1, 5, 0), candidate(1, 1, 4, 9)];
+    assert_eq!(select(&false_report), Some(BackendId(1)));
+    let tied = [candidate(0, 1, 2, 9), candidate(1, 1, 2, 1)];
+    let chosen: Vec<_> = (0..100).filter_map(|_| select(&tied)).collect();
+    let less_loaded = chosen.iter().filter(|backend| backend.0 == 1).count();
+    assert!(
+        less_loaded > 60,
+        "only {less_loaded} of 100 flows went to the less loaded backend"
+    );
     assert_eq!(select(&[]), None);
     let target = Some(BackendId(0));
-    assert_eq!(Hashed { target }.select(&ties), target);
-    assert_eq!(Hashed { target }.select(&ties[1..]), None);
+    assert_eq!(Hashed { target }.select(&tied), target);
+    assert_eq!(Hashed { target }.select(&tied[1..]), None);
 }
 
 #[test]
-fn a_pin_costs_few_bytes_and_messages_survive_the_wire() {
-    let production = OwnershipSettings::default();
+fn pins_need_few_bytes_and_messages_round_trip() {
+    let default_settings = OwnershipSettings::default();
     for count in [1, 8, FULL_BATCH_PINS] {
         let generation = first(3);
-        let mut network = DirectNetwork::new(3, production);
+        let mut network = DirectNetwork::new(3, default_settings);
         network.adopt(&generation);
         network.sent.clear();
         let owner = network.owner_of(place(LEAST_LOADED, 0, 2), &generation);
@@ -681,7 +685,7 @@
         }
         assert_eq!(pins as u32, 2 * count, "one copy to each other replica");
         println!(
-            "{count} pins in a batch: {} bytes a pin and replica",
+            "{count} pins per batch: {} bytes per pin and replica",
             bytes / pins
         );
         assert!(count < FULL_BATCH_PINS || bytes / pins <= 24);
--- a/crates/bellyoke-core/tests/ownership_schedules.rs
+++ b/crates/bellyoke-core/tests/ownership_schedules.rs
@@ -1,7 +1,9 @@
-//! Ownership under thousands of schedules, each a seed: delay, reorder, loss, duplication,
-//! crashes, pauses, cuts and changes. After each step no flow may have reached a second backend
-//! or one of another service, or have been refused and delivered; nor may a flow that began
-//! after the barrier have been opened on the base.
+//! Ownership under thousands of random schedules, one per seed, with delay, reordering, loss,
+//! duplication, crashes, pauses, partitions and changes.
+//!
+//! After each step these invariants are checked: no flow has reached a second backend or a backend
+//! of another service, no flow was both refused and delivered, and no flow that started after the
+//! barrier was opened on the base.
 
 mod ownership_support;
 
@@ -11,7 +13,7 @@
 const SCHEDULES: u64 = 1500;
 const ABLATION_SCHEDULES: u64 = 4000;
 
-/// Panics with seed and trace if an invariant falls.
+/// Panics with the seed and the trace if an invariant is violated.
 fn check(seed: u64, faults: Faults) -> Outcome {
     let outcome = run(seed, faults, Ablation::None, false);
     if let Some(violation) = &outcome.violation {
@@ -22,7 +24,7 @@
     outcome
 }
 
-/// The first seed whose schedule breaks an invariant with a mechanism off.
+/// Returns the first seed whose schedule violates an invariant with a mechanism disabled.
 fn first_violation(ablation: Ablation) -> Option<(u64, String)> {
     (0..ABLATION_SCHEDULES).find_map(|seed| {
         let outcome = run(seed, Faults::All, ablation, false);
@@ -33,7 +35,10 @@
 fn assert_needed(ablation: Ablation) {
     let found = first_violation(ablation);
     println!("{ablation:?}: {found:?}");
-    assert!(found.is_some(), "no schedule falls with {ablation:?}");
+    assert!(
+        found.is_some(),
+        "no schedule violates an invariant with {ablation:?}"
+    );
 }
 
 #[test]
@@ -93,7 +98,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_schedule_each_time() {
+fn a_seed_determines_the_schedule() {
     let first = run(7, Faults::All, Ablation::None, true);
     let second = run(7, Faults::All, Ablation::None, true);
     assert_eq!(first.trace, second.trace);
--- a/crates/bellyoke-core/tests/ownership_support/clients.rs
+++ b/crates/bellyoke-core/tests/ownership_support/clients.rs
@@ -1,4 +1,5 @@
-//! Callers: they open flows, send again what was not answered, and send data while they live.
+//! Callers: they open flows, retransmit unanswered opening packets, and send data until the flow
+//! ends.
 
 use bellyoke_core::flow::EscalationKind;
 use bellyoke_core::identity::ServiceId;
@@ -12,10 +13,10 @@
     pub started_at: u64,
     pub ends_at: u64,
     pub established: bool,
-    pub over: bool,
+    pub ended: bool,
 }
 
-/// A packet of a caller, as the ownership code carries it.
+/// A caller's packet, encoded as the payload of an escalated packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientPacket {
     pub flow: u32,
--- a/crates/bellyoke-core/tests/ownership_support/control.rs
+++ b/crates/bellyoke-core/tests/ownership_support/control.rs
@@ -1,4 +1,4 @@
-//! The store, membership and the barrier, as far as owners depend on them.
+//! Models of the store, membership and the barrier, as far as ownership depends on them.
 
 use super::node::{DELAY_HORIZON, LEASE_DURATION};
 use bellyoke_core::generation::Generation;
@@ -11,7 +11,7 @@
 pub struct Control {
     pub generations: Vec<Arc<Generation>>,
     acknowledged: BTreeMap<NodeId, GenerationNumber>,
-    /// Members removed by failure, and the generation that removed them.
+    /// Members removed after a failure, and the generation that removed them.
     failed: BTreeMap<NodeId, GenerationNumber>,
     majority_at: BTreeMap<GenerationNumber, u64>,
     pub barrier: GenerationNumber,
@@ -45,16 +45,20 @@
         *known = (*known).max(number);
         for generation in &self.generations {
             let members = &generation.members;
-            let has = |node: &NodeId| self.acknowledged.get(node) >= Some(&generation.number);
-            let count = members.iter().filter(|member| has(&member.node)).count();
+            let has_acknowledged =
+                |node: &NodeId| self.acknowledged.get(node) >= Some(&generation.number);
+            let count = members
+                .iter()
+                .filter(|member| has_acknowledged(&member.node))
+                .count();
             if count > members.len() / 2 {
                 self.majority_at.entry(generation.number).or_insert(now);
             }
         }
     }
 
-    /// The barriers pass in order: a node that left by plan in n+1 must have acknowledged that
-    /// before the barrier of n+2 passes.
+    /// Passes the next barrier if possible. Barriers pass in order: a node that left as planned in
+    /// generation n+1 must have acknowledged it before the barrier of n+2 passes.
     pub fn advance_barrier(&mut self, now: u64) -> Option<GenerationNumber> {
         let next = GenerationNumber(self.barrier.0 + 1);
         let generation = self.generations.get(next.0 as usize - 1)?;
@@ -65,21 +69,24 @@
             .chain(&previous.members)
             .map(|member| member.node)
             .collect();
-        if !members.iter().all(|node| self.is_waived(now, *node, next)) {
+        if !members
+            .iter()
+            .all(|node| self.allows_barrier(now, *node, next))
+        {
             return None;
         }
         self.barrier = next;
         Some(next)
     }
 
-    fn is_waived(&self, now: u64, node: NodeId, number: GenerationNumber) -> bool {
+    fn allows_barrier(&self, now: u64, node: NodeId, number: GenerationNumber) -> bool {
         if self.acknowledged.get(&node) >= Some(&number) {
             return true;
         }
         let majority_at = self
             .failed
             .get(&node)
-            .and_then(|by| self.majority_at.get(by));
+            .and_then(|removed_by| self.majority_at.get(removed_by));
         let wait = (LEASE_DURATION + DELAY_HORIZON).as_micros() as u64;
         majority_at.is_some_and(|majority| now >= majority + wait)
     }
--- a/crates/bellyoke-core/tests/ownership_support/generations.rs
+++ b/crates/bellyoke-core/tests/ownership_support/generations.rs
@@ -1,4 +1,4 @@
-//! Generations that follow from each other by random changes.
+//! Sequences of generations with random changes.
 
 use bellyoke_core::generation::{
     Backend, BackendState, Bucket, ClusterParameters, Generation, Member, ObjectUid, Placement,
@@ -9,16 +9,16 @@
 use std::net::SocketAddr;
 
 pub const GROUP_COUNT: u16 = 4;
-/// Longer than callers are silent, also when some of their packets go to nodes that lose them.
+/// Longer than the pauses of callers, even if nodes that drop packets receive some of them.
 pub const IDLE_TIMEOUT_SECONDS: u32 = 3;
-/// Hashed, with changing targets.
+/// A hashed service whose targets change.
 pub const FIRST_HASHED: ServiceId = ServiceId(0);
-/// Hashed, and at times without a target.
+/// A hashed service whose buckets can be without a target.
 pub const SECOND_HASHED: ServiceId = ServiceId(1);
-/// Placed by load.
+/// A service with least-loaded placement.
 pub const LEAST_LOADED: ServiceId = ServiceId(2);
 
-/// Service of each backend.
+/// The service of each backend.
 const BACKENDS: [ServiceId; 8] = [
     FIRST_HASHED,
     FIRST_HASHED,
@@ -91,7 +91,7 @@
     }
 }
 
-/// The first generation: all buckets of hashed services are clean.
+/// Returns the first generation. All buckets of hashed services are clean.
 pub fn first(members: impl IntoIterator<Item = u64>) -> Generation {
     let backends = BACKENDS.iter().enumerate();
     Generation {
@@ -115,14 +115,15 @@
     }
 }
 
-/// The next generation with the same content.
+/// Returns the next generation with the same content.
 pub fn next(generation: &Generation) -> Generation {
     let mut next = generation.clone();
     next.number = GenerationNumber(generation.number.0 + 1);
     next
 }
 
-/// Moves a bucket as `generation::compile` does: the old target of a clean bucket becomes its base.
+/// Moves a bucket as `generation::compile` does: the previous target of a clean bucket becomes its
+/// base.
 pub fn retarget(
     generation: &mut Generation,
     service: ServiceId,
--- a/crates/bellyoke-core/tests/ownership_support/ledger.rs
+++ b/crates/bellyoke-core/tests/ownership_support/ledger.rs
@@ -1,10 +1,10 @@
-//! What reached backends and callers, and what must never have.
+//! Records what reached backends and callers, and detects violated invariants.
 
 use super::generations::service_of;
 use bellyoke_core::identity::{BackendId, ServiceId};
 use std::collections::BTreeMap;
 
-/// What became of one flow.
+/// The outcome of one flow.
 #[derive(Clone, Debug, Default)]
 pub struct FlowRecord {
     pub backend: Option<BackendId>,
@@ -12,7 +12,7 @@
     pub reset: bool,
 }
 
-/// What became of all flows.
+/// The outcomes of all flows.
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub flows: BTreeMap<u32, FlowRecord>,
--- a/crates/bellyoke-core/tests/ownership_support/mod.rs
+++ b/crates/bellyoke-core/tests/ownership_support/mod.rs
@@ -1,4 +1,4 @@
-//! A deterministic network of owners, and the record of where each flow's packets went.
+//! A deterministic network of nodes, and a record of where the packets of each flow went.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
--- a/crates/bellyoke-core/tests/ownership_support/node.rs
+++ b/crates/bellyoke-core/tests/ownership_support/node.rs
@@ -1,4 +1,4 @@
-//! A node: the ownership state machine, and a stand-in for its traffic threads.
+//! A simulated node: the ownership state machine and a model of its traffic threads.
 
 use super::generations::IDLE_TIMEOUT_SECONDS;
 use bellyoke_core::flow::{EscalationKind, FlowPlace, OpenedFlow, SettledBucket};
@@ -38,7 +38,7 @@
     pub flows: BTreeMap<u32, TableEntry>,
     pub crashed: bool,
     pub paused_until: Option<u64>,
-    pub cut_until: Option<u64>,
+    pub partitioned_until: Option<u64>,
     pub contact_lost_at: Option<u64>,
     pub must_catch_up: bool,
     pub learned: GenerationNumber,
@@ -68,7 +68,7 @@
             flows: BTreeMap::new(),
             crashed: false,
             paused_until: None,
-            cut_until: None,
+            partitioned_until: None,
             contact_lost_at: None,
             must_catch_up: false,
             learned: GenerationNumber(0),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Without contact for the lease time, back from that and not caught up, or no member.
+    /// Returns whether the node must not decide new flows: it was without contact for the lease
+    /// time, has not caught up since then, or is not a member.
     pub fn is_fenced(&self, now: u64) -> bool {
         let lease = LEASE_DURATION.as_micros() as u64;
         let expired = self.contact_lost_at.is_some_and(|lost| now - lost > lease);
@@ -89,8 +90,8 @@
         expired || self.must_catch_up || !self.forwarding.as_ref().is_some_and(is_member)
     }
 
-    /// Decides a packet. A fenced node opens nothing, and passes on only flows that it knows:
-    /// it can't tell which buckets have become contested.
+    /// Decides a packet. A fenced node opens no flow and forwards only known flows, because it may
+    /// have missed that a bucket has become contested.
     pub fn traffic(
         &mut self,
         now: u64,
@@ -134,7 +135,7 @@
         TrafficDecision::Forward(target)
     }
 
-    /// Switches to `generation`; returns the flows to hand over.
+    /// Switches to `generation` and returns the flows to hand over.
     pub fn switch(&mut self, now: u64, generation: &Arc<Generation>) -> Vec<OpenedFlow> {
         let before = self.forwarding.replace(Arc::clone(generation));
         let before = before.map_or(GenerationNumber(0), |known| known.number);
@@ -157,7 +158,7 @@
         entries.map(opened).collect()
     }
 
-    /// Contested buckets without a live flow off target.
+    /// Returns the contested buckets without an active off-target flow.
     pub fn settled(&self, now: u64) -> Vec<SettledBucket> {
         let Some(generation) = &self.forwarding else {
             return Vec::new();
--- a/crates/bellyoke-core/tests/ownership_support/simulation.rs
+++ b/crates/bellyoke-core/tests/ownership_support/simulation.rs
@@ -1,4 +1,4 @@
-//! The network in virtual time: one seed is one schedule.
+//! A simulation of the network in virtual time. Each seed determines one schedule.
 
 use super::clients::{Client, ClientPacket};
 use super::control::Control;
@@ -26,12 +26,12 @@
 const LAST_START_MICROS: u64 = 7 * SECOND_MICROS;
 const END_MICROS: u64 = 16 * SECOND_MICROS;
 
-/// What may go wrong in a schedule.
+/// The faults that can occur in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Faults {
-    /// Delay, reorder, loss, duplication and planned changes only.
+    /// Only delay, reordering, loss, duplication and planned changes.
     Planned,
-    /// Also crashes, pauses, cuts, false suspicion and dead backends.
+    /// Also crashes, pauses, partitions, false suspicions and dead backends.
     All,
 }
 
@@ -39,7 +39,7 @@
 enum Fault {
     Crash,
     Pause,
-    Cut,
+    Partition,
 }
 
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
 }
 
 impl Event {
-    /// The node that must be running to take part.
+    /// Returns the node that must be running for the event to take place.
     fn node(&self) -> Option<NodeId> {
         match self {
             Self::Message(_, to, _) => Some(*to),
@@ -81,7 +81,7 @@
     }
 }
 
-/// What a schedule came to.
+/// The result of a schedule.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub violation: Option<String>,
@@ -108,7 +108,7 @@
     settings: OwnershipSettings,
     faults: Faults,
     next_node: u64,
-    barrier_known: BTreeMap<GenerationNumber, u64>,
+    barrier_known_at: BTreeMap<GenerationNumber, u64>,
     records_trace: bool,
     outcome: Outcome,
 }
@@ -154,7 +154,7 @@
             settings,
             faults,
             next_node: members + 1,
-            barrier_known: BTreeMap::new(),
+            barrier_known_at: BTreeMap::new(),
             records_trace,
             outcome: Outcome::default(),
         }
@@ -206,7 +206,7 @@
             started_at,
             ends_at: started_at + lifetime,
             established: false,
-            over: false,
+            ended: false,
         };
         self.clients.insert(flow, client);
         self.at(started_at, Event::Send(flow));
@@ -215,7 +215,7 @@
     fn schedule_fault(&mut self) {
         let at = self.random.random_range(SECOND_MICROS..9 * SECOND_MICROS);
         let node = self.any_node();
-        let kinds = [Fault::Crash, Fault::Pause, Fault::Cut];
+        let kinds = [Fault::Crash, Fault::Pause, Fault::Partition];
         let kind = kinds[self.random.random_range(0..kinds.len())];
         self.at(at, Event::InjectFault(node, kind));
     }
@@ -310,7 +310,9 @@
     }
 
     fn node(&mut self, node: NodeId) -> &mut SimNode {
-        self.nodes.get_mut(&node).expect("events name known nodes")
+        self.nodes
+            .get_mut(&node)
+            .expect("events refer to existing nodes")
     }
 
     fn input(
@@ -363,7 +365,7 @@
                 self.reset(flow);
             }
             OwnershipEffect::Acknowledge(number) => {
-                self.trace(|| format!("node {node} acknowledges {number}"));
+                self.trace(|| format!("node {node} acknowledges generation {number}"));
                 self.control.acknowledge(self.now, node, number);
             }
             OwnershipEffect::MarkClean(buckets) => {
@@ -387,8 +389,12 @@
 
     fn message(&mut self, from: NodeId, to: NodeId, message: OwnershipMessage) {
         let now = self.now;
-        let is_cut = |node: &SimNode| node.cut_until.is_some_and(|until| until > now);
-        if [from, to].iter().any(|node| is_cut(&self.nodes[node])) {
+        let is_partitioned =
+            |node: &SimNode| node.partitioned_until.is_some_and(|until| until > now);
+        if [from, to]
+            .iter()
+            .any(|node| is_partitioned(&self.nodes[node]))
+        {
             return;
         }
         self.trace(|| format!("{from} -> {to}: {message:?}"));
@@ -465,22 +471,24 @@
         }
     }
 
-    /// Whether all nodes knew that `backend` takes no new flow of the bucket when the flow began.
+    /// Returns whether all nodes knew, when the flow started, that `backend` accepts no new flow
+    /// of the bucket.
     fn is_on_former_base(&self, client: &Client, backend: BackendId) -> bool {
-        let place = |generation: &Generation| {
+        let bucket_in = |generation: &Generation| {
             let service = &generation.services[client.service.0 as usize];
             service.buckets[client.hash.bucket(service.buckets.len())]
         };
-        let bucket = place(self.control.newest());
+        let bucket = bucket_in(self.control.newest());
         let since = bucket.contested_since;
-        let known = self.barrier_known.get(&since);
-        let left = |generation: &Arc<Generation>| place(generation).target != Some(backend);
+        let known = self.barrier_known_at.get(&since);
+        let is_off_target =
+            |generation: &Arc<Generation>| bucket_in(generation).target != Some(backend);
         if !bucket.is_contested() {
             return false;
         }
         let generations = &self.control.generations[since.0 as usize - 1..];
         bucket.base == Some(backend)
-            && generations.iter().all(left)
+            && generations.iter().all(is_off_target)
             && known.is_some_and(|known| client.started_at > *known)
     }
 
@@ -492,13 +500,13 @@
 
     fn end_client(&mut self, flow: u32) {
         if let Some(client) = self.clients.get_mut(&flow) {
-            client.over = true;
+            client.ended = true;
         }
     }
 
     fn client_sends(&mut self, flow: u32) {
         let client = self.clients[&flow].clone();
-        if client.over || self.now >= client.ends_at {
+        if client.ended || self.now >= client.ends_at {
             return;
         }
         let kind = match client.established {
@@ -509,8 +517,8 @@
         let copies = 1 + u64::from(self.random.random_range(0..4) == 0);
         for copy in 0..copies {
             let node = self.any_node();
-            let late = copy * self.random.random_range(0..500 * MILLISECOND_MICROS);
-            let time = self.now + late + self.delay();
+            let copy_delay = copy * self.random.random_range(0..500 * MILLISECOND_MICROS);
+            let time = self.now + copy_delay + self.delay();
             self.at(time, Event::Packet(node, packet));
         }
         let waited = self.now - client.started_at;
@@ -525,8 +533,11 @@
     }
 
     fn established(&mut self, flow: u32) {
-        let client = self.clients.get_mut(&flow).expect("flows are known");
-        if client.over || client.established {
+        let client = self
+            .clients
+            .get_mut(&flow)
+            .expect("events refer to existing flows");
+        if client.ended || client.established {
             return;
         }
         client.established = true;
@@ -535,16 +546,16 @@
     }
 
     fn learn(&mut self, node: NodeId) {
-        let is_cut = self
+        let is_partitioned = self
             .node(node)
-            .cut_until
+            .partitioned_until
             .is_some_and(|until| until > self.now);
         let newest = Arc::clone(self.control.newest());
-        if is_cut || self.node(node).learned >= newest.number {
+        if is_partitioned || self.node(node).learned >= newest.number {
             return;
         }
         self.node(node).learned = newest.number;
-        self.trace(|| format!("node {node} learns {}", newest.number));
+        self.trace(|| format!("node {node} learns generation {}", newest.number));
         self.input(node, |owner, now| owner.apply_generation(now, &newest));
         let pause = self.random.random_range(0..20 * MILLISECOND_MICROS);
         self.at(self.now + pause, Event::Switch(node, newest.number));
@@ -563,7 +574,9 @@
         if number == newest {
             sim.must_catch_up = false;
         }
-        self.trace(|| format!("node {node} forwards by {number}, hands over {opened:?}"));
+        self.trace(|| {
+            format!("node {node} forwards with generation {number}, hands over {opened:?}")
+        });
         let report = AdoptionReport {
             generation: number,
             opened,
@@ -594,9 +607,9 @@
 
     fn control_tick(&mut self) {
         while let Some(number) = self.control.advance_barrier(self.now) {
-            self.trace(|| format!("barrier of {number} passes"));
+            self.trace(|| format!("barrier of generation {number} passes"));
             let known = self.now + 300 * MILLISECOND_MICROS;
-            self.barrier_known.insert(number, known);
+            self.barrier_known_at.insert(number, known);
             for node in self.nodes.keys().copied().collect::<Vec<_>>() {
                 self.after_delay(Event::Barrier(node, number));
             }
@@ -632,11 +645,11 @@
 
     fn retarget_first_hashed(&mut self, next: &mut Generation) {
         let bucket = self.random.random_range(0..4);
-        let takes =
+        let is_active =
             |backend: &BackendId| next.backends[backend.0 as usize].state == BackendState::Active;
         let active: Vec<BackendId> = generations::backends_of(FIRST_HASHED)
             .into_iter()
-            .filter(takes)
+            .filter(is_active)
             .collect();
         let target = active[self.random.random_range(0..active.len())];
         generations::retarget(next, FIRST_HASHED, bucket, Some(target));
@@ -658,7 +671,7 @@
         let barrier = self.control.barrier;
         self.after_delay(Event::Barrier(node, barrier));
         let known_to_new = self.now + 300 * MILLISECOND_MICROS;
-        for known in self.barrier_known.values_mut() {
+        for known in self.barrier_known_at.values_mut() {
             *known = known_to_new.max(*known);
         }
     }
@@ -670,7 +683,7 @@
         }
     }
 
-    /// Drains a backend, or under all faults lets it die.
+    /// Drains a backend or, with all faults, marks it dead.
     fn withdraw_backend(&mut self, next: &mut Generation) {
         let backend = BackendId(self.random.random_range(0..2));
         next.backends[backend.0 as usize].state = match self.faults {
@@ -702,9 +715,9 @@
     }
 
     fn inject_fault(&mut self, node: NodeId, kind: Fault) {
-        let lost = self.nodes.values().filter(|node| node.crashed).count();
+        let crashed_count = self.nodes.values().filter(|node| node.crashed).count();
         let is_affected = self.node(node).crashed || self.node(node).contact_lost_at.is_some();
-        if is_affected || self.nodes.len() - lost <= 3 {
+        if is_affected || self.nodes.len() - crashed_count <= 3 {
             return;
         }
         let until = self.now
@@ -717,7 +730,7 @@
         match kind {
             Fault::Crash => sim.crashed = true,
             Fault::Pause => sim.paused_until = Some(until),
-            Fault::Cut => sim.cut_until = Some(until),
+            Fault::Partition => sim.partitioned_until = Some(until),
         }
         sim.contact_lost_at = Some(now);
         self.schedule_suspicions(node, kind, until);
@@ -737,7 +750,7 @@
                 + self
                     .random
                     .random_range(200 * MILLISECOND_MICROS..700 * MILLISECOND_MICROS);
-            let back = at.max(until)
+            let alive_at = at.max(until)
                 + self
                     .random
                     .random_range(MILLISECOND_MICROS..400 * MILLISECOND_MICROS);
@@ -747,11 +760,11 @@
             self.at(at, Event::Suspect(other, node));
             match kind {
                 Fault::Crash => {}
-                Fault::Pause => self.at(back, Event::Alive(other, node)),
-                Fault::Cut => {
-                    self.at(back, Event::Alive(other, node));
+                Fault::Pause => self.at(alive_at, Event::Alive(other, node)),
+                Fault::Partition => {
+                    self.at(alive_at, Event::Alive(other, node));
                     self.at(at, Event::Suspect(node, other));
-                    self.at(back, Event::Alive(node, other));
+                    self.at(alive_at, Event::Alive(node, other));
                 }
             }
         }
@@ -766,7 +779,7 @@
         if lost.is_some_and(|lost| now - lost > lease) && sim.learned < newest {
             sim.must_catch_up = true;
         }
-        self.trace(|| format!("node {node} has contact again"));
+        self.trace(|| format!("node {node} regains contact"));
     }
 
     fn remove_failed(&mut self, node: NodeId) {
