--- a/crates/bellyoke-core/tests/ownership_parts.rs
+++ b/crates/bellyoke-core/tests/ownership_parts.rs
@@ -240,6 +240,8 @@
     assert_eq!(network.sent, []);
 }
 
+/// If the owner dropped lists that arrive before it serves the group, the barrier would wait for
+/// the sender's next retry.
 #[test]
 fn an_early_handover_list_is_confirmed_without_a_retry() {
     let generation = Arc::new(clean_generation(3));
@@ -319,6 +321,8 @@
     assert_eq!(network.sent, []);
 }
 
+/// After an earlier acknowledgement, a bucket could become contested while the network still
+/// contains copies of the member's opening packets, and these flows would be placed again.
 #[test]
 fn a_member_acknowledges_its_removal_after_the_delay_horizon() {
     let settings = settings(Ablation::None);
@@ -489,6 +493,8 @@
     assert_eq!((dropped.queue_full, dropped.opening_without_owner), (2, 1));
 }
 
+/// The barrier doesn't wait for packets that were queued for longer than the delay horizon, as they
+/// can be while the process is paused.
 #[test]
 fn a_packet_after_a_pause_is_dropped() {
     let (mut network, generation) = contested_network();
