--- a/crates/bellyoke-core/src/node/ownership/claim.rs
+++ b/crates/bellyoke-core/src/node/ownership/claim.rs
@@ -88,7 +88,7 @@
             .or_insert(configuration);
     }
 
-    /// Records a replica's promise. Returns whether it named a replica set that was not known.
+    /// Records a replica's promise. Returns whether it named a new replica set.
     pub(super) fn record_promise(&mut self, from: NodeId, promise: ReplicaPromise) -> bool {
         let count = self.configurations.len();
         for successor in promise.successors {
--- a/crates/bellyoke-core/src/node/ownership/group.rs
+++ b/crates/bellyoke-core/src/node/ownership/group.rs
@@ -26,7 +26,7 @@
     pub(super) role: Role,
     /// The highest ballot seen under the current replicas.
     pub(super) highest_ballot: Option<Ballot>,
-    /// The generation since which this node knows the current replicas.
+    /// The generation in which this node received the current replicas.
     pub(super) replica_generation: GenerationNumber,
     /// Backoff for the requests of this node's role.
     pub(super) retry_backoff: Backoff,
--- a/crates/bellyoke-core/src/node/ownership/message.rs
+++ b/crates/bellyoke-core/src/node/ownership/message.rs
@@ -11,11 +11,11 @@
 /// Large variants are boxed because an archived enum has the size of its largest variant.
 #[derive(Clone, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub enum OwnershipMessage {
-    /// To the owner: a packet of a flow that the sender doesn't know.
+    /// To the owner: a packet of a flow that is not in the sender's table.
     Relay(Box<RelayedPacket>),
     /// From the owner: the backends of relayed flows.
     Learned(Vec<LearnedFlow>),
-    /// From a node that is not the owner: the highest ballots that it knows.
+    /// From a node that is not the owner: the highest ballots that it has recorded.
     OwnerHints(Vec<OwnerHint>),
     /// From the owner: pins to store.
     Replicate(Vec<PinBatch>),
@@ -71,7 +71,7 @@
     pub backend: BackendId,
 }
 
-/// The highest ballot of a group that the sender knows.
+/// The highest ballot of a group that the sender has recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Archive, Serialize, Deserialize)]
 pub struct OwnerHint {
     /// The group.
@@ -210,7 +210,7 @@
 pub struct SettledReport {
     /// The generation that the sender's traffic threads forward with.
     pub generation: GenerationNumber,
-    /// The owner's round number that the sender knows.
+    /// The latest round number that the sender has received from the owner.
     pub round: u32,
     /// The buckets.
     pub buckets: Vec<SettledEntry>,
--- a/crates/bellyoke-core/src/node/ownership/pin_sweep.rs
+++ b/crates/bellyoke-core/src/node/ownership/pin_sweep.rs
@@ -59,7 +59,7 @@
     }
 
     /// Removes the marks of buckets that are clean or have become contested again, once all
-    /// members know it.
+    /// members have acknowledged the current generation.
     fn sweep_marks(&mut self, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
--- a/crates/bellyoke-core/src/node/ownership/relay.rs
+++ b/crates/bellyoke-core/src/node/ownership/relay.rs
@@ -21,8 +21,8 @@
 pub(super) type PacketQueue = VecDeque<QueuedPacket>;
 
 impl Ownership {
-    /// Returns the presumed owner of `group`: the node with the highest known ballot or else the
-    /// first replica, suspected nodes excluded.
+    /// Returns the presumed owner of `group`: the node with the highest known ballot unless it is
+    /// suspected, or else the first replica that is not suspected.
     pub(super) fn presumed_owner(&self, group: GroupIndex) -> Option<NodeId> {
         let cluster = self.cluster.as_ref()?;
         let highest = self
--- a/crates/bellyoke-core/src/node/ownership/retirement.rs
+++ b/crates/bellyoke-core/src/node/ownership/retirement.rs
@@ -8,7 +8,7 @@
 
 impl Ownership {
     /// Repeats the announcement of an earlier copy. A group without contested buckets needs none
-    /// until all members know the current replicas.
+    /// until all members have acknowledged the current generation.
     pub(super) fn retry_announcement(&mut self, now: Timestamp, group: GroupIndex) {
         let Some(cluster) = &self.cluster else {
             return;
--- a/crates/bellyoke-core/src/node/ownership/takeover.rs
+++ b/crates/bellyoke-core/src/node/ownership/takeover.rs
@@ -92,7 +92,7 @@
 
     /// Claims unused groups, which have no contested buckets, if their complete copies are still
     /// on replicas of an earlier generation. Does so for a few groups at a time, once all members
-    /// know the current replicas.
+    /// have acknowledged the current generation.
     ///
     /// An unused group needs no owner because none of its flows is pinned. While its replicas stay
     /// the same, no message is sent for it. When a bucket becomes contested, the claimant finds
