--- a/crates/bellyoke-core/src/node/node.rs
+++ b/crates/bellyoke-core/src/node/node.rs
@@ -95,11 +95,11 @@
             Input::Published(generation) => self.apply_generation(now, &generation, &[]),
             Input::Adopted(report) => self.handle_adoption(now, report),
             Input::Escalated(packet) => {
-                let effects = self.ownership.escalated(now, packet);
+                let effects = self.ownership.handle_escalation(now, packet);
                 self.apply_ownership(now, effects);
             }
             Input::Settled(buckets) => {
-                let effects = self.ownership.settled(now, buckets);
+                let effects = self.ownership.update_settled_buckets(now, buckets);
                 self.apply_ownership(now, effects);
             }
             Input::FlowEnded(place) => {
@@ -107,7 +107,7 @@
                 self.apply_ownership(now, effects);
             }
             Input::BackendLoad { backend, load } => {
-                self.ownership.load_reported(now, backend, load);
+                self.ownership.record_load(now, backend, load);
             }
             Input::Seeds(seeds) => self.membership.add_seeds(now, seeds),
             Input::Leave => self.membership.leave(),
@@ -249,7 +249,7 @@
         self.apply_membership(now, effects);
         let effects = self.membership.add_members(&generation.members);
         self.apply_membership(now, effects);
-        let effects = self.ownership.adopt(now, generation);
+        let effects = self.ownership.apply_generation(now, generation);
         self.apply_ownership(now, effects);
         let forwarding = Forwarding::from_generation(generation);
         self.outputs.push(Output::Adopt(Arc::new(forwarding)));
@@ -273,7 +273,7 @@
                 self.apply_lease(changes);
             }
         }
-        let effects = self.ownership.adopted(now, report);
+        let effects = self.ownership.handle_adoption(now, report);
         self.apply_ownership(now, effects);
         self.report_barrier(now);
     }
@@ -387,7 +387,7 @@
 fn ownership_settings(settings: &NodeSettings, seed: u64) -> OwnershipSettings {
     let fenced_after = settings.lease_time + settings.delay_horizon;
     OwnershipSettings {
-        packet_wait: settings.delay_horizon * 3 / 4,
+        packet_timeout: settings.delay_horizon * 3 / 4,
         delay_horizon: settings.delay_horizon,
         abandon_after: fenced_after * 3,
         // A message queued by the control budget must not be resent before it was sent.
--- a/crates/bellyoke-core/src/node/ownership/decision.rs
+++ b/crates/bellyoke-core/src/node/ownership/decision.rs
@@ -1,23 +1,23 @@
-//! Where an owner sends a packet of a flow that has no pin.
+//! Decisions of an owner about packets of flows without a pin.
 
 use super::cluster::{Cluster, is_contested};
-use super::held::Verdict;
+use super::pending::PacketAction;
 use crate::flow::{Escalation, EscalationKind};
 use crate::generation::{Bucket, Service};
 use crate::identity::{BackendId, GenerationNumber};
 
-/// What an owner does with a packet of a flow that has no pin.
+/// What an owner does with a packet of a flow without a pin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unpinned {
-    /// Pin the flow to the base: until the barrier others may open flows there.
+pub(super) enum UnpinnedDecision {
+    /// Pins the flow to the base: until the barrier, other nodes may open flows there.
     PinToBase(BackendId),
-    /// Choose a backend and pin the flow.
+    /// Selects a backend and pins the flow to it.
     Place,
-    /// Send it on, once the owner has made sure that it still is the owner.
-    Confirm(Verdict),
-    /// Drop it: the caller sends it again.
+    /// Performs the action after confirming that this node is still the owner.
+    Confirm(PacketAction),
+    /// Drops the packet. The caller retransmits it.
     Drop(DropCause),
-    /// Keep it until this node knows a newer generation.
+    /// Queues the packet until this node has a newer generation.
     AwaitGeneration,
 }
 
@@ -28,38 +28,38 @@
     GenerationSkew,
 }
 
-/// What an owner knows of the state of a bucket.
+/// An owner's view of a bucket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BucketState {
     /// Whether all members have acknowledged the generation that made the bucket contested.
     pub(super) barrier_passed: bool,
     /// Whether pins of the bucket may have been lost.
     pub(super) pins_lost: bool,
-    /// Whether no flow without a pin is left on the base.
+    /// Whether no unpinned flow remains on the base.
     pub(super) is_settled: bool,
     /// The generation of the relaying node.
-    pub(super) relayed_under: GenerationNumber,
+    pub(super) relay_generation: GenerationNumber,
 }
 
-/// Decides a packet of a flow that has no pin.
+/// Decides a packet of a flow without a pin.
 pub(super) fn decide_unpinned(
     cluster: &Cluster,
     service: &Service,
     bucket: &Bucket,
     escalation: Escalation,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     if !is_contested(service, bucket) {
         return decide_clean(cluster, bucket, escalation.kind, state);
     }
     match escalation.kind {
         EscalationKind::Opening => decide_opening(cluster, service, bucket, state),
         EscalationKind::Other => {
-            let home = match state.is_settled {
+            let backend = match state.is_settled {
                 true => bucket.target,
                 false => bucket.base.filter(|_| !state.pins_lost),
             };
-            Unpinned::Confirm(forward_or_reset(cluster, service, home))
+            UnpinnedDecision::Confirm(forward_or_reset(cluster, service, backend))
         }
     }
 }
@@ -69,38 +69,45 @@
     service: &Service,
     bucket: &Bucket,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     let Some(base) = bucket.base.filter(|_| !state.barrier_passed) else {
-        return Unpinned::Place;
+        return UnpinnedDecision::Place;
     };
-    if cluster.serves(base, service.id) {
-        return Unpinned::PinToBase(base);
+    if cluster.accepts_packets(base, service.id) {
+        return UnpinnedDecision::PinToBase(base);
     }
-    Unpinned::Drop(DropCause::BaseDead)
+    UnpinnedDecision::Drop(DropCause::BaseDead)
 }
 
-/// The relaying node takes for contested what is clean here: one of both lags.
+/// Decides a packet of a bucket that is clean here but contested on the relaying node: one of the
+/// two nodes has an older generation.
 fn decide_clean(
     cluster: &Cluster,
     bucket: &Bucket,
     kind: EscalationKind,
     state: BucketState,
-) -> Unpinned {
+) -> UnpinnedDecision {
     if kind == EscalationKind::Opening {
-        return Unpinned::Drop(DropCause::GenerationSkew);
+        return UnpinnedDecision::Drop(DropCause::GenerationSkew);
     }
-    if state.relayed_under > cluster.number() {
-        return Unpinned::AwaitGeneration;
+    if state.relay_generation > cluster.number() {
+        return UnpinnedDecision::AwaitGeneration;
     }
     match bucket.target {
-        Some(target) => Unpinned::Confirm(Verdict::Forward(target)),
-        None => Unpinned::Confirm(Verdict::Reset),
+        Some(target) => UnpinnedDecision::Confirm(PacketAction::Forward(target)),
+        None => UnpinnedDecision::Confirm(PacketAction::Reset),
     }
 }
 
-fn forward_or_reset(cluster: &Cluster, service: &Service, backend: Option<BackendId>) -> Verdict {
+fn forward_or_reset(
+    cluster: &Cluster,
+    service: &Service,
+    backend: Option<BackendId>,
+) -> PacketAction {
     match backend {
-        Some(backend) if cluster.serves(backend, service.id) => Verdict::Forward(backend),
-        _ => Verdict::Reset,
+        Some(backend) if cluster.accepts_packets(backend, service.id) => {
+            PacketAction::Forward(backend)
+        }
+        _ => PacketAction::Reset,
     }
 }
--- a/crates/bellyoke-core/src/node/ownership/handover.rs
+++ b/crates/bellyoke-core/src/node/ownership/handover.rs
@@ -1,10 +1,10 @@
-//! Lists of recently opened flows on their way to the owners of their buckets.
+//! Handover lists: recently opened flows, sent to the owners of their buckets.
 
 use super::Ownership;
 use super::backoff::Backoff;
 use super::effect::OwnershipEffect;
 use super::message::{HandoverBatch, HandoverReceipt, OwnershipMessage};
-use super::pin::{EncodedPin, PinChange, PinKey, PinRun, Pinned, ShortHash};
+use super::pin::{EncodedPin, PinChange, PinDestination, PinKey, PinRun, ShortHash};
 use super::settings::Ablation;
 use crate::flow::OpenedFlow;
 use crate::identity::{GenerationNumber, GroupIndex, NodeId, ServiceId};
@@ -12,10 +12,10 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Most parts that are sent at a time.
-const WINDOW: usize = 32;
+/// Maximum number of unconfirmed parts that are sent at a time.
+const MAX_PARTS_IN_FLIGHT: usize = 32;
 
-/// A part of a handover list that was not confirmed.
+/// An unconfirmed part of a handover list.
 #[derive(Debug)]
 struct Part {
     batch: HandoverBatch,
@@ -24,21 +24,21 @@
     retry: Backoff,
 }
 
-/// Parts of handover lists that were not confirmed, and what waits for them.
+/// Unconfirmed parts of handover lists, and the acknowledgement that depends on them.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
     parts: BTreeMap<HandoverReceipt, Part>,
     next_part: u64,
     unacknowledged: Option<GenerationNumber>,
-    /// Whether a generation has listed this node as a member.
+    /// Whether some generation has listed this node as a member.
     was_member: bool,
-    /// After this time no copy of a packet is under way that opened a flow here, if this node
-    /// is no member any more.
-    quiet_from: Option<Timestamp>,
+    /// Set if this node is no longer a member: from this time on, the network contains no copy of
+    /// a packet that opened a flow here.
+    quiet_at: Option<Timestamp>,
 }
 
 impl Handovers {
-    /// Whether all that this node opened is in other hands, and acknowledged.
+    /// Returns whether all flows opened here have been handed over and acknowledged.
     pub(super) fn is_done(&self) -> bool {
         self.parts.is_empty() && self.unacknowledged.is_none()
     }
@@ -63,7 +63,7 @@
     }
 
     fn take_acknowledgement(&mut self, now: Timestamp) -> Option<GenerationNumber> {
-        let is_quiet = self.quiet_from.is_none_or(|quiet| quiet <= now);
+        let is_quiet = self.quiet_at.is_none_or(|quiet| quiet <= now);
         if self.parts.is_empty() && is_quiet {
             return self.unacknowledged.take();
         }
@@ -73,10 +73,10 @@
 
 impl Ownership {
     /// Starts to hand over the flows in `report`.
-    pub(super) fn hand_over(&mut self, now: Timestamp, report: AdoptionReport) {
+    pub(super) fn start_handover(&mut self, now: Timestamp, report: AdoptionReport) {
         let generation = report.generation;
         self.handovers.unacknowledged = self.handovers.unacknowledged.max(Some(generation));
-        self.note_departure(now);
+        self.record_departure(now);
         if self.settings.ablation != Ablation::NoHandoverList {
             self.add_parts(generation, &report.opened);
         }
@@ -84,20 +84,22 @@
         self.acknowledge_when_done(now);
     }
 
-    /// The generation that removes a member is the last whose barrier waits for it. A bucket
-    /// that becomes contested right after would not wait for the list of the flows that it
-    /// opened last; late copies of their opening packets would be placed again. So it
-    /// acknowledges its removal when there can be no such copy any more.
-    fn note_departure(&mut self, now: Timestamp) {
+    /// Delays a removed member's acknowledgement until no copy of its opening packets can be in
+    /// the network.
+    ///
+    /// The generation that removes a member is the last whose barrier waits for it. A bucket that
+    /// becomes contested right afterwards would not wait for the list of the flows that the member
+    /// opened last, and late copies of their opening packets would be placed again.
+    fn record_departure(&mut self, now: Timestamp) {
         let Some(cluster) = &self.cluster else {
             return;
         };
         let handovers = &mut self.handovers;
         if cluster.members().contains(&self.node) {
             handovers.was_member = true;
-            handovers.quiet_from = None;
-        } else if handovers.was_member && handovers.quiet_from.is_none() {
-            handovers.quiet_from = Some(now.after(self.settings.delay_horizon));
+            handovers.quiet_at = None;
+        } else if handovers.was_member && handovers.quiet_at.is_none() {
+            handovers.quiet_at = Some(now.after(self.settings.delay_horizon));
         }
     }
 
@@ -111,11 +113,11 @@
             let list = lists.entry((group, flow.place.service)).or_default();
             list.push(EncodedPin {
                 hash: ShortHash::from(flow.place.hash),
-                change: PinChange::pinned(Pinned::Backend(flow.backend)),
+                change: PinChange::set(PinDestination::Backend(flow.backend)),
             });
         }
         for ((group, service), list) in lists {
-            for part in list.chunks(self.settings.max_batch.max(1)) {
+            for part in list.chunks(self.settings.max_batch_pins.max(1)) {
                 let pins = part.to_vec();
                 self.handovers
                     .add(generation, group, vec![PinRun { service, pins }]);
@@ -123,12 +125,11 @@
         }
     }
 
-    /// Sends those of the oldest parts that are new or overdue to whom this node takes for
-    /// their owners.
+    /// Sends those of the oldest parts that are new or overdue to the presumed owners.
     pub(super) fn send_handovers(&mut self, now: Timestamp) {
         let interval = self.settings.retry_interval;
         let mut due = Vec::new();
-        for part in self.handovers.parts.values_mut().take(WINDOW) {
+        for part in self.handovers.parts.values_mut().take(MAX_PARTS_IN_FLIGHT) {
             let is_overdue = part.retry.is_due(now, interval, &mut self.random);
             if !part.is_sent || is_overdue {
                 part.is_sent = true;
@@ -136,10 +137,10 @@
             }
         }
         for mut part in due {
-            if let Some(group) = self.present_group(&part) {
+            if let Some(group) = self.current_group(&part) {
                 part.group = group;
             }
-            if let Some(owner) = self.believed_owner(part.group) {
+            if let Some(owner) = self.presumed_owner(part.group) {
                 self.send_handover(owner, part);
             }
         }
@@ -153,7 +154,7 @@
         }
     }
 
-    fn present_group(&self, part: &HandoverBatch) -> Option<GroupIndex> {
+    fn current_group(&self, part: &HandoverBatch) -> Option<GroupIndex> {
         let cluster = self.cluster.as_ref()?;
         let run = part.runs.first()?;
         let service = cluster.service(run.service)?;
@@ -165,15 +166,19 @@
         Some(cluster.assignment.group(run.service, bucket))
     }
 
-    /// The owner of a part's flows holds them.
-    pub(super) fn handover_confirmed(&mut self, now: Timestamp, receipt: HandoverReceipt) {
+    /// Removes a part that its owner has confirmed.
+    pub(super) fn handle_handover_confirmation(
+        &mut self,
+        now: Timestamp,
+        receipt: HandoverReceipt,
+    ) {
         if self.handovers.parts.remove(&receipt).is_some() {
             self.send_handovers(now);
             self.acknowledge_when_done(now);
         }
     }
 
-    /// Acknowledges the newest generation, once all parts are confirmed.
+    /// Acknowledges the newest generation once all parts are confirmed.
     pub(super) fn acknowledge_when_done(&mut self, now: Timestamp) {
         if let Some(generation) = self.handovers.take_acknowledgement(now) {
             let effect = OwnershipEffect::Acknowledge(generation);
--- a/crates/bellyoke-core/src/node/ownership/outbox.rs
+++ b/crates/bellyoke-core/src/node/ownership/outbox.rs
@@ -1,4 +1,4 @@
-//! Gathers what goes to one peer into few messages.
+//! Batches the entries for each peer into few messages.
 
 use super::ballot::Configuration;
 use super::effect::OwnershipEffect;
@@ -14,12 +14,12 @@
 /// ([`crate::node::message::MAXIMUM_CONTROL_MESSAGE_BYTES`]) with its headers.
 const MAX_ENTRY_BYTES: usize = 1040;
 
-/// Roughly the bytes of an entry in a message.
+/// The approximate encoded size of an entry in bytes.
 trait EncodedSize {
     fn encoded_size(&self) -> usize;
 }
 
-/// Bytes of a replica set.
+/// Returns the approximate bytes of a replica set.
 fn configuration_size(configuration: &Configuration) -> usize {
     16 + 8 * configuration.replicas.len()
 }
@@ -27,9 +27,10 @@
 impl EncodedSize for PinBatch {
     fn encoded_size(&self) -> usize {
         let runs = self.runs.iter().map(|run| 16 + 16 * run.pins.len());
-        let installs = self.installs.iter();
-        let installs = installs.map(|installed| 8 + configuration_size(&installed.configuration));
-        64 + 32 * self.marks.len() + runs.sum::<usize>() + installs.sum::<usize>()
+        let installation = self.installation.iter();
+        let installation =
+            installation.map(|installed| 8 + configuration_size(&installed.configuration));
+        64 + 32 * self.marks.len() + runs.sum::<usize>() + installation.sum::<usize>()
     }
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// What waits to be sent to one peer.
+/// Entries to be sent to one peer.
 #[derive(Debug, Default)]
 struct PeerOutbox {
     batches: Vec<PinBatch>,
@@ -107,7 +108,7 @@
     confirmed: Vec<HandoverReceipt>,
 }
 
-/// What waits to be sent, by peer.
+/// Entries to be sent, by peer.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     peers: BTreeMap<NodeId, PeerOutbox>,
@@ -172,7 +173,7 @@
         self.peer(to).confirmed.push(receipt);
     }
 
-    /// Takes all that waits, as messages.
+    /// Takes all entries as messages.
     pub(super) fn flush(&mut self) -> Vec<OwnershipEffect> {
         let mut effects = Vec::new();
         for (to, peer) in std::mem::take(&mut self.peers) {
@@ -196,7 +197,11 @@
         pack(&mut messages, positions, Message::Replicated);
         let superseded = self.superseded.into_values();
         pack(&mut messages, superseded, Message::Superseded);
-        pack(&mut messages, self.owners.into_values(), Message::Owners);
+        pack(
+            &mut messages,
+            self.owners.into_values(),
+            Message::OwnerHints,
+        );
         pack(&mut messages, self.prepare.into_values(), Message::Prepare);
         pack(&mut messages, self.promises.into_values(), Message::Promise);
         let announcements = self.announcements.into_values();
@@ -204,15 +209,15 @@
         let installed = self.installed.into_values();
         pack(&mut messages, installed, Message::Installed);
         pack(&mut messages, self.learned, Message::Learned);
-        pack(&mut messages, self.ended, Message::Ended);
+        pack(&mut messages, self.ended, Message::EndedFlows);
         pack(&mut messages, self.handovers, Message::Handover);
         pack(&mut messages, self.confirmed, Message::HandoverConfirmed);
         messages
     }
 }
 
-/// Puts `entries` into as few messages as hold them. An entry that is too long for one gets
-/// one of its own.
+/// Packs `entries` into as few messages as possible. An entry that exceeds the limit is sent in a
+/// message of its own.
 fn pack<T: EncodedSize>(
     messages: &mut Vec<OwnershipMessage>,
     entries: impl IntoIterator<Item = T>,
--- a/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
+++ b/crates/bellyoke-core/src/node/ownership/placement/least_loaded.rs
@@ -1,4 +1,4 @@
-//! Placement on the backend with the fewest open flows for its weight.
+//! Placement on the backend with the fewest open flows relative to its weight.
 
 use super::{BackendSelection, Candidate, LoadReport};
 use crate::identity::BackendId;
@@ -6,39 +6,39 @@
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
 
-/// The fewest open flows of the owner's own count, for the weight. Among equals two are drawn
-/// and the one that reports less load is taken (Mitzenmacher, "The power of two choices in
-/// randomized load balancing", 2001): a report is never trusted alone, since one that lies or
-/// is late would draw all new flows to its backend.
+/// Selects the backend with the fewest open flows relative to its weight, by the owner's own
+/// count. Among tied backends it draws two at random and selects the one that reports less load
+/// (Mitzenmacher, "The power of two choices in randomized load balancing", 2001). It never relies
+/// on reports alone: a false or late one would draw all new flows to its backend.
 #[derive(Debug)]
 pub struct LeastLoaded<'a> {
-    /// Draws among equals.
+    /// Source of randomness for tied backends.
     pub random: &'a mut ChaCha8Rng,
 }
 
 impl BackendSelection for LeastLoaded<'_> {
     fn select(&mut self, candidates: &[Candidate]) -> Option<BackendId> {
-        let least = candidates.iter().min_by(|a, b| compare_own_count(a, b))?;
-        let is_equal = |other: &&Candidate| compare_own_count(other, least).is_eq();
-        let equals: Vec<&Candidate> = candidates.iter().filter(is_equal).collect();
-        let first = equals[self.random.random_range(0..equals.len())];
-        let second = equals[self.random.random_range(0..equals.len())];
-        match compare_reports(first.load, second.load) {
+        let least = candidates.iter().min_by(|a, b| compare_open_flows(a, b))?;
+        let is_tied = |other: &&Candidate| compare_open_flows(other, least).is_eq();
+        let tied: Vec<&Candidate> = candidates.iter().filter(is_tied).collect();
+        let first = tied[self.random.random_range(0..tied.len())];
+        let second = tied[self.random.random_range(0..tied.len())];
+        match compare_reported_load(first.load, second.load) {
             Ordering::Greater => Some(second.backend),
             _ => Some(first.backend),
         }
     }
 }
 
-/// Compares open flows after one more, each divided by the weight.
-fn compare_own_count(first: &Candidate, second: &Candidate) -> Ordering {
+/// Compares the open flows including one more, each divided by the weight.
+fn compare_open_flows(first: &Candidate, second: &Candidate) -> Ordering {
     let scaled = |one: &Candidate, other: &Candidate| {
         (u64::from(one.open_flows) + 1) * u64::from(other.weight.max(1))
     };
     scaled(first, second).cmp(&scaled(second, first))
 }
 
-fn compare_reports(first: Option<LoadReport>, second: Option<LoadReport>) -> Ordering {
+fn compare_reported_load(first: Option<LoadReport>, second: Option<LoadReport>) -> Ordering {
     let (Some(first), Some(second)) = (first, second) else {
         return Ordering::Equal;
     };
--- a/crates/bellyoke-core/tests/ownership_support/generations.rs
+++ b/crates/bellyoke-core/tests/ownership_support/generations.rs
@@ -1,4 +1,4 @@
-//! Generations that follow from each other by random changes.
+//! Sequences of generations with random changes.
 
 use bellyoke_core::generation::{
     Backend, BackendState, Bucket, ClusterParameters, Generation, Member, ObjectUid, Placement,
@@ -8,18 +8,27 @@
 use bellyoke_core::packet::Transport;
 use std::net::SocketAddr;
 
-pub const GROUPS: u16 = 4;
-/// Longer than callers are silent, also when some of their packets go to nodes that lose them.
-pub const IDLE_SECONDS: u32 = 3;
-/// Hashed, with changing targets.
-pub const FIRST: ServiceId = ServiceId(0);
-/// Hashed, and at times without a target.
-pub const SECOND: ServiceId = ServiceId(1);
-/// Placed by load.
-pub const PLACED: ServiceId = ServiceId(2);
+pub const GROUP_COUNT: u16 = 4;
+/// Longer than the pauses of callers, even if nodes that drop packets receive some of them.
+pub const IDLE_TIMEOUT_SECONDS: u32 = 3;
+/// A hashed service whose targets change.
+pub const FIRST_HASHED: ServiceId = ServiceId(0);
+/// A hashed service whose buckets can be without a target.
+pub const SECOND_HASHED: ServiceId = ServiceId(1);
+/// A service with least-loaded placement.
+pub const LEAST_LOADED: ServiceId = ServiceId(2);
 
-/// Service of each backend.
-const BACKENDS: [ServiceId; 8] = [FIRST, FIRST, FIRST, FIRST, SECOND, SECOND, PLACED, PLACED];
+/// The service of each backend.
+const BACKENDS: [ServiceId; 8] = [
+    FIRST_HASHED,
+    FIRST_HASHED,
+    FIRST_HASHED,
+    FIRST_HASHED,
+    SECOND_HASHED,
+    SECOND_HASHED,
+    LEAST_LOADED,
+    LEAST_LOADED,
+];
 
 fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
@@ -62,7 +71,7 @@
         transport: Transport::Tcp,
         placement,
         refusal: RefusalStyle::Http,
-        idle_timeout_seconds: IDLE_SECONDS,
+        idle_timeout_seconds: IDLE_TIMEOUT_SECONDS,
         backends: own
             .iter()
             .map(|backend| ServiceBackend {
@@ -82,7 +91,7 @@
     }
 }
 
-/// The first generation: all buckets of hashed services are clean.
+/// Returns the first generation. All buckets of hashed services are clean.
 pub fn first(members: impl IntoIterator<Item = u64>) -> Generation {
     let backends = BACKENDS.iter().enumerate();
     Generation {
@@ -90,12 +99,12 @@
         revision: StoreRevision::default(),
         parameters: ClusterParameters {
             flow_hash_seed: 1,
-            groups: GROUPS,
+            groups: GROUP_COUNT,
         },
         services: vec![
-            service(FIRST, Placement::Hashed, 4),
-            service(SECOND, Placement::Hashed, 2),
-            service(PLACED, Placement::LeastLoaded, 2),
+            service(FIRST_HASHED, Placement::Hashed, 4),
+            service(SECOND_HASHED, Placement::Hashed, 2),
+            service(LEAST_LOADED, Placement::LeastLoaded, 2),
         ],
         backends: backends
             .map(|(index, service)| backend(index, *service))
@@ -106,14 +115,15 @@
     }
 }
 
-/// The next generation with the same content.
+/// Returns the next generation with the same content.
 pub fn next(generation: &Generation) -> Generation {
     let mut next = generation.clone();
     next.number = GenerationNumber(generation.number.0 + 1);
     next
 }
 
-/// Moves a bucket as `generation::compile` does: the old target of a clean bucket becomes its base.
+/// Moves a bucket as `generation::compile` does: the previous target of a clean bucket becomes its
+/// base.
 pub fn retarget(
     generation: &mut Generation,
     service: ServiceId,
--- a/crates/bellyoke-core/tests/ownership_support/node.rs
+++ b/crates/bellyoke-core/tests/ownership_support/node.rs
@@ -1,6 +1,6 @@
-//! A node: the ownership state machine, and a stand-in for its traffic threads.
+//! A simulated node: the ownership state machine and a model of its traffic threads.
 
-use super::generations::IDLE_SECONDS;
+use super::generations::IDLE_TIMEOUT_SECONDS;
 use bellyoke_core::flow::{EscalationKind, FlowPlace, OpenedFlow, SettledBucket};
 use bellyoke_core::generation::{BackendState, Bucket, Generation, Placement, Service};
 use bellyoke_core::identity::{BackendId, BucketIndex, GenerationNumber, NodeId, ServiceId};
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const LEASE: Duration = Duration::from_millis(600);
-pub const HORIZON: Duration = Duration::from_millis(3000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(600);
+pub const DELAY_HORIZON: Duration = Duration::from_millis(3000);
 
 /// A flow in the table of a traffic thread.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     pub flows: BTreeMap<u32, TableEntry>,
     pub crashed: bool,
     pub paused_until: Option<u64>,
-    pub cut_until: Option<u64>,
+    pub partitioned_until: Option<u64>,
     pub contact_lost_at: Option<u64>,
     pub must_catch_up: bool,
     pub learned: GenerationNumber,
@@ -46,8 +46,8 @@
 }
 
 pub fn is_contested(service: &Service, bucket: &Bucket) -> bool {
-    let placed = service.placement == Placement::LeastLoaded;
-    placed || bucket.is_contested() || bucket.target.is_none()
+    let by_load = service.placement == Placement::LeastLoaded;
+    by_load || bucket.is_contested() || bucket.target.is_none()
 }
 
 pub fn place(generation: &Generation, service: ServiceId, hash: FlowHash) -> FlowPlace {
@@ -68,7 +68,7 @@
             flows: BTreeMap::new(),
             crashed: false,
             paused_until: None,
-            cut_until: None,
+            partitioned_until: None,
             contact_lost_at: None,
             must_catch_up: false,
             learned: GenerationNumber(0),
@@ -76,9 +76,10 @@
         }
     }
 
-    /// Without contact for the lease time, back from that and not caught up, or no member.
+    /// Returns whether the node must not decide new flows: it was without contact for the lease
+    /// time, has not caught up since then, or is not a member.
     pub fn is_fenced(&self, now: u64) -> bool {
-        let lease = LEASE.as_micros() as u64;
+        let lease = LEASE_DURATION.as_micros() as u64;
         let expired = self.contact_lost_at.is_some_and(|lost| now - lost > lease);
         let is_member = |generation: &Arc<Generation>| {
             generation
@@ -89,8 +90,8 @@
         expired || self.must_catch_up || !self.forwarding.as_ref().is_some_and(is_member)
     }
 
-    /// Decides a packet. A fenced node opens nothing, and passes on only flows that it knows:
-    /// it can't tell which buckets have become contested.
+    /// Decides a packet. A fenced node opens no flow and forwards only known flows, because it may
+    /// have missed that a bucket has become contested.
     pub fn traffic(
         &mut self,
         now: u64,
@@ -102,7 +103,7 @@
         let Some(generation) = self.forwarding.clone() else {
             return TrafficDecision::Drop;
         };
-        let idle = u64::from(IDLE_SECONDS) * 1_000_000;
+        let idle = u64::from(IDLE_TIMEOUT_SECONDS) * 1_000_000;
         self.flows.retain(|_, entry| now - entry.seen_at < idle);
         if let Some(entry) = self.flows.get_mut(&flow) {
             entry.seen_at = now;
@@ -134,11 +135,11 @@
         TrafficDecision::Forward(target)
     }
 
-    /// Switches to `generation`; returns the flows to hand over.
+    /// Switches to `generation` and returns the flows to hand over.
     pub fn switch(&mut self, now: u64, generation: &Arc<Generation>) -> Vec<OpenedFlow> {
         let before = self.forwarding.replace(Arc::clone(generation));
         let before = before.map_or(GenerationNumber(0), |known| known.number);
-        let horizon = HORIZON.as_micros() as u64;
+        let horizon = DELAY_HORIZON.as_micros() as u64;
         let is_new = |entry: &&TableEntry| {
             let service = &generation.services[entry.place.service.0 as usize];
             let bucket = &service.buckets[entry.place.bucket.0 as usize];
@@ -157,17 +158,17 @@
         entries.map(opened).collect()
     }
 
-    /// Contested buckets without a live flow off target.
+    /// Returns the contested buckets without an active off-target flow.
     pub fn settled(&self, now: u64) -> Vec<SettledBucket> {
         let Some(generation) = &self.forwarding else {
             return Vec::new();
         };
-        let idle = u64::from(IDLE_SECONDS) * 1_000_000;
+        let idle = u64::from(IDLE_TIMEOUT_SECONDS) * 1_000_000;
         let mut settled = Vec::new();
         for service in &generation.services {
             for (index, bucket) in (0..).map(BucketIndex).zip(&service.buckets) {
-                let placed = service.placement == Placement::LeastLoaded;
-                let target = bucket.target.filter(|_| !placed);
+                let by_load = service.placement == Placement::LeastLoaded;
+                let target = bucket.target.filter(|_| !by_load);
                 let off_target = self.flows.values().any(|entry| {
                     entry.place.service == service.id
                         && entry.place.bucket == index
