--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -52,7 +52,7 @@
 /// let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
 /// let replica = Replica::new(Duration::from_secs(70));
 /// let mut coordinator = Coordinator::new(replica, exchange);
-/// let empty = Update::Whole { at: Revision::new(3), items: Vec::new() };
+/// let empty = Update::List { at: Revision::new(3), items: Vec::new() };
 /// assert!(coordinator.apply_instances(Timestamp::ZERO, empty).change.directory);
 /// ```
 #[derive(Debug)]
--- a/crates/bellyoke-core/src/node/node.rs
+++ b/crates/bellyoke-core/src/node/node.rs
@@ -389,7 +389,7 @@
     OwnershipSettings {
         packet_timeout: settings.delay_horizon * 3 / 4,
         delay_horizon: settings.delay_horizon,
-        abandon_after: fenced_after * 3,
+        abandon_timeout: fenced_after * 3,
         // A message queued by the control budget must not be resent before it was sent.
         retry_interval: settings.resend_interval / 2,
         seed,
