--- a/crates/bellyoke-balancer/src/process/daemon.rs
+++ b/crates/bellyoke-balancer/src/process/daemon.rs
@@ -62,7 +62,7 @@
 
 async fn run(settings: Settings, keys: ClusterKeys) -> anyhow::Result<()> {
     let clock = MonotonicClock::start();
-    let signals = Signals::take().context("take over signals")?;
+    let signals = Signals::register().context("take over signals")?;
     let identity = NodeIdentity {
         node: NodeId(rand::random()),
         zone: Zone(settings.node.zone.clone()),
--- a/crates/bellyoke-node/src/connection/follow.rs
+++ b/crates/bellyoke-node/src/connection/follow.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 /// Longest rest before the node looks again whether it has to ask the store.
-const LONGEST_REST: Duration = Duration::from_millis(200);
+const MAXIMUM_IDLE_TIME: Duration = Duration::from_millis(200);
 
 /// Time between two looks at whether a call is still needed, or may be made. A tenth of the time
 /// that a list takes where dropping it is worth anything, a quarter of that between two turns.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const CALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Follows one kind of object for the life of the process, and hands news to `apply`.
 pub async fn follow<Reader: StoreReader>(
@@ -30,50 +30,53 @@
     let clock = link.control.borrow().clock();
     let mut follower = Follower::new(settings);
     let mut usable = true;
-    let mut counted_rejected = 0;
+    let mut counted_rejections = 0;
     loop {
-        let (next, may_ask) = {
+        let (action, may_call) = {
             let control = link.control.borrow();
             follower.enter_era(control.era());
             follower.skip_to(control.known_up_to(kind));
-            let next = follower.next(clock.now(), control.watch_plan(kind));
-            (next, control.may_ask(kind))
+            let action = follower.next(clock.now(), control.watch_plan(kind));
+            (action, control.may_call_store(kind))
         };
-        let read = match next {
+        let read = match action {
             Next::WaitUntil(time) => {
-                tokio::time::sleep(rest(clock.now(), time)).await;
+                tokio::time::sleep(idle_time(clock.now(), time)).await;
                 continue;
             }
-            Next::Call(_) if !may_ask => {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+            Next::Call(_) if !may_call => {
+                tokio::time::sleep(CALL_CHECK_INTERVAL).await;
                 continue;
             }
             Next::Call(read) => read,
         };
-        let asked_at = clock.now();
-        link.control.borrow_mut().note_asked(kind, read.freshness());
+        let called_at = clock.now();
+        link.control
+            .borrow_mut()
+            .record_store_call(kind, read.freshness());
         let context = link.control.borrow().call_context();
-        follower.asked(asked_at, &read);
-        let hedge = || link.control.borrow().asks_for_all();
-        let needless = || follower.is_needless(link.control.borrow().known_up_to(kind));
-        let Some(reply) = unless(needless, reader.read(&read, context.era, hedge)).await else {
+        follower.asked(called_at, &read);
+        let hedge = || link.control.borrow().is_bootstrap_reader();
+        let is_redundant = || follower.is_needless(link.control.borrow().known_up_to(kind));
+        let Some(reply) = cancel_if(is_redundant, reader.read(&read, context.era, hedge)).await
+        else {
             continue;
         };
-        let took = clock.now().since(asked_at);
+        let elapsed = clock.now().since(called_at);
         let mut control = link.control.borrow_mut();
-        let standing = control.classify_reply(kind, context, &read, &reply);
-        let answer = standing.counting(reply.answer);
-        count(control.metrics(), kind, &read, &answer, took);
+        let validity = control.classify_reply(kind, context, &read, &reply);
+        let answer = validity.counting(reply.answer);
+        count_call(control.metrics(), kind, &read, &answer, elapsed);
         let rejected = reader.rejected();
         control
             .metrics()
             .objects_rejected
-            .inc_by(rejected - std::mem::replace(&mut counted_rejected, rejected));
+            .inc_by(rejected - std::mem::replace(&mut counted_rejections, rejected));
         let update = follower.answer(clock.now(), answer, control.random());
-        control.note_answered(kind, follower.is_usable());
+        control.record_store_availability(kind, follower.is_usable());
         if follower.is_usable() != usable {
             usable = !usable;
-            control.log_store(kind, usable);
+            control.log_store_availability(kind, usable);
         }
         let effects = update.map(|update| apply(&mut control, update));
         drop(control);
@@ -83,30 +86,30 @@
 
 /// The answer to a call; none once `needless` says that it isn't needed any more. The call is then
 /// dropped with its connection, so that a long answer takes no more of a thin link.
-async fn unless<Answer>(
-    needless: impl Fn() -> bool,
+async fn cancel_if<Answer>(
+    is_redundant: impl Fn() -> bool,
     call: impl Future<Output = Answer>,
 ) -> Option<Answer> {
     let mut call = std::pin::pin!(call);
     loop {
-        match tokio::time::timeout(LOOK_INTERVAL, &mut call).await {
+        match tokio::time::timeout(CALL_CHECK_INTERVAL, &mut call).await {
             Ok(answer) => return Some(answer),
-            Err(_) if needless() => return None,
+            Err(_) if is_redundant() => return None,
             Err(_) => {}
         }
     }
 }
 
-fn rest(now: Timestamp, until: Timestamp) -> Duration {
-    until.since(now).min(LONGEST_REST)
+fn idle_time(now: Timestamp, until: Timestamp) -> Duration {
+    until.since(now).min(MAXIMUM_IDLE_TIME)
 }
 
-fn count<Item, Event>(
+fn count_call<Item, Event>(
     metrics: &ControlMetrics,
     kind: ObjectKind,
     read: &Read,
     answer: &Answer<Item, Event>,
-    took: Duration,
+    elapsed: Duration,
 ) {
     let call = match read {
         Read::List { .. } => "list",
@@ -126,7 +129,7 @@
         Answer::Failed => "failed",
     };
     if matches!(read, Read::List { .. }) {
-        metrics.list_seconds.observe(took.as_secs_f64());
+        metrics.list_seconds.observe(elapsed.as_secs_f64());
     }
     let labels = StoreCallLabels {
         kind: kind.name(),
--- a/crates/bellyoke-node/src/connection/http_client.rs
+++ b/crates/bellyoke-node/src/connection/http_client.rs
@@ -23,19 +23,19 @@
 const KEEPALIVE_RETRIES: u32 = 2;
 
 /// Longest time that sent bytes may stay unacknowledged.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long a call waits for its answer before it may be made again: longer than a slow store takes.
-const FIRST_HEDGE: Duration = Duration::from_millis(500);
+const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time between two further ones.
 const HEDGE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest pause within an answer. A long one may take longer over a thin link.
-const BODY_PATIENCE: Duration = Duration::from_millis(1_500);
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Longest answer that is read, bytes.
-const MAXIMUM_BODY_LENGTH: usize = 16 * 1024 * 1024;
+const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why a call came to nothing. It may have been done all the same.
 #[derive(Debug, thiserror::Error)]
@@ -59,7 +59,7 @@
 
 /// An answer that has come whole.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -91,12 +91,16 @@
     /// # Errors
     ///
     /// [`CallError`] if no answer begins within `patience`, or it breaks off.
-    pub async fn get(&mut self, path: &str, patience: Duration) -> Result<HttpAnswer, CallError> {
+    pub async fn get(
+        &mut self,
+        path: &str,
+        response_timeout: Duration,
+    ) -> Result<HttpResponse, CallError> {
         let sender = self.sender.take();
-        let exchange = exchange(self.address, sender, path.to_owned(), patience);
-        let (sender, answer) = exchange.await?;
+        let exchange = exchange(self.address, sender, path.to_owned(), response_timeout);
+        let (sender, response) = exchange.await?;
         self.sender = Some(sender);
-        Ok(answer)
+        Ok(response)
     }
 
     /// The same, but asks `hedge` now and then, while there is no answer, whether to make the call again
@@ -108,36 +112,36 @@
     pub async fn get_hedged(
         &mut self,
         path: &str,
-        patience: Duration,
+        response_timeout: Duration,
         hedge: impl FnMut() -> bool,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let sender = self.sender.take();
-        let answered = first_answer(self.address, sender, path, patience, hedge);
-        let (sender, answer) = answered.await?;
+        let exchanged = first_response(self.address, sender, path, response_timeout, hedge);
+        let (sender, response) = exchanged.await?;
         self.sender = Some(sender);
-        Ok(answer)
+        Ok(response)
     }
 }
 
 /// Starts an exchange, and another one over a new connection whenever `hedge` says so, until one has
 /// an answer or all have failed. None is started later than `patience` after the first.
-async fn first_answer(
+async fn first_response(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: &str,
-    patience: Duration,
+    response_timeout: Duration,
     mut hedge: impl FnMut() -> bool,
-) -> Result<Answered, CallError> {
+) -> Result<Exchanged, CallError> {
     let mut exchanges = JoinSet::new();
-    let start = |sender| exchange(address, sender, path.to_owned(), patience);
+    let start = |sender| exchange(address, sender, path.to_owned(), response_timeout);
     exchanges.spawn_local(start(sender));
-    let hedge_until = Instant::now() + patience;
-    let mut hedge_at = Instant::now() + FIRST_HEDGE;
+    let hedge_until = Instant::now() + response_timeout;
+    let mut hedge_at = Instant::now() + HEDGE_DELAY;
     loop {
         tokio::select! {
-            ended = exchanges.join_next() => match ended {
+            finished = exchanges.join_next() => match finished {
                 Some(Ok(Err(_))) if !exchanges.is_empty() => {}
-                Some(Ok(ended)) => return ended,
+                Some(Ok(finished)) => return finished,
                 // An exchange that panicked, or none.
                 Some(Err(_)) | None => return Err(CallError::TimedOut),
             },
@@ -152,23 +156,23 @@
 }
 
 /// The connection, for the next call, and what was answered.
-type Answered = (SendRequest<Empty<Bytes>>, HttpAnswer);
+type Exchanged = (SendRequest<Empty<Bytes>>, HttpResponse);
 
 async fn exchange(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: String,
-    patience: Duration,
-) -> Result<Answered, CallError> {
-    let begun = timeout(patience, send(address, sender, path)).await;
-    let (sender, response) = begun.map_err(|_| CallError::TimedOut)??;
-    let (head, body) = response.into_parts();
-    let answer = HttpAnswer {
-        status: head.status,
-        headers: head.headers,
+    response_timeout: Duration,
+) -> Result<Exchanged, CallError> {
+    let started = timeout(response_timeout, send(address, sender, path)).await;
+    let (sender, response) = started.map_err(|_| CallError::TimedOut)??;
+    let (parts, body) = response.into_parts();
+    let response = HttpResponse {
+        status: parts.status,
+        headers: parts.headers,
         body: read_body(body).await?,
     };
-    Ok((sender, answer))
+    Ok((sender, response))
 }
 
 /// Sends a request, and returns its answer once that begins.
@@ -177,7 +181,7 @@
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: String,
 ) -> Result<(SendRequest<Empty<Bytes>>, Response<Incoming>), CallError> {
-    let mut sender = usable_or_new(address, sender).await?;
+    let mut sender = reuse_or_connect(address, sender).await?;
     let request = Request::get(path)
         .header(header::HOST, address.to_string())
         .body(Empty::new())?;
@@ -186,10 +190,10 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, CallError> {
-    let mut body = Limited::new(body, MAXIMUM_BODY_LENGTH);
+    let mut body = Limited::new(body, MAXIMUM_BODY_BYTES);
     let mut bytes = BytesMut::new();
     loop {
-        let next = timeout(BODY_PATIENCE, body.frame()).await;
+        let next = timeout(BODY_STALL_TIMEOUT, body.frame()).await;
         let Some(frame) = next.map_err(|_| CallError::TimedOut)? else {
             return Ok(bytes.freeze());
         };
@@ -200,7 +204,7 @@
     }
 }
 
-async fn usable_or_new(
+async fn reuse_or_connect(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
 ) -> Result<SendRequest<Empty<Bytes>>, CallError> {
@@ -216,7 +220,7 @@
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| CallError::TimedOut)?;
     let stream = stream.map_err(CallError::Connect)?;
-    watch_for_loss(&stream).map_err(CallError::Connect)?;
+    enable_dead_peer_detection(&stream).map_err(CallError::Connect)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(connection);
     Ok(sender)
@@ -224,7 +228,7 @@
 
 /// Lets the system notice a silent other side: by probes while nothing is sent, and by missing
 /// acknowledgements (RFC 5482) otherwise.
-fn watch_for_loss(stream: &TcpStream) -> std::io::Result<()> {
+fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -232,5 +236,5 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/bellyoke-node/src/connection/http_server.rs
+++ b/crates/bellyoke-node/src/connection/http_server.rs
@@ -41,7 +41,7 @@
         let control = Rc::clone(&control);
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| {
-                let response = answer(&control.borrow(), &request);
+                let response = respond(&control.borrow(), &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
@@ -53,24 +53,24 @@
     }
 }
 
-fn answer(control: &Control, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(control: &Control, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     if request.method() != Method::GET {
-        return text(
+        return text_response(
             StatusCode::METHOD_NOT_ALLOWED,
             "only GET is served\n".into(),
         );
     }
     match request.uri().path() {
         READINESS_PATH => match control.readiness() {
-            Ok(()) => text(StatusCode::OK, "ready\n".into()),
-            Err(reason) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{reason:?}\n")),
+            Ok(()) => text_response(StatusCode::OK, "ready\n".into()),
+            Err(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason:?}\n")),
         },
-        METRICS_PATH => text(StatusCode::OK, control.metrics_text()),
-        _ => text(StatusCode::NOT_FOUND, "no such page\n".into()),
+        METRICS_PATH => text_response(StatusCode::OK, control.metrics_text()),
+        _ => text_response(StatusCode::NOT_FOUND, "no such page\n".into()),
     }
 }
 
-fn text(status: StatusCode, body: String) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     let value = header::HeaderValue::from_static("text/plain; charset=utf-8");
--- a/crates/bellyoke-node/src/connection/mod.rs
+++ b/crates/bellyoke-node/src/connection/mod.rs
@@ -3,7 +3,7 @@
 pub mod follow;
 pub mod http_client;
 pub mod http_server;
-pub mod patient_io;
 pub mod peers;
 pub mod probes;
+pub mod stall_timeout;
 pub mod store;
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -1,6 +1,6 @@
 //! Heartbeats by datagram and snapshots by connection, both at the peer address.
 
-use super::patient_io::{read_patiently, write_patiently};
+use super::stall_timeout::{read_to_end_with_stall_timeout, write_all_with_stall_timeout};
 use crate::process::control::Control;
 use crate::process::metrics::ControlMetrics;
 use bellyoke_api::event_code::EventCode;
@@ -23,10 +23,10 @@
 
 /// Longest time in which a peer that fetches neither sends nor takes anything: twice as long as
 /// it waits itself.
-const SERVE_PATIENCE: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
+const SERVE_STALL_TIMEOUT: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
 
 /// Snapshots sent at once; further peers wait in the system's queue.
-const MAXIMUM_SERVED: usize = 4;
+const MAXIMUM_CONCURRENT_SNAPSHOTS: usize = 4;
 
 /// Why a snapshot could not be fetched.
 #[derive(Debug, thiserror::Error)]
@@ -57,7 +57,10 @@
         let Ok((length, SocketAddr::V4(from))) = link.socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let effects = link.control.borrow_mut().datagram(from, &buffer[..length]);
+        let effects = link
+            .control
+            .borrow_mut()
+            .handle_datagram(from, &buffer[..length]);
         link.perform(effects);
     }
 }
@@ -81,7 +84,9 @@
                 }
                 ExchangeEffect::SendProbeRequest { to, request } => {
                     let encode = |key: &PeerKey| request.encode(key);
-                    self.send("question", to, encode, |metrics| &metrics.questions_sent);
+                    self.send("question", to, encode, |metrics| {
+                        &metrics.probe_requests_sent
+                    });
                 }
                 ExchangeEffect::SendFindings { to, report } => {
                     let encode = |key: &PeerKey| report.encode(key);
@@ -89,7 +94,7 @@
                 }
                 ExchangeEffect::SendRefutation { to, refutation } => {
                     let encode = |key: &PeerKey| refutation.encode(key);
-                    self.send("objection", to, encode, |metrics| &metrics.objections_sent);
+                    self.send("objection", to, encode, |metrics| &metrics.refutations_sent);
                 }
                 ExchangeEffect::SendOutliers { to, message } => {
                     let encode = |key: &PeerKey| message.encode(key);
@@ -151,10 +156,10 @@
     let control = &link.control;
     let key = control.borrow().peer_key().clone();
     let request = control.borrow().fetch_request();
-    let progressed = || control.borrow_mut().fetch_progressed(from);
-    match read_snapshot(from, request, &key, progressed).await {
+    let on_progress = || control.borrow_mut().record_fetch_progress(from);
+    match read_snapshot(from, request, &key, on_progress).await {
         Ok(snapshot) => {
-            let effects = control.borrow_mut().snapshot(from, snapshot);
+            let effects = control.borrow_mut().apply_snapshot(from, snapshot);
             link.perform(effects);
         }
         Err(error) => {
@@ -171,15 +176,15 @@
     from: SocketAddrV4,
     request: FetchRequest,
     key: &PeerKey,
-    progressed: impl FnMut(),
+    on_progress: impl FnMut(),
 ) -> Result<Snapshot, FetchError> {
     let mut stream = timeout(FETCH_STALL_TIMEOUT, TcpStream::connect(from)).await??;
-    write_patiently(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
-    let bytes = read_patiently(
+    write_all_with_stall_timeout(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
+    let bytes = read_to_end_with_stall_timeout(
         stream,
         MAXIMUM_SNAPSHOT_LENGTH,
         FETCH_STALL_TIMEOUT,
-        progressed,
+        on_progress,
     )
     .await?;
     Ok(decode_snapshot(&bytes, key)?)
@@ -187,7 +192,7 @@
 
 /// Sends a snapshot to each peer that asks, for the life of the process.
 pub async fn serve_snapshots(control: Rc<RefCell<Control>>, listener: TcpListener) {
-    let slots = Arc::new(Semaphore::new(MAXIMUM_SERVED));
+    let slots = Arc::new(Semaphore::new(MAXIMUM_CONCURRENT_SNAPSHOTS));
     loop {
         let Ok(slot) = Arc::clone(&slots).acquire_owned().await else {
             return;
@@ -209,14 +214,20 @@
     control: Rc<RefCell<Control>>,
     mut stream: TcpStream,
 ) -> Result<(), FetchError> {
-    let asked = read_patiently(&mut stream, MAXIMUM_FETCH_LENGTH, SERVE_PATIENCE, || {}).await?;
+    let request_bytes = read_to_end_with_stall_timeout(
+        &mut stream,
+        MAXIMUM_FETCH_LENGTH,
+        SERVE_STALL_TIMEOUT,
+        || {},
+    )
+    .await?;
     let bytes = {
         let control = control.borrow();
-        let request = FetchRequest::decode(&asked, control.peer_key())?;
+        let request = FetchRequest::decode(&request_bytes, control.peer_key())?;
         let bytes = encode_snapshot(&control.snapshot_for(request), control.peer_key())?;
         control.count_sent_to("snapshot", Some(request.zone), bytes.len());
         bytes
     };
-    write_patiently(&mut stream, &bytes, SERVE_PATIENCE).await?;
+    write_all_with_stall_timeout(&mut stream, &bytes, SERVE_STALL_TIMEOUT).await?;
     Ok(())
 }
--- a/crates/bellyoke-node/src/connection/probes.rs
+++ b/crates/bellyoke-node/src/connection/probes.rs
@@ -14,64 +14,64 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 /// Longest time before the node looks whether an instance is to be probed again.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long questions are collected before a probe begins.
-const COLLECT_TIME: Duration = Duration::from_millis(20);
+const PROBE_BATCHING_DELAY: Duration = Duration::from_millis(20);
 
 /// Probes the instances that the traffic thread or a peer doubts, for the life of the process.
-pub async fn probe_instances(link: PeerLink, mut doubts: Receiver<Vec<Cookie>>) {
-    let asked = link.control.borrow().asked();
+pub async fn probe_instances(link: PeerLink, mut suspects: Receiver<Vec<Cookie>>) {
+    let probe_requested = link.control.borrow().probe_requested();
     loop {
         tokio::select! {
-            doubted = doubts.recv() => {
-                let Some(doubted) = doubted else { return };
-                link.control.borrow_mut().doubt(&doubted);
+            suspected = suspects.recv() => {
+                let Some(suspected) = suspected else { return };
+                link.control.borrow_mut().suspect(&suspected);
             }
-            () = asked.notified() => {}
-            () = sleep(LOOK_INTERVAL) => {}
+            () = probe_requested.notified() => {}
+            () = sleep(RECHECK_INTERVAL) => {}
         }
         // What is asked together is probed together, beside the same controls.
-        sleep(COLLECT_TIME).await;
+        sleep(PROBE_BATCHING_DELAY).await;
         let next = || link.control.borrow_mut().next_probe();
         while let Some(batch) = next() {
-            tokio::task::spawn_local(probe(link.clone(), batch));
+            tokio::task::spawn_local(run_probe(link.clone(), batch));
         }
     }
 }
 
-async fn probe(link: PeerLink, mut batch: ProbeBatch) {
-    let mut under_way = JoinSet::new();
+async fn run_probe(link: PeerLink, mut batch: ProbeBatch) {
+    let mut attempts = JoinSet::new();
     while !batch.is_complete() {
-        let all_begun = under_way.len() >= batch.attempts_left();
-        if !all_begun {
+        let all_started = attempts.len() >= batch.attempts_left();
+        if !all_started {
             let addresses = batch.next_addresses();
-            under_way.spawn_local(async move { attempt(&addresses).await });
+            attempts.spawn_local(async move { try_connect(&addresses).await });
         }
-        let patience = if all_begun {
+        let wait = if all_started {
             ATTEMPT_TIMEOUT
         } else {
             ATTEMPT_INTERVAL
         };
-        if let Ok(Some(Ok(opened))) = timeout(patience, under_way.join_next()).await {
+        if let Ok(Some(Ok(opened))) = timeout(wait, attempts.join_next()).await {
             batch.record_attempt(&opened);
         }
     }
     let outcomes = batch.outcomes();
-    let effects = link.control.borrow_mut().probed(&outcomes);
+    let effects = link.control.borrow_mut().record_probes(&outcomes);
     link.perform(effects);
-    let finds_nothing =
+    let is_inconclusive =
         |(_, outcome): &(Cookie, ProbeOutcome)| *outcome == ProbeOutcome::Inconclusive;
-    if outcomes.iter().any(finds_nothing) {
+    if outcomes.iter().any(is_inconclusive) {
         // Other controls may be sound.
-        link.control.borrow().asked().notify_one();
+        link.control.borrow().probe_requested().notify_one();
     }
 }
 
 /// The addresses at which a connection opens in time. Lasts the whole time unless all do, so that
 /// attempts at a machine that refuses are spread like those at one that is silent.
-async fn attempt(addresses: &[SocketAddrV4]) -> BTreeSet<SocketAddrV4> {
-    let over = tokio::time::Instant::now() + ATTEMPT_TIMEOUT;
+async fn try_connect(addresses: &[SocketAddrV4]) -> BTreeSet<SocketAddrV4> {
+    let deadline = tokio::time::Instant::now() + ATTEMPT_TIMEOUT;
     let mut connecting = JoinSet::new();
     for address in addresses {
         let address = *address;
@@ -82,11 +82,11 @@
         });
     }
     let mut opened = BTreeSet::new();
-    while let Some(ended) = connecting.join_next().await {
-        opened.extend(ended.ok().flatten());
+    while let Some(finished) = connecting.join_next().await {
+        opened.extend(finished.ok().flatten());
     }
     if opened.len() < addresses.len() {
-        sleep_until(over).await;
+        sleep_until(deadline).await;
     }
     opened
 }
--- a/crates/bellyoke-node/src/connection/patient_io.rs
+++ b/crates/bellyoke-node/src/connection/stall_timeout.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// Bytes that are read or written at once. A link of 1 Mbit/s carries them in an eighth of a second.
-const PIECE_LENGTH: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// All that the other side sends until it closes. Calls `progressed` after each piece.
 ///
@@ -27,23 +27,23 @@
 ///
 /// [`ErrorKind::TimedOut`] if nothing comes for `patience`, [`ErrorKind::InvalidData`] if more than
 /// `longest` bytes come, and those of the connection.
-pub async fn read_patiently(
+pub async fn read_to_end_with_stall_timeout(
     mut stream: impl AsyncRead + Unpin,
-    longest: usize,
-    patience: Duration,
-    mut progressed: impl FnMut(),
+    maximum_bytes: usize,
+    stall_timeout: Duration,
+    mut on_progress: impl FnMut(),
 ) -> std::io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     loop {
-        bytes.reserve(PIECE_LENGTH);
-        let read = timeout(patience, stream.read_buf(&mut bytes)).await;
+        bytes.reserve(CHUNK_BYTES);
+        let read = timeout(stall_timeout, stream.read_buf(&mut bytes)).await;
         if read.map_err(|_| Error::from(ErrorKind::TimedOut))?? == 0 {
             return Ok(bytes);
         }
-        if bytes.len() > longest {
+        if bytes.len() > maximum_bytes {
             return Err(ErrorKind::InvalidData.into());
         }
-        progressed();
+        on_progress();
     }
 }
 
@@ -53,13 +53,13 @@
 ///
 /// [`ErrorKind::TimedOut`] if the other side takes nothing for `patience`, and those of the
 /// connection.
-pub async fn write_patiently(
+pub async fn write_all_with_stall_timeout(
     mut stream: impl AsyncWrite + Unpin,
     bytes: &[u8],
-    patience: Duration,
+    stall_timeout: Duration,
 ) -> std::io::Result<()> {
-    for piece in bytes.chunks(PIECE_LENGTH) {
-        let written = timeout(patience, stream.write_all(piece)).await;
+    for chunk in bytes.chunks(CHUNK_BYTES) {
+        let written = timeout(stall_timeout, stream.write_all(chunk)).await;
         written.map_err(|_| Error::from(ErrorKind::TimedOut))??;
     }
     stream.shutdown().await
--- a/crates/bellyoke-node/src/packet/counters.rs
+++ b/crates/bellyoke-node/src/packet/counters.rs
@@ -21,7 +21,7 @@
     /// Sent on by its cookie.
     Followed,
     /// Sent on by its cookie, once the link has room.
-    Held,
+    Queued,
     /// Answered with a reset: no route.
     RefusedNoRoute,
     /// Answered with a reset: no instance.
@@ -33,7 +33,7 @@
     /// The open flow was ended with a reset: its instance can't be reached.
     ResetUnreachable,
     /// A flow that rested was ended with a reset: its instance has ended.
-    ResetResting,
+    ResetIdle,
     /// Dropped: it waited while the process stood still.
     DroppedBacklog,
     /// Dropped: its cookie is not known.
@@ -56,13 +56,13 @@
     const ALL: [Self; 17] = [
         Self::Placed,
         Self::Followed,
-        Self::Held,
+        Self::Queued,
         Self::RefusedNoRoute,
         Self::RefusedNoInstance,
         Self::RefusedOverloaded,
         Self::ResetSuperseded,
         Self::ResetUnreachable,
-        Self::ResetResting,
+        Self::ResetIdle,
         Self::DroppedBacklog,
         Self::DroppedUnknownCookie,
         Self::DroppedDuplicate,
@@ -79,13 +79,13 @@
         match self {
             Self::Placed => "placed",
             Self::Followed => "followed",
-            Self::Held => "held",
+            Self::Queued => "held",
             Self::RefusedNoRoute => "refused_no_route",
             Self::RefusedNoInstance => "refused_no_instance",
             Self::RefusedOverloaded => "refused_overloaded",
             Self::ResetSuperseded => "reset_superseded",
             Self::ResetUnreachable => "reset_unreachable",
-            Self::ResetResting => "reset_resting",
+            Self::ResetIdle => "reset_resting",
             Self::DroppedBacklog => "dropped_backlog",
             Self::DroppedUnknownCookie => "dropped_unknown_cookie",
             Self::DroppedDuplicate => "dropped_duplicate",
@@ -119,10 +119,10 @@
 impl PacketOutcome {
     /// What became of a packet of an open flow that the link may hold back.
     #[must_use]
-    pub const fn of_flow(sent: SendOutcome) -> Self {
+    pub const fn from_send(sent: SendOutcome) -> Self {
         match sent {
             SendOutcome::Sent => Self::Followed,
-            SendOutcome::Held => Self::Held,
+            SendOutcome::Queued => Self::Queued,
             SendOutcome::Duplicate => Self::DroppedDuplicate,
             SendOutcome::QueueFull => Self::DroppedQueueFull,
         }
@@ -136,7 +136,7 @@
 
 /// Upper bounds of the buckets of the time that flows take to open, seconds. Clients send copies
 /// of an opening after 0.2 and 0.6 s.
-const OPENING_BUCKETS: [f64; 9] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.6, 1.4];
+const OPENING_SECONDS_BUCKETS: [f64; 9] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.6, 1.4];
 
 /// Counters of all outcomes, shared by the traffic threads.
 #[derive(Clone, Debug)]
@@ -207,7 +207,7 @@
 #[derive(Clone, Debug, Default)]
 struct LinkGauges {
     bytes_per_second: Gauge,
-    held: Gauge,
+    queued_packets: Gauge,
 }
 
 impl ZoneGauges {
@@ -245,7 +245,7 @@
             };
             family.get_or_create(&label).clone()
         });
-        let opening_seconds = Histogram::new(OPENING_BUCKETS);
+        let opening_seconds = Histogram::new(OPENING_SECONDS_BUCKETS);
         registry.register(
             "opening_seconds",
             "Time from an opening to the next packet of its flow",
@@ -260,7 +260,7 @@
         registry.register(
             "link_held_packets",
             "Packets that wait for room on the link",
-            link.held.clone(),
+            link.queued_packets.clone(),
         );
         Self {
             counters,
@@ -272,40 +272,42 @@
     }
 
     /// The share of a service's openings of a class that is admitted.
-    pub fn show_admitted(&self, service: &str, class: RequestClass, share: f32) {
+    pub fn set_admitted_share(&self, service: &str, class: RequestClass, share: f32) {
         let labels = AdmissionLabels::of(service, class);
         let gauge = self.admission.shares.get_or_create(&labels);
         gauge.set(f64::from(share));
     }
 
     /// An opening of a class was refused since its service is overloaded.
-    pub fn refused(&self, service: &str, class: RequestClass) {
+    pub fn count_refused(&self, service: &str, class: RequestClass) {
         let labels = AdmissionLabels::of(service, class);
         self.admission.refused.get_or_create(&labels).inc();
     }
 
     /// Openings so far by zone, and how much busier than the mean the busiest instance is.
-    pub fn show_zones(&self, placements: ZonePlacements) {
+    pub fn set_zone_placements(&self, placements: ZonePlacements) {
         let gauge = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
         self.zones.own.set(gauge(placements.own));
         self.zones.other.set(gauge(placements.other));
     }
 
     /// How much busier than the mean the busiest instance of a service is, of the service where that is most.
-    pub fn show_imbalance(&self, imbalance: f32) {
+    pub fn set_imbalance(&self, imbalance: f32) {
         self.zones.imbalance.set(f64::from(imbalance));
     }
 
     /// What the sender believes of the link; no rate while nothing is paced.
-    pub fn show_link(&self, bytes_per_second: Option<f32>, held: usize) {
+    pub fn set_link(&self, bytes_per_second: Option<f32>, queued_packets: usize) {
         let rate = bytes_per_second.unwrap_or_default();
         self.link.bytes_per_second.set(rate as i64);
-        self.link.held.set(i64::try_from(held).unwrap_or(i64::MAX));
+        self.link
+            .queued_packets
+            .set(i64::try_from(queued_packets).unwrap_or(i64::MAX));
     }
 
     /// A flow has opened.
-    pub fn opened(&self, after: Duration) {
-        self.opening_seconds.observe(after.as_secs_f64());
+    pub fn record_opening_time(&self, duration: Duration) {
+        self.opening_seconds.observe(duration.as_secs_f64());
     }
 
     /// Counts a packet.
--- a/crates/bellyoke-node/src/packet/sender.rs
+++ b/crates/bellyoke-node/src/packet/sender.rs
@@ -9,7 +9,7 @@
 
 /// A datagram that waits for room on the link.
 #[derive(Debug)]
-struct HeldDatagram {
+struct QueuedDatagram {
     bytes: Box<[u8]>,
     address: SocketAddrV4,
 }
@@ -20,7 +20,7 @@
     /// It was sent.
     Sent,
     /// It waits.
-    Held,
+    Queued,
     /// The same data waits already.
     Duplicate,
     /// Too much waits.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct LinkSender {
     socket: UdpSocket,
-    pacer: LinkPacer<HeldDatagram>,
+    pacer: LinkPacer<QueuedDatagram>,
 }
 
 impl LinkSender {
@@ -76,12 +76,12 @@
             SendDecision::QueueFull => return Ok(SendOutcome::QueueFull),
             SendDecision::Enqueue => {}
         }
-        let held = HeldDatagram {
+        let queued = QueuedDatagram {
             bytes: datagram.into(),
             address: destination.address,
         };
-        self.pacer.enqueue(outgoing, held);
-        Ok(SendOutcome::Held)
+        self.pacer.enqueue(outgoing, queued);
+        Ok(SendOutcome::Queued)
     }
 
     /// Sends a datagram at once.
@@ -100,21 +100,21 @@
     ///
     /// If the system can't send one; further ones go with the next call.
     pub fn send_due(&mut self, now: Timestamp) -> io::Result<()> {
-        while let Some(held) = self.pacer.next_due(now) {
-            self.send(&held.bytes, held.address)?;
+        while let Some(queued) = self.pacer.next_due(now) {
+            self.send(&queued.bytes, queued.address)?;
         }
         Ok(())
     }
 
     /// When the next datagram that was held back may go; none if none was.
     #[must_use]
-    pub fn next_at(&self) -> Option<Timestamp> {
+    pub fn next_due_at(&self) -> Option<Timestamp> {
         self.pacer.next_due_at()
     }
 
     /// Datagrams that wait.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn queued_packets(&self) -> usize {
         self.pacer.queued_packets()
     }
 
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -27,10 +27,10 @@
 use std::time::Duration;
 
 /// Longest packet that is read, bytes.
-const MAXIMUM_PACKET_LENGTH: usize = 2_048;
+const MAXIMUM_PACKET_BYTES: usize = 2_048;
 
 /// Stack of a traffic thread, bytes.
-const STACK_LENGTH: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
 /// Time between two reviews of the openings under way.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
@@ -41,10 +41,10 @@
 
 /// Longest wait for a packet: resting flows are to be ended soon after their instance, and a node that gets
 /// no packets wakes up ten times a second.
-const LONGEST_WAIT: Duration = REVIEW_INTERVAL;
+const MAXIMUM_RECEIVE_WAIT: Duration = REVIEW_INTERVAL;
 
 /// Lines of one event in one second.
-const LOG_ALLOWANCE: u32 = 200;
+const LOG_LINES_PER_SECOND: u32 = 200;
 
 /// Starts a thread that forwards what comes in at `socket`.
 ///
@@ -58,9 +58,9 @@
     shared: Arc<Shared>,
     forwarder: Forwarder,
 ) -> io::Result<JoinHandle<()>> {
-    socket.set_read_timeout(Some(LONGEST_WAIT))?;
+    socket.set_read_timeout(Some(MAXIMUM_RECEIVE_WAIT))?;
     let builder = std::thread::Builder::new();
-    let builder = builder.name(name).stack_size(STACK_LENGTH);
+    let builder = builder.name(name).stack_size(STACK_BYTES);
     builder.spawn(move || TrafficThread::new(socket, codec, shared, forwarder).run())
 }
 
@@ -69,11 +69,11 @@
     codec: Codec,
     shared: Arc<Shared>,
     forwarder: Forwarder,
-    guard: BacklogGuard,
+    backlog_guard: BacklogGuard,
     limiter: LogLimiter,
     next_review: Timestamp,
     next_urgent_review: Timestamp,
-    next_gauges: Timestamp,
+    next_gauge_update: Timestamp,
     was_paced: bool,
     /// The port that clients are answered at.
     client_port: u16,
@@ -87,25 +87,25 @@
             codec,
             shared,
             forwarder,
-            guard: BacklogGuard::default(),
-            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_ALLOWANCE),
+            backlog_guard: BacklogGuard::default(),
+            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_LINES_PER_SECOND),
             next_review: Timestamp::ZERO,
             next_urgent_review: Timestamp::ZERO,
-            next_gauges: Timestamp::ZERO,
+            next_gauge_update: Timestamp::ZERO,
             was_paced: false,
             client_port,
         }
     }
 
     fn run(mut self) {
-        let mut buffer = vec![0; Codec::ENCAPSULATION_LENGTH + MAXIMUM_PACKET_LENGTH];
+        let mut buffer = vec![0; Codec::ENCAPSULATION_LENGTH + MAXIMUM_PACKET_BYTES];
         let mut drain = false;
         loop {
             self.send_due();
-            self.end_resting();
+            self.reset_idle_flows();
             // While packets may be old, or others wait to be sent, the socket is read without
             // waiting until it is empty.
-            let flags = if drain || self.next_at().is_some() {
+            let flags = if drain || self.next_event_at().is_some() {
                 MsgFlags::MSG_DONTWAIT
             } else {
                 MsgFlags::empty()
@@ -114,12 +114,12 @@
             match recv(self.sender.as_fd().as_raw_fd(), packet, flags) {
                 Ok(length) => {
                     let datagram = &mut buffer[..Codec::ENCAPSULATION_LENGTH + length];
-                    drain = self.handle(datagram, drain);
+                    drain = self.handle_packet(datagram, drain);
                 }
                 Err(Errno::EAGAIN) => {
-                    self.guard.emptied();
+                    self.backlog_guard.emptied();
                     drain = false;
-                    self.wait_for_room();
+                    self.wait_for_event();
                     self.review_idle();
                 }
                 Err(Errno::EINTR | Errno::ECONNREFUSED) => {}
@@ -133,7 +133,7 @@
 
     /// Sends what the link has room for by now.
     fn send_due(&mut self) {
-        if self.sender.next_at().is_none() {
+        if self.sender.next_due_at().is_none() {
             return;
         }
         let now = self.shared.clock.now();
@@ -143,12 +143,12 @@
     }
 
     /// When something is due that no packet brings about; none if nothing is.
-    fn next_at(&self) -> Option<Timestamp> {
-        let ends_at = self.forwarder.next_end_at();
-        let sends_at = self.sender.next_at();
-        let waiting = self.has_waiting_clients();
-        let review_at = waiting.then_some(self.next_urgent_review);
-        sends_at.into_iter().chain(ends_at).chain(review_at).min()
+    fn next_event_at(&self) -> Option<Timestamp> {
+        let reset_at = self.forwarder.next_end_at();
+        let send_at = self.sender.next_due_at();
+        let has_waiting = self.has_waiting_clients();
+        let review_at = has_waiting.then_some(self.next_urgent_review);
+        send_at.into_iter().chain(reset_at).chain(review_at).min()
     }
 
     /// Whether clients wait in vain for instances. Where the node's own link is paced it may be its fault, and it acts
@@ -165,29 +165,29 @@
     }
 
     /// Resets the resting flows that are due.
-    fn end_resting(&mut self) {
+    fn reset_idle_flows(&mut self) {
         if self.forwarder.next_end_at().is_none() {
             return;
         }
         let now = self.shared.clock.now();
         let table = self.shared.table.load_full();
-        while let Some(end) = self.forwarder.next_end(now, &table) {
-            let reset = self.codec.reset_flow(&end.flow, end.acknowledged);
-            let client = SocketAddrV4::new(*end.flow.client.ip(), self.client_port);
-            self.shared.packets.count(PacketOutcome::ResetResting);
-            self.log_end(now, &end);
-            if let Err(error) = self.sender.send(&reset, client) {
+        while let Some(reset) = self.forwarder.next_end(now, &table) {
+            let datagram = self.codec.reset_flow(&reset.flow, reset.acknowledged);
+            let client = SocketAddrV4::new(*reset.flow.client.ip(), self.client_port);
+            self.shared.packets.count(PacketOutcome::ResetIdle);
+            self.log_idle_flow_reset(now, &reset);
+            if let Err(error) = self.sender.send(&datagram, client) {
                 self.send_failed(now, &error);
             }
         }
     }
 
     /// Waits until a packet comes or the next one that was held back may go.
-    fn wait_for_room(&self) {
-        let Some(next_at) = self.next_at() else {
+    fn wait_for_event(&self) {
+        let Some(next_event_at) = self.next_event_at() else {
             return;
         };
-        let wait = TimeSpec::from_duration(next_at.since(self.shared.clock.now()));
+        let wait = TimeSpec::from_duration(next_event_at.since(self.shared.clock.now()));
         let mut sockets = [PollFd::new(self.sender.as_fd(), PollFlags::POLLIN)];
         // An interrupted wait is a short one.
         let _ = ppoll(&mut sockets, Some(wait), None);
@@ -195,9 +195,9 @@
 
     /// Handles one packet, which stands behind room for its encapsulation. Returns whether
     /// packets in the socket may be old.
-    fn handle(&mut self, datagram: &mut [u8], was_draining: bool) -> bool {
+    fn handle_packet(&mut self, datagram: &mut [u8], was_draining: bool) -> bool {
         let now = self.shared.clock.now();
-        let backlog = self.guard.packet(now, self.shared.ticks());
+        let backlog = self.backlog_guard.packet(now, self.shared.ticks());
         if backlog && !was_draining {
             self.forwarder.stalled();
         }
@@ -226,12 +226,12 @@
                 opened_after,
             } => {
                 if let Some(after) = opened_after {
-                    self.shared.packets.opened(*after);
+                    self.shared.packets.record_opening_time(*after);
                 }
                 let sent = self.send_to_instance(now, packet, datagram, destination);
                 outcome = sent
                     .as_ref()
-                    .map_or(outcome, |sent| PacketOutcome::of_flow(*sent));
+                    .map_or(outcome, |sent| PacketOutcome::from_send(*sent));
                 sent
             }
             Decision::Refuse(_) | Decision::Reset(_) => self.send_reset(datagram, packet),
@@ -290,18 +290,18 @@
         }
         self.next_review = now.after(REVIEW_INTERVAL);
         self.next_urgent_review = now.after(URGENT_REVIEW_INTERVAL);
-        self.show_link(now);
-        let nodes = self.shared.nodes.load(Ordering::Relaxed);
-        self.forwarder.set_nodes(nodes as f64);
-        let estimated = self.shared.estimated_nodes.load(Ordering::Relaxed);
+        self.update_link_state(now);
+        let node_count = self.shared.node_count_upper_bound.load(Ordering::Relaxed);
+        self.forwarder.set_nodes(node_count as f64);
+        let estimated = self.shared.estimated_node_count.load(Ordering::Relaxed);
         self.forwarder.set_estimated_nodes(estimated);
         let suspected = self.shared.peer_suspicions.load();
         self.forwarder.set_peer_suspicions(&suspected);
         self.log_health_changes(now, table);
-        self.show_zones(now, table);
-        self.exchange_doubts(now);
+        self.review_zones(now, table);
+        self.exchange_reachability(now);
         self.forwarder.review_ends(now, table);
-        self.exchange_answers();
+        self.exchange_outliers();
         let failing: Vec<Cookie> = self.forwarder.failing_instances().collect();
         if **self.shared.failing.load() != failing {
             self.shared.failing.store(Arc::new(failing));
@@ -310,16 +310,16 @@
 
     /// Says which instances are in question, and hears which can't be reached. While this node's own
     /// link loses data it neither asks nor acts: what it sees may be its own fault.
-    fn exchange_doubts(&mut self, now: Timestamp) {
-        let failed = self.forwarder.take_failed(now);
-        let sound = self.forwarder.sound_instances(now);
-        if **self.shared.sound.load() != sound {
-            self.shared.sound.store(Arc::new(sound));
+    fn exchange_reachability(&mut self, now: Timestamp) {
+        let suspects = self.forwarder.take_failed(now);
+        let healthy = self.forwarder.sound_instances(now);
+        if **self.shared.healthy.load() != healthy {
+            self.shared.healthy.store(Arc::new(healthy));
         }
-        let questioned = self.shared.in_question.load();
-        let living = self.forwarder.living(now, &questioned);
-        if **self.shared.living.load() != living {
-            self.shared.living.store(Arc::new(living));
+        let under_verification = self.shared.under_verification.load();
+        let alive = self.forwarder.living(now, &under_verification);
+        if **self.shared.alive.load() != alive {
+            self.shared.alive.store(Arc::new(alive));
         }
         if self.sender.bytes_per_second().is_some() {
             let none = BTreeSet::new();
@@ -332,14 +332,14 @@
         self.forwarder.set_unreachable(&unreachable, &avoided);
         self.forwarder.set_ended(&self.shared.ended.load());
         // If the control thread is behind, the next failure asks again.
-        if !failed.is_empty() {
-            let _ = self.shared.doubts.try_send(failed);
+        if !suspects.is_empty() {
+            let _ = self.shared.suspects.try_send(suspects);
         }
     }
 
     /// Hands on what became of requests, and hears whose answers fail. What the control thread has not taken
     /// yet waits here.
-    fn exchange_answers(&mut self) {
+    fn exchange_outliers(&mut self) {
         self.forwarder.set_outliers(&self.shared.outliers.load());
         if let Ok(mut tallies) = self.shared.tallies.try_lock()
             && tallies.is_empty()
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// Time between two looks at how evenly instances are loaded, which reads the load of each, and at what is admitted.
-const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
+const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<Codec: PacketCodec> TrafficThread<Codec> {
-    pub(super) fn show_link(&mut self, now: Timestamp) {
-        let (rate, held) = (self.sender.bytes_per_second(), self.sender.held());
-        self.shared.packets.show_link(rate, held);
+    pub(super) fn update_link_state(&mut self, now: Timestamp) {
+        let (rate, queued) = (self.sender.bytes_per_second(), self.sender.queued_packets());
+        self.shared.packets.set_link(rate, queued);
         if rate.is_some() == self.was_paced {
             return;
         }
@@ -30,14 +30,14 @@
             Some(rate) => self.limiter.log(
                 EventCode::LinkPaced,
                 now,
-                format_args!("bytes_per_second={rate:.0} held={held}"),
+                format_args!("bytes_per_second={rate:.0} held={queued}"),
             ),
             None => self.limiter.log(EventCode::LinkFree, now, ""),
         }
     }
 
     /// Adapts the shares of openings that go to other zones, and shows what came of them.
-    pub(super) fn show_zones(&mut self, now: Timestamp, table: &ForwardingTable) {
+    pub(super) fn review_zones(&mut self, now: Timestamp, table: &ForwardingTable) {
         for change in self.forwarder.review_zones(now) {
             let service = table.services().get(change.service.0 as usize);
             let milliseconds =
@@ -59,13 +59,15 @@
             );
         }
         let placements = self.forwarder.zone_placements();
-        self.shared.packets.show_zones(placements);
-        if now >= self.next_gauges {
-            self.next_gauges = now.after(GAUGE_INTERVAL);
+        self.shared.packets.set_zone_placements(placements);
+        if now >= self.next_gauge_update {
+            self.next_gauge_update = now.after(GAUGE_UPDATE_INTERVAL);
             let imbalance = self.forwarder.imbalance(now, table);
-            self.shared.packets.show_imbalance(imbalance);
+            self.shared.packets.set_imbalance(imbalance);
             for (service, class, share) in self.forwarder.admission().admitted_shares() {
-                self.shared.packets.show_admitted(service, class, share);
+                self.shared
+                    .packets
+                    .set_admitted_share(service, class, share);
             }
         }
     }
@@ -79,7 +81,7 @@
         let service = service.and_then(|number| table.services().get(number));
         let class = RequestClass::of(&route.terms);
         let service = service.map_or("", String::as_str);
-        self.shared.packets.refused(service, class);
+        self.shared.packets.count_refused(service, class);
     }
 
     pub(super) fn log_health_changes(&mut self, now: Timestamp, table: &ForwardingTable) {
@@ -144,16 +146,16 @@
         );
     }
 
-    pub(super) fn log_end(&mut self, now: Timestamp, end: &FlowEnd) {
+    pub(super) fn log_idle_flow_reset(&mut self, now: Timestamp, reset: &FlowEnd) {
         self.limiter.log(
             EventCode::RestingFlowEnded,
             now,
             format_args!(
                 "client={} service={} cookie={:08x} because={:?}",
-                end.flow.client,
-                end.flow.service,
-                end.cookie.bits(),
-                end.reason,
+                reset.flow.client,
+                reset.flow.service,
+                reset.cookie.bits(),
+                reset.reason,
             ),
         );
     }
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -36,17 +36,17 @@
 use tokio::sync::Notify;
 
 /// Period of [`Control::tick`].
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Lines of one event in one second.
-const LOG_ALLOWANCE: u32 = 20;
+const LOG_LINES_PER_SECOND: u32 = 20;
 
 /// Least time between two tellings of what peers found, beside those of each tick: all instances that are held to be
 /// unreachable are put together for each.
-const SHOWING_INTERVAL: Duration = Duration::from_millis(50);
+const REACHABILITY_PUBLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A node that knows nothing yet.
-fn replica(timing: &TimingSettings) -> Replica {
+fn new_replica(timing: &TimingSettings) -> Replica {
     let tombstone_lifetime = timing.tombstone_lifetime();
     if timing.reads_zones() {
         Replica::reading_zones(tombstone_lifetime)
@@ -56,7 +56,7 @@
 }
 
 /// How long an encoded delta is kept: it tells ages of what has gone.
-const DELTA_LIFETIME: Duration = Duration::from_millis(20);
+const ENCODED_DELTA_LIFETIME: Duration = Duration::from_millis(20);
 
 /// A delta as it was sent last.
 struct EncodedDelta {
@@ -77,16 +77,16 @@
     registry: Registry,
     metrics: ControlMetrics,
     limiter: LogLimiter,
-    told_failing: Arc<Vec<Cookie>>,
+    reported_failing: Arc<Vec<Cookie>>,
     /// Told when a peer asks whether instances can be reached.
-    asked: Arc<Notify>,
+    probe_requested: Arc<Notify>,
     was_ready: bool,
     last_duty: StoreDuty,
     was_busy: bool,
     last_delta: Option<EncodedDelta>,
     tables: TablePacer,
     /// When the traffic thread may next be told at once which instances can't be reached.
-    next_showing: Timestamp,
+    next_reachability_publication: Timestamp,
     /// The store's era as logged last.
     logged_era: StoreEra,
 }
@@ -111,22 +111,22 @@
         .with_place(settings.place());
         Self {
             clock: shared.clock,
-            coordinator: Coordinator::new(replica(&settings.timing), exchange)
-                .with_outlier_settings(settings.outliers.detection()),
+            coordinator: Coordinator::new(new_replica(&settings.timing), exchange)
+                .with_outlier_settings(settings.outliers.outlier_settings()),
             lifecycle: Lifecycle::new(settings.timing.leave_grace()),
             random,
             peer_key: PeerKey::default(),
             metrics: ControlMetrics::new(&mut registry),
             registry,
-            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_ALLOWANCE),
-            told_failing: Arc::default(),
-            asked: Arc::default(),
+            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_LINES_PER_SECOND),
+            reported_failing: Arc::default(),
+            probe_requested: Arc::default(),
             was_ready: false,
             last_duty: StoreDuty::Listener,
             was_busy: false,
             last_delta: None,
             tables: TablePacer::default(),
-            next_showing: Timestamp::ZERO,
+            next_reachability_publication: Timestamp::ZERO,
             logged_era: StoreEra::default(),
             shared,
         }
@@ -191,11 +191,11 @@
     pub fn delta_for(&mut self, known: Versions) -> Option<Rc<[u8]>> {
         let now = self.clock.now();
         let own = self.coordinator.replica().versions();
-        if let Some(held) = &self.last_delta
-            && (held.known, held.own) == (known, own)
-            && now.since(held.encoded_at) < DELTA_LIFETIME
+        if let Some(cached) = &self.last_delta
+            && (cached.known, cached.own) == (known, own)
+            && now.since(cached.encoded_at) < ENCODED_DELTA_LIFETIME
         {
-            return held.bytes.clone();
+            return cached.bytes.clone();
         }
         let message = self.coordinator.delta_for(now, known);
         let bytes = message.and_then(|message| message.encode(&self.peer_key).ok());
@@ -210,42 +210,46 @@
     }
 
     /// The store tells of instances.
-    pub fn instances(
+    pub fn apply_instances(
         &mut self,
         update: Update<InstanceRecord, InstanceEvent>,
     ) -> Vec<ExchangeEffect> {
-        let told = update.at();
+        let received = update.at();
         let known = self.known_up_to(ObjectKind::Instances);
         let outcome = self.coordinator.apply_instances(self.clock.now(), update);
-        if told < known {
-            self.log_old_state(ObjectKind::Instances, told, known);
+        if received < known {
+            self.log_stale_state(ObjectKind::Instances, received, known);
         }
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
     /// The store tells of the configuration.
-    pub fn configurations(
+    pub fn apply_configurations(
         &mut self,
         update: Update<Configuration, Configuration>,
     ) -> Vec<ExchangeEffect> {
-        let told = update.last().map(|last| (last.version, last.revision));
+        let received = update.last().map(|last| (last.version, last.revision));
         let outcome = self
             .coordinator
             .apply_configurations(self.clock.now(), update);
-        if let Some((version, revision)) = told {
+        if let Some((version, revision)) = received {
             self.log_ignored_configuration(version, revision);
         }
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
     /// The store tells of drained zones.
-    pub fn zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
+    pub fn apply_zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
         let outcome = self.coordinator.apply_zones(self.clock.now(), update);
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
     /// A peer's snapshot has come.
-    pub fn snapshot(&mut self, from: SocketAddrV4, snapshot: Snapshot) -> Vec<ExchangeEffect> {
+    pub fn apply_snapshot(
+        &mut self,
+        from: SocketAddrV4,
+        snapshot: Snapshot,
+    ) -> Vec<ExchangeEffect> {
         self.metrics.snapshots_fetched.inc();
         let outcome = self
             .coordinator
@@ -257,11 +261,11 @@
                 outcome.change.configuration, outcome.change.directory, outcome.change.zones
             ),
         );
-        self.take(outcome, Source::Peer)
+        self.apply_outcome(outcome, Source::Peer)
     }
 
     /// A part of a peer's snapshot has come.
-    pub fn fetch_progressed(&mut self, from: SocketAddrV4) {
+    pub fn record_fetch_progress(&mut self, from: SocketAddrV4) {
         self.coordinator
             .record_fetch_progress(self.clock.now(), from);
     }
@@ -272,11 +276,11 @@
     }
 
     /// A datagram has come from a peer.
-    pub fn datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) -> Vec<ExchangeEffect> {
+    pub fn handle_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) -> Vec<ExchangeEffect> {
         let datagram = match PeerDatagram::decode(bytes, &self.peer_key) {
             Ok(datagram) => datagram,
             Err(error) => {
-                self.metrics.heartbeats_rejected.inc();
+                self.metrics.peer_messages_rejected.inc();
                 self.limiter.log(
                     EventCode::PeerMessagesRejected,
                     self.clock.now(),
@@ -290,50 +294,50 @@
             PeerDatagram::Delta(_) => self.metrics.deltas_received.inc(),
             PeerDatagram::Outliers(_) => self.metrics.outlier_messages_received.inc(),
             PeerDatagram::ProbeRequest(_) => {
-                self.asked.notify_one();
-                self.metrics.questions_received.inc()
+                self.probe_requested.notify_one();
+                self.metrics.probe_requests_received.inc()
             }
-            PeerDatagram::Refutation(_) => self.metrics.objections_received.inc(),
+            PeerDatagram::Refutation(_) => self.metrics.refutations_received.inc(),
             PeerDatagram::Findings(_) => self.metrics.findings_received.inc(),
         };
         let now = self.clock.now();
-        let is_verdict = matches!(
+        let affects_reachability = matches!(
             datagram,
             PeerDatagram::ProbeRequest(_) | PeerDatagram::Refutation(_) | PeerDatagram::Findings(_)
         );
         let outcome = self.coordinator.handle_datagram(now, from, datagram);
-        if is_verdict && now >= self.next_showing {
-            self.show_unreachable(now);
+        if affects_reachability && now >= self.next_reachability_publication {
+            self.publish_reachability(now);
         }
-        self.take(outcome, Source::Peer)
+        self.apply_outcome(outcome, Source::Peer)
     }
 
     /// Told when a peer asks whether instances can be reached.
     #[must_use]
-    pub fn asked(&self) -> Arc<Notify> {
-        Arc::clone(&self.asked)
+    pub fn probe_requested(&self) -> Arc<Notify> {
+        Arc::clone(&self.probe_requested)
     }
 
     /// The traffic thread's openings at some instances came to nothing.
-    pub fn doubt(&mut self, cookies: &[Cookie]) {
+    pub fn suspect(&mut self, cookies: &[Cookie]) {
         self.coordinator.suspect(self.clock.now(), cookies);
     }
 
     /// The probe to begin now, if an instance is in question.
     pub fn next_probe(&mut self) -> Option<ProbeBatch> {
-        let sound = self.shared.sound.load();
-        self.coordinator.next_probe(self.clock.now(), &sound)
+        let healthy = self.shared.healthy.load();
+        self.coordinator.next_probe(self.clock.now(), &healthy)
     }
 
     /// A probe is over.
-    pub fn probed(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
+    pub fn record_probes(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.count_probes(outcomes);
         let (changes, effects) = self.coordinator.record_probes(now, outcomes);
         for change in changes {
             self.log_reachability(now, change);
         }
-        self.show_unreachable(now);
+        self.publish_reachability(now);
         effects
     }
 
@@ -351,16 +355,18 @@
                 format_args!("milliseconds={}", gap.as_millis()),
             );
         }
-        self.note_change(now, outcome.change);
+        self.publish_table_changes(now, outcome.change);
         let mut effects = outcome.effects;
         effects.extend(self.exchange_suspicions(now));
-        effects.extend(self.object(now));
+        effects.extend(self.report_alive(now));
         effects.extend(self.review_outliers(now));
-        self.show_unreachable(now);
-        self.note_duty(now);
+        self.publish_reachability(now);
+        self.log_duty_change(now);
         let nodes = self.coordinator.node_count_upper_bound(now).ceil();
-        self.shared.nodes.store(nodes as u64, Ordering::Relaxed);
-        self.show_state(now);
+        self.shared
+            .node_count_upper_bound
+            .store(nodes as u64, Ordering::Relaxed);
+        self.update_gauges(now);
         effects
     }
 
@@ -368,7 +374,7 @@
     pub fn leave(&mut self) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.lifecycle.leave(now);
-        self.note_readiness();
+        self.log_readiness_change();
         self.coordinator.leave(now)
     }
 
@@ -384,8 +390,8 @@
     }
 
     /// Publishes and logs what changed, and returns what to do.
-    fn take(&mut self, outcome: Outcome, source: Source) -> Vec<ExchangeEffect> {
-        self.note_era(source);
+    fn apply_outcome(&mut self, outcome: Outcome, source: Source) -> Vec<ExchangeEffect> {
+        self.record_era(source);
         if outcome.change.configuration {
             self.log_configuration(source);
         }
@@ -395,16 +401,16 @@
         if outcome.change.zones {
             self.log_zones(source);
         }
-        self.note_change(self.clock.now(), outcome.change);
-        self.note_readiness();
+        self.publish_table_changes(self.clock.now(), outcome.change);
+        self.log_readiness_change();
         outcome.effects
     }
 
     /// Publishes the table after a change, once it is due, or at once if what is published says nothing yet.
-    fn note_change(&mut self, now: Timestamp, change: StateChange) {
+    fn publish_table_changes(&mut self, now: Timestamp, change: StateChange) {
         self.tables.changed(now, change);
-        let says_nothing = self.tables.is_behind() && !self.shared.table.load().is_informed();
-        if self.tables.is_due(now) || says_nothing {
+        let is_uninitialized = self.tables.is_behind() && !self.shared.table.load().is_informed();
+        if self.tables.is_due(now) || is_uninitialized {
             let table = self.coordinator.replica().table();
             self.shared.table.store(Arc::new(table));
             self.tables.published(now, self.clock.now().since(now));
@@ -412,8 +418,8 @@
     }
 
     /// Tells the traffic thread which instances can't be reached.
-    fn show_unreachable(&mut self, now: Timestamp) {
-        self.next_showing = now.after(SHOWING_INTERVAL);
+    fn publish_reachability(&mut self, now: Timestamp) {
+        self.next_reachability_publication = now.after(REACHABILITY_PUBLICATION_INTERVAL);
         let unreachable = self.coordinator.unreachable(now);
         if **self.shared.unreachable.load() != unreachable {
             self.shared.unreachable.store(Arc::new(unreachable));
@@ -422,9 +428,11 @@
         if **self.shared.ended.load() != ended {
             self.shared.ended.store(Arc::new(ended));
         }
-        let in_question = self.coordinator.under_verification(now);
-        if **self.shared.in_question.load() != in_question {
-            self.shared.in_question.store(Arc::new(in_question));
+        let under_verification = self.coordinator.under_verification(now);
+        if **self.shared.under_verification.load() != under_verification {
+            self.shared
+                .under_verification
+                .store(Arc::new(under_verification));
         }
         let avoided = self.coordinator.avoided(now);
         if **self.shared.avoided.load() != avoided {
@@ -433,14 +441,14 @@
     }
 
     /// Tells peers which of the instances in question the traffic thread has seen alive.
-    fn object(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
-        let living = self.shared.living.load_full();
-        if living.is_empty() {
+    fn report_alive(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
+        let alive = self.shared.alive.load_full();
+        if alive.is_empty() {
             return Vec::new();
         }
-        let (dropped, effects) = self.coordinator.report_alive(now, &living);
+        let (dropped, effects) = self.coordinator.report_alive(now, &alive);
         for cookie in dropped {
-            self.log_objection(now, cookie);
+            self.log_refutation(now, cookie);
         }
         effects
     }
@@ -452,7 +460,7 @@
             .shared
             .tallies
             .lock()
-            .map(|mut held| std::mem::take(&mut *held));
+            .map(|mut tallies| std::mem::take(&mut *tallies));
         let tallies = tallies.unwrap_or_default();
         self.count_answers(&tallies);
         self.coordinator.record_answers(now, &table, &tallies);
@@ -473,9 +481,9 @@
     fn exchange_suspicions(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         let failing = self.shared.failing.load_full();
-        if failing != self.told_failing {
+        if failing != self.reported_failing {
             effects = self.coordinator.set_failing(now, failing.to_vec());
-            self.told_failing = failing;
+            self.reported_failing = failing;
         }
         let suspected = self.coordinator.peer_suspicions();
         if **self.shared.peer_suspicions.load() != suspected {
--- a/crates/bellyoke-node/src/process/control/report.rs
+++ b/crates/bellyoke-node/src/process/control/report.rs
@@ -23,7 +23,7 @@
 const NEVER_CONFIRMED: i64 = -1;
 
 impl Control {
-    pub(super) fn note_readiness(&mut self) {
+    pub(super) fn log_readiness_change(&mut self) {
         let readiness = self.readiness();
         if readiness.is_ok() != self.was_ready {
             self.was_ready = readiness.is_ok();
@@ -41,7 +41,7 @@
         self.limiter.log(event, now, format_args!("peer={peer}"));
     }
 
-    pub(super) fn note_duty(&mut self, now: Timestamp) {
+    pub(super) fn log_duty_change(&mut self, now: Timestamp) {
         let duty = self.coordinator.duty(now);
         if duty != self.last_duty {
             let before = std::mem::replace(&mut self.last_duty, duty);
@@ -51,7 +51,7 @@
             );
             self.log_duty_reason(duty);
         }
-        self.note_busy();
+        self.log_busy_change();
     }
 
     /// Why the node took or left a duty.
@@ -69,7 +69,7 @@
     }
 
     /// The node has become too busy for duties that others can take, or is no more.
-    fn note_busy(&mut self) {
+    fn log_busy_change(&mut self) {
         let exchange = self.coordinator.exchange();
         let (busy, class) = (exchange.is_busy(), exchange.place().class.number());
         if busy == std::mem::replace(&mut self.was_busy, busy) {
@@ -123,7 +123,7 @@
     }
 
     /// The store may have been restored.
-    pub(super) fn note_era(&mut self, source: Source) {
+    pub(super) fn record_era(&mut self, source: Source) {
         let era = self.coordinator.era();
         if era == self.logged_era {
             return;
@@ -151,43 +151,48 @@
         &mut self,
         kind: ObjectKind,
         context: CallContext,
-        told: Option<StoreEra>,
+        received: Option<StoreEra>,
     ) {
-        let told = told.map_or_else(|| "none".to_owned(), |era| era.to_string());
+        let received = received.map_or_else(|| "none".to_owned(), |era| era.to_string());
         let line = format!(
-            "kind={} told_era={told} asked_in={} era={}",
+            "kind={} told_era={received} asked_in={} era={}",
             kind.name(),
             context.era,
             self.coordinator.era()
         );
-        self.metrics.old_states.inc();
+        self.metrics.stale_states.inc();
         self.limiter
             .log(EventCode::OldStateIgnored, self.clock.now(), line);
     }
 
     /// An answer of the store was older than what this node knows.
-    pub(super) fn log_old_state(&mut self, kind: ObjectKind, told: Revision, known: Revision) {
-        self.metrics.old_states.inc();
+    pub(super) fn log_stale_state(
+        &mut self,
+        kind: ObjectKind,
+        received: Revision,
+        known: Revision,
+    ) {
+        self.metrics.stale_states.inc();
         self.limiter.log(
             EventCode::OldStateIgnored,
             self.clock.now(),
-            format_args!("kind={} told={told} known={known}", kind.name()),
+            format_args!("kind={} told={received} known={known}", kind.name()),
         );
     }
 
     /// The store has told a configuration: if it isn't the one in force, it was taken for older.
     pub(super) fn log_ignored_configuration(&mut self, version: u64, revision: Revision) {
-        let Some(held) = self.coordinator.replica().configuration() else {
+        let Some(current) = self.coordinator.replica().configuration() else {
             return;
         };
-        if held.version == version {
+        if current.version == version {
             return;
         }
         let line = format!(
             "kind=configuration version={version} told={revision} held_version={} held={}",
-            held.version, held.revision
+            current.version, current.revision
         );
-        self.metrics.old_states.inc();
+        self.metrics.stale_states.inc();
         self.limiter
             .log(EventCode::OldStateIgnored, self.clock.now(), line);
     }
@@ -236,7 +241,7 @@
             .log(event, now, format_args!("cookie={cookie:08x}"));
     }
 
-    pub(super) fn log_objection(&mut self, now: Timestamp, cookie: Cookie) {
+    pub(super) fn log_refutation(&mut self, now: Timestamp, cookie: Cookie) {
         self.limiter.log(
             EventCode::InstanceLives,
             now,
@@ -246,9 +251,9 @@
 
     pub(super) fn count_answers(&self, tallies: &[InstanceTally]) {
         for tally in tallies {
-            let usual = tally.requests.saturating_sub(tally.bad());
+            let normal = tally.requests.saturating_sub(tally.bad());
             for (quality, count) in [
-                ("usual", usual),
+                ("usual", normal),
                 ("slow", tally.slow),
                 ("failed", tally.failed),
             ] {
@@ -312,20 +317,22 @@
             .log(EventCode::ZonesChanged, now, format_args!("{line}"));
     }
 
-    pub(super) fn show_state(&self, now: Timestamp) {
+    pub(super) fn update_gauges(&self, now: Timestamp) {
         let set = |gauge: &prometheus_client::metrics::gauge::Gauge, value: u128| {
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         };
         let metrics = &self.metrics;
-        let heard = self
+        let connected_peers = self
             .coordinator
             .exchange()
             .peers()
             .filter(|(_, peer)| peer.received_heartbeat);
-        set(&metrics.peers, heard.count() as u128);
+        set(&metrics.peers, connected_peers.count() as u128);
         let nodes = self.coordinator.exchange().estimated_nodes();
         let nodes = nodes.round() as u64;
-        self.shared.estimated_nodes.store(nodes, Ordering::Relaxed);
+        self.shared
+            .estimated_node_count
+            .store(nodes, Ordering::Relaxed);
         let instances = self.coordinator.replica().directory().len();
         set(&metrics.instances, instances as u128);
         let unreachable = self.shared.unreachable.load().len();
@@ -333,7 +340,7 @@
         let drained = self.coordinator.replica().zones().drained();
         set(&metrics.drained_zones, drained.count() as u128);
         let configuration = self.coordinator.replica().configuration();
-        let version = configuration.map_or(0, |held| held.version);
+        let version = configuration.map_or(0, |current| current.version);
         set(&metrics.configuration_version, u128::from(version));
         let age = self.coordinator.exchange().confirmation_age(now);
         let age = age.map_or(NEVER_CONFIRMED, |age| {
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -18,7 +18,7 @@
 
     /// Whether this node is one of the few that ask the store for all that know nothing.
     #[must_use]
-    pub fn asks_for_all(&self) -> bool {
+    pub fn is_bootstrap_reader(&self) -> bool {
         self.coordinator.is_bootstrap_reader()
     }
 
@@ -30,18 +30,18 @@
 
     /// Whether the node may call the store for a kind now.
     #[must_use]
-    pub fn may_ask(&self, kind: ObjectKind) -> bool {
+    pub fn may_call_store(&self, kind: ObjectKind) -> bool {
         self.coordinator.may_call_store(self.clock.now(), kind)
     }
 
     /// A call to the store for a kind begins.
-    pub fn note_asked(&mut self, kind: ObjectKind, freshness: Freshness) {
+    pub fn record_store_call(&mut self, kind: ObjectKind, freshness: Freshness) {
         let now = self.clock.now();
         self.coordinator.record_store_call(now, kind, freshness);
     }
 
     /// The store has answered a call for a kind, or not.
-    pub fn note_answered(&mut self, kind: ObjectKind, answered: bool) {
+    pub fn record_store_availability(&mut self, kind: ObjectKind, answered: bool) {
         self.coordinator
             .record_store_availability(self.clock.now(), kind, answered);
     }
@@ -67,16 +67,16 @@
         reply: &Reply<Item, Event>,
     ) -> Standing {
         let now = self.clock.now();
-        let standing = self.coordinator.classify_reply(now, context, read, reply);
-        self.note_era(Source::Store);
-        if standing == Standing::Outdated {
+        let validity = self.coordinator.classify_reply(now, context, read, reply);
+        self.record_era(Source::Store);
+        if validity == Standing::Outdated {
             self.log_outdated_reply(kind, context, reply.era);
         }
-        standing
+        validity
     }
 
     /// The store answers calls for a kind again, or has ceased to.
-    pub fn log_store(&self, kind: ObjectKind, usable: bool) {
+    pub fn log_store_availability(&self, kind: ObjectKind, usable: bool) {
         let event = if usable {
             EventCode::StoreReachable
         } else {
--- a/crates/bellyoke-node/src/process/metrics.rs
+++ b/crates/bellyoke-node/src/process/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::registry::Registry;
 
 /// Upper bounds of the buckets of the store's answers to lists, seconds.
-const LIST_BUCKETS: [f64; 7] = [0.005, 0.02, 0.05, 0.1, 0.3, 0.7, 1.5];
+const LIST_SECONDS_BUCKETS: [f64; 7] = [0.005, 0.02, 0.05, 0.1, 0.3, 0.7, 1.5];
 
 /// Labels of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -58,13 +58,13 @@
     /// Heartbeats received.
     pub heartbeats_received: Counter,
     /// Questions about instances sent to peers.
-    pub questions_sent: Counter,
+    pub probe_requests_sent: Counter,
     /// Questions about instances received.
-    pub questions_received: Counter,
+    pub probe_requests_received: Counter,
     /// Objects of the store of which nothing could be made.
     pub objects_rejected: Counter,
     /// Answers of the store that told an older state than was known.
-    pub old_states: Counter,
+    pub stale_states: Counter,
     /// The store's era; zero if it tells none.
     pub store_era: Gauge,
     /// Messages of what probes found sent to peers.
@@ -72,9 +72,9 @@
     /// Messages of what probes found received.
     pub findings_received: Counter,
     /// Objections to questions sent to peers.
-    pub objections_sent: Counter,
+    pub refutations_sent: Counter,
     /// Objections to questions received.
-    pub objections_received: Counter,
+    pub refutations_received: Counter,
     /// Probes of instances, by what they found.
     pub probes: Family<ProbeLabels, Counter>,
     /// Instances that this node can't reach.
@@ -92,7 +92,7 @@
     /// Deltas received.
     pub deltas_received: Counter,
     /// Peer messages that could not be decoded.
-    pub heartbeats_rejected: Counter,
+    pub peer_messages_rejected: Counter,
     /// Snapshots read from peers.
     pub snapshots_fetched: Counter,
     /// Stalls of the process.
@@ -114,20 +114,20 @@
     #[must_use]
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
-            list_seconds: Histogram::new(LIST_BUCKETS),
+            list_seconds: Histogram::new(LIST_SECONDS_BUCKETS),
             store_calls: Family::default(),
             peer_bytes_sent: Family::default(),
             heartbeats_sent: Counter::default(),
             heartbeats_received: Counter::default(),
-            questions_sent: Counter::default(),
-            questions_received: Counter::default(),
+            probe_requests_sent: Counter::default(),
+            probe_requests_received: Counter::default(),
             objects_rejected: Counter::default(),
-            old_states: Counter::default(),
+            stale_states: Counter::default(),
             store_era: Gauge::default(),
             findings_sent: Counter::default(),
             findings_received: Counter::default(),
-            objections_sent: Counter::default(),
-            objections_received: Counter::default(),
+            refutations_sent: Counter::default(),
+            refutations_received: Counter::default(),
             probes: Family::default(),
             unreachable: Gauge::default(),
             answers: Family::default(),
@@ -136,7 +136,7 @@
             outlier_messages_received: Counter::default(),
             deltas_sent: Counter::default(),
             deltas_received: Counter::default(),
-            heartbeats_rejected: Counter::default(),
+            peer_messages_rejected: Counter::default(),
             snapshots_fetched: Counter::default(),
             stalls: Counter::default(),
             peers: Gauge::default(),
@@ -174,12 +174,12 @@
             (
                 "questions_received",
                 "Questions about instances received",
-                &metrics.questions_received,
+                &metrics.probe_requests_received,
             ),
             (
                 "questions_sent",
                 "Questions about instances sent to peers",
-                &metrics.questions_sent,
+                &metrics.probe_requests_sent,
             ),
             (
                 "objects_rejected",
@@ -189,7 +189,7 @@
             (
                 "old_states",
                 "Answers of the store that told an older state than was known",
-                &metrics.old_states,
+                &metrics.stale_states,
             ),
             (
                 "findings_received",
@@ -204,12 +204,12 @@
             (
                 "objections_received",
                 "Objections to questions about instances received",
-                &metrics.objections_received,
+                &metrics.refutations_received,
             ),
             (
                 "objections_sent",
                 "Objections to questions about instances sent to peers",
-                &metrics.objections_sent,
+                &metrics.refutations_sent,
             ),
             (
                 "outlier_messages_sent",
@@ -230,7 +230,7 @@
             (
                 "heartbeats_rejected",
                 "Peer messages dropped as malformed",
-                &metrics.heartbeats_rejected,
+                &metrics.peer_messages_rejected,
             ),
             (
                 "snapshots_fetched",
--- a/crates/bellyoke-node/src/process/run.rs
+++ b/crates/bellyoke-node/src/process/run.rs
@@ -1,7 +1,7 @@
 //! From the command line to the end of the process.
 
 use super::command_line::{USAGE, flag_list, parse_command_line};
-use super::control::{Control, TICK};
+use super::control::{Control, TICK_INTERVAL};
 use super::settings::{Settings, load_settings};
 use super::shared::Shared;
 use crate::connection::follow::follow;
@@ -40,15 +40,15 @@
 
 /// Doubts of the traffic thread that wait for the control thread; further ones are dropped, and the
 /// next failure tells them again.
-const MAXIMUM_DOUBTS: usize = 64;
+const MAXIMUM_QUEUED_SUSPECT_LISTS: usize = 64;
 
 /// How often the settings file is compared with what is in force, since it may change without
 /// a signal.
-const SETTINGS_POLL: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What the process's clock shows at its start. Peers tell ages, of confirmations, claims and gone
 /// instances, and what is older than this process must not look younger.
-const CLOCK_START: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
+const CLOCK_ORIGIN: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
 /// Runs the daemon with an adapter's packet format and store. Returns the exit status: the
 /// group of the result code, or 0.
@@ -80,11 +80,11 @@
             codec,
             store,
         ),
-        Err(problems) => refuse(&problems),
+        Err(problems) => report_problems(&problems),
     }
 }
 
-fn refuse(problems: &Problems) -> ExitCode {
+fn report_problems(problems: &Problems) -> ExitCode {
     eprintln!("error: {problems}");
     let code = problems.0.first().map(|problem| problem.code);
     ExitCode::from(code.unwrap_or(ResultCode::SettingsSyntax).exit_status())
@@ -97,14 +97,14 @@
 {
     let settings = match source.load() {
         Ok(settings) => settings,
-        Err(problems) => return refuse(&problems),
+        Err(problems) => return report_problems(&problems),
     };
     if check_only {
         println!("the settings are usable");
         return ExitCode::SUCCESS;
     }
     let _log = start_non_blocking_log(&settings.log);
-    let served = tokio::runtime::Builder::new_current_thread()
+    let result = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()
@@ -113,7 +113,7 @@
             let local = LocalSet::new();
             runtime.block_on(local.run_until(serve(source, settings, codec, store)))
         });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let code = ResultCode::AddressUnavailable;
@@ -147,12 +147,12 @@
     Codec: PacketCodec,
     S: Store,
 {
-    let clock = MonotonicClock::start_at(CLOCK_START);
-    let mut signals = Signals::take()?;
+    let clock = MonotonicClock::start_at(CLOCK_ORIGIN);
+    let mut signals = Signals::register()?;
     let mut registry = Registry::with_prefix("bellyoke");
     let packets = PacketCounters::new(&mut registry);
-    let (doubts, doubted) = mpsc::channel(MAXIMUM_DOUBTS);
-    let shared = Arc::new(Shared::new(clock, packets, doubts));
+    let (suspects_sender, suspects) = mpsc::channel(MAXIMUM_QUEUED_SUSPECT_LISTS);
+    let shared = Arc::new(Shared::new(clock, packets, suspects_sender));
     let control = Control::new(&settings, Arc::clone(&shared), registry);
     let control = Rc::new(RefCell::new(control));
     let link = bind_all(&settings, &control).await?;
@@ -174,7 +174,7 @@
     )
     .context("start a traffic thread")?;
     follow_store(&link, &settings, &store);
-    spawn_local(probe_instances(link.clone(), doubted));
+    spawn_local(probe_instances(link.clone(), suspects));
     log_event(
         EventCode::ProcessStarted,
         format_args!(
@@ -187,16 +187,16 @@
         ),
     );
     let mut reloader = Reloader { source, settings };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut settings_polls = interval(SETTINGS_POLL);
+    let mut settings_polls = interval(SETTINGS_POLL_INTERVAL);
     settings_polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 let effects = control.borrow_mut().tick();
                 link.perform(effects);
-                if is_over(&control, clock) {
+                if may_stop(&control, clock) {
                     log_event(EventCode::ProcessStopped, "grace time is over");
                     return Ok(());
                 }
@@ -204,8 +204,8 @@
             _ = settings_polls.tick() => reloader.reload(&control, ReloadCause::Poll),
             _ = signals.hangup.recv() => reloader.reload(&control, ReloadCause::Signal),
             _ = signals.terminate.recv() => {
-                let again = control.borrow().stop_at().is_some();
-                if again {
+                let is_second = control.borrow().stop_at().is_some();
+                if is_second {
                     log_event(EventCode::StoppedAtOnce, "second signal");
                     return Ok(());
                 }
@@ -217,7 +217,7 @@
     }
 }
 
-fn is_over(control: &Rc<RefCell<Control>>, clock: MonotonicClock) -> bool {
+fn may_stop(control: &Rc<RefCell<Control>>, clock: MonotonicClock) -> bool {
     let stop_at = control.borrow().stop_at();
     stop_at.is_some_and(|stop_at| clock.now() >= stop_at)
 }
@@ -275,14 +275,14 @@
         ObjectKind::Configuration,
         store.configurations(address),
         follower,
-        Control::configurations,
+        Control::apply_configurations,
     ));
     spawn_local(follow(
         link.clone(),
         ObjectKind::Instances,
         store.instances(address),
         follower,
-        Control::instances,
+        Control::apply_instances,
     ));
     if settings.timing.reads_zones() {
         spawn_local(follow(
@@ -290,7 +290,7 @@
             ObjectKind::Zones,
             store.zones(address),
             follower,
-            Control::zones,
+            Control::apply_zones,
         ));
     }
 }
@@ -301,7 +301,7 @@
 }
 
 impl Signals {
-    fn take() -> anyhow::Result<Self> {
+    fn register() -> anyhow::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate()).context("take over SIGTERM")?,
             hangup: signal(SignalKind::hangup()).context("take over SIGHUP")?,
--- a/crates/bellyoke-node/src/process/settings.rs
+++ b/crates/bellyoke-node/src/process/settings.rs
@@ -38,9 +38,9 @@
         "What the machine's link carries."),
     key("machine", "descriptors", "", integer(1, 16_777_216), Absent,
         "File descriptors that the process may hold."),
-    key("exchange", "own_zone_first", "", ValueKind::Switch, Literal("true"),
+    key("exchange", "own_zone_first", "", ValueKind::Boolean, Literal("true"),
         "Whether nodes tell and ask peers of their own zone first, so that bytes between zones don't grow with the nodes of a zone."),
-    key("cluster", "seeds", "", ValueKind::AddressList { most: 64 }, Literal("[]"),
+    key("cluster", "seeds", "", ValueKind::AddressList { maximum_items: 64 }, Literal("[]"),
         "Some nodes to start from. Only the hosts count: the port is that of `node.peer_address`."),
     key("store", "address", "", ValueKind::Address, Required,
         "TCP address of the store that holds configuration and instances."),
@@ -62,13 +62,13 @@
         "Flows a second that cold instances may get beyond that."),
     key("flows", "capacity", "", integer(2, 1_048_576), Literal("8192"),
         "Open flows that a node remembers, about 100 bytes each. Beyond them those are forgotten first that sent nothing for longest; they end by their first packet, not while they rest."),
-    key("flows", "end_resting", "", ValueKind::Switch, Literal("true"),
+    key("flows", "end_resting", "", ValueKind::Boolean, Literal("true"),
         "Whether resting flows of an instance that has ended are reset, before their clients send anything."),
     key("outliers", "largest_share", "", number(0, 1), Literal("0.4"),
         "Largest part of a service's instances to which others are preferred since their answers fail or are late. With zero nodes don't report answers, and none is set aside."),
-    key("placement", "own_zone_first", "", ValueKind::Switch, Literal("true"),
+    key("placement", "own_zone_first", "", ValueKind::Boolean, Literal("true"),
         "Whether new flows go to instances in the node's own zone as long as these have room. Otherwise all zones are alike."),
-    key("admission", "enabled", "", ValueKind::Switch, Literal("true"),
+    key("admission", "enabled", "", ValueKind::Boolean, Literal("true"),
         "Whether new flows are refused, the lowest priority first, while most instances of their service queue and turn requests away."),
     key("admission", "lost_percent", "%", integer(0, 100), Literal("16"),
         "Share of a service's requests that its instances may turn away in overload before less is admitted. With none, instances idle between two requests."),
@@ -105,7 +105,7 @@
     /// Flows that the node remembers.
     pub flows: FlowSettings,
     /// Instances whose answers fail.
-    pub outliers: OutlierShare,
+    pub outliers: OutlierDetectionSettings,
     /// Where new flows go.
     pub placement: PlacementSettings,
     /// Which new flows are refused in overload.
@@ -232,15 +232,15 @@
 /// Instances whose answers fail.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OutlierShare {
+pub struct OutlierDetectionSettings {
     /// Largest part of a service's instances that are set aside.
     pub largest_share: f64,
 }
 
-impl OutlierShare {
+impl OutlierDetectionSettings {
     /// When an instance stands out.
     #[must_use]
-    pub fn detection(&self) -> OutlierSettings {
+    pub fn outlier_settings(&self) -> OutlierSettings {
         OutlierSettings {
             largest_share: self.largest_share,
             ..OutlierSettings::default()
@@ -297,9 +297,9 @@
     /// How old the last confirmation may be before a node asks the store itself.
     #[must_use]
     pub fn freshness_bound(&self) -> Duration {
-        let soonest = self.in_force_within_ms.min(self.drained_within_ms);
-        let soonest = soonest.min(self.zone_drained_within_ms.unwrap_or(u64::MAX));
-        Duration::from_millis(soonest / 2)
+        let shortest = self.in_force_within_ms.min(self.drained_within_ms);
+        let shortest = shortest.min(self.zone_drained_within_ms.unwrap_or(u64::MAX));
+        Duration::from_millis(shortest / 2)
     }
 
     /// Whether nodes read which zones are drained.
--- a/crates/bellyoke-node/src/process/shared.rs
+++ b/crates/bellyoke-node/src/process/shared.rs
@@ -33,23 +33,23 @@
     /// Instances whose resting flows end, for the traffic thread.
     pub ended: ArcSwap<BTreeSet<Cookie>>,
     /// Instances in question, for the traffic thread.
-    pub in_question: ArcSwap<BTreeSet<Cookie>>,
+    pub under_verification: ArcSwap<BTreeSet<Cookie>>,
     /// Those of them that showed life at the traffic thread a moment ago.
-    pub living: ArcSwap<Vec<Cookie>>,
+    pub alive: ArcSwap<Vec<Cookie>>,
     /// How many nodes there are at most, for the traffic thread.
-    pub nodes: AtomicU64,
+    pub node_count_upper_bound: AtomicU64,
     /// Whether what the traffic thread sends is paced, since the link carries no more.
     pub link_paced: AtomicBool,
     /// How many nodes there are about, for the traffic thread.
-    pub estimated_nodes: AtomicU64,
+    pub estimated_node_count: AtomicU64,
     /// Instances at which the traffic thread's openings completed a moment ago.
-    pub sound: ArcSwap<Vec<Cookie>>,
+    pub healthy: ArcSwap<Vec<Cookie>>,
     /// Instances whose answers fail, for the traffic thread.
     pub outliers: ArcSwap<BTreeSet<Cookie>>,
     /// What the traffic thread saw of answers, for the control thread. The traffic thread doesn't wait for it.
     pub tallies: Mutex<Vec<InstanceTally>>,
     /// Where the traffic thread says which instances it doubts.
-    pub doubts: Sender<Vec<Cookie>>,
+    pub suspects: Sender<Vec<Cookie>>,
     last_tick: AtomicU64,
     stalls: AtomicU64,
 }
@@ -60,7 +60,7 @@
     pub fn new(
         clock: MonotonicClock,
         packets: PacketCounters,
-        doubts: Sender<Vec<Cookie>>,
+        suspects: Sender<Vec<Cookie>>,
     ) -> Self {
         Self {
             table: ArcSwap::default(),
@@ -68,17 +68,17 @@
             failing: ArcSwap::default(),
             peer_suspicions: ArcSwap::default(),
             unreachable: ArcSwap::default(),
-            nodes: AtomicU64::new(u64::MAX),
+            node_count_upper_bound: AtomicU64::new(u64::MAX),
             avoided: ArcSwap::default(),
             link_paced: AtomicBool::new(false),
             ended: ArcSwap::default(),
-            in_question: ArcSwap::default(),
-            living: ArcSwap::default(),
-            estimated_nodes: AtomicU64::new(0),
-            sound: ArcSwap::default(),
+            under_verification: ArcSwap::default(),
+            alive: ArcSwap::default(),
+            estimated_node_count: AtomicU64::new(0),
+            healthy: ArcSwap::default(),
             outliers: ArcSwap::default(),
             tallies: Mutex::default(),
-            doubts,
+            suspects,
             last_tick: AtomicU64::new(clock.now().as_micros()),
             stalls: AtomicU64::new(0),
             clock,
--- a/crates/bellyoke-process/src/clock.rs
+++ b/crates/bellyoke-process/src/clock.rs
@@ -8,7 +8,7 @@
 pub struct MonotonicClock {
     start: Instant,
     /// What it shows at its start.
-    first: Timestamp,
+    origin: Timestamp,
 }
 
 impl MonotonicClock {
@@ -30,22 +30,22 @@
     /// assert!(clock.now() >= first);
     /// ```
     #[must_use]
-    pub fn start_at(first: Timestamp) -> Self {
+    pub fn start_at(origin: Timestamp) -> Self {
         Self {
             start: Instant::now(),
-            first,
+            origin,
         }
     }
 
     /// The time now.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        self.first.after(self.start.elapsed())
+        self.origin.after(self.start.elapsed())
     }
 
     /// The instant of `timestamp`.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
-        self.start + timestamp.since(self.first)
+        self.start + timestamp.since(self.origin)
     }
 }
--- a/crates/bellyoke-process/src/settings/check.rs
+++ b/crates/bellyoke-process/src/settings/check.rs
@@ -11,25 +11,31 @@
 const FIRST_UNPRIVILEGED_PORT: u16 = 1024;
 
 /// Longest name of a zone, as for a DNS label (RFC 1035, 2.3.4).
-const LONGEST_NAME: usize = 63;
+const MAXIMUM_NAME_BYTES: usize = 63;
 
 /// Appends to `problems` what is wrong with `value`.
 pub fn check_value(descriptor: &KeyDescriptor, value: &Value, problems: &mut Vec<Problem>) {
     let outcome = match descriptor.kind {
-        ValueKind::Integer { least, greatest } => check_integer(value, least, greatest),
-        ValueKind::Number { least, greatest } => check_number(value, least, greatest),
-        ValueKind::Switch => check_type(value.is_bool()),
-        ValueKind::Choice(words) => check_text(value, |text| check_range(words.contains(&text))),
+        ValueKind::Integer { minimum, maximum } => check_integer(value, minimum, maximum),
+        ValueKind::Number { minimum, maximum } => check_number(value, minimum, maximum),
+        ValueKind::Boolean => check_type(value.is_bool()),
+        ValueKind::Choice(choices) => {
+            check_text(value, |text| check_range(choices.contains(&text)))
+        }
         ValueKind::Name => check_text(value, |text| check_range(is_name(text))),
         ValueKind::Address => check_text(value, check_address),
         ValueKind::Url => check_text(value, check_url),
-        ValueKind::AddressList { most } => {
-            check_list(descriptor, value, 0..=most, check_address, problems)
-        }
-        ValueKind::PathList { most } => check_list(
+        ValueKind::AddressList { maximum_items } => check_list(
+            descriptor,
+            value,
+            0..=maximum_items,
+            check_address,
+            problems,
+        ),
+        ValueKind::PathList { maximum_items } => check_list(
             descriptor,
             value,
-            1..=most,
+            1..=maximum_items,
             |path| check_range(!path.is_empty()),
             problems,
         ),
@@ -48,14 +54,14 @@
     }
 }
 
-fn check_integer(value: &Value, least: i64, greatest: i64) -> Result<(), ResultCode> {
+fn check_integer(value: &Value, minimum: i64, maximum: i64) -> Result<(), ResultCode> {
     let number = value.as_integer().ok_or(ResultCode::WrongType)?;
-    check_range((least..=greatest).contains(&number))
+    check_range((minimum..=maximum).contains(&number))
 }
 
-fn check_number(value: &Value, least: i64, greatest: i64) -> Result<(), ResultCode> {
+fn check_number(value: &Value, minimum: i64, maximum: i64) -> Result<(), ResultCode> {
     #[expect(clippy::cast_precision_loss)]
-    let range = least as f64..=greatest as f64;
+    let range = minimum as f64..=maximum as f64;
     let number = match value {
         Value::Float(number) => *number,
         #[expect(clippy::cast_precision_loss)]
@@ -105,7 +111,7 @@
 
 fn is_name(text: &str) -> bool {
     let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.chars().all(allowed)
+    !text.is_empty() && text.len() <= MAXIMUM_NAME_BYTES && text.chars().all(allowed)
 }
 
 fn check_address(text: &str) -> Result<(), ResultCode> {
--- a/crates/bellyoke-process/src/settings/descriptor.rs
+++ b/crates/bellyoke-process/src/settings/descriptor.rs
@@ -8,19 +8,19 @@
     /// A whole number within bounds, both inclusive.
     Integer {
         /// Least value.
-        least: i64,
+        minimum: i64,
         /// Greatest value.
-        greatest: i64,
+        maximum: i64,
     },
     /// A number within bounds, both inclusive; it may have a fraction.
     Number {
         /// Least value.
-        least: i64,
+        minimum: i64,
         /// Greatest value.
-        greatest: i64,
+        maximum: i64,
     },
     /// `true` or `false`.
-    Switch,
+    Boolean,
     /// One of a few words.
     Choice(&'static [&'static str]),
     /// A name of 1 to 63 letters, digits, `-`, `_` and `.`.
@@ -30,12 +30,12 @@
     /// A list of addresses, each once.
     AddressList {
         /// Most addresses.
-        most: usize,
+        maximum_items: usize,
     },
     /// A list of at least one path of a key file.
     PathList {
         /// Most paths.
-        most: usize,
+        maximum_items: usize,
     },
     /// An `http://` or `https://` URL whose host is an IP address.
     Url,
@@ -44,18 +44,23 @@
 impl fmt::Display for ValueKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Integer { least, greatest } => write!(formatter, "{least} to {greatest}"),
-            Self::Number { least, greatest } => {
-                write!(formatter, "{least} to {greatest}, fractions too")
+            Self::Integer { minimum, maximum } => write!(formatter, "{minimum} to {maximum}"),
+            Self::Number { minimum, maximum } => {
+                write!(formatter, "{minimum} to {maximum}, fractions too")
             }
-            Self::Switch => formatter.write_str("true or false"),
-            Self::Choice(words) => formatter.write_str(&words.join(" or ")),
+            Self::Boolean => formatter.write_str("true or false"),
+            Self::Choice(choices) => formatter.write_str(&choices.join(" or ")),
             Self::Name => formatter.write_str("1 to 63 letters, digits, '-', '_' and '.'"),
             Self::Address => formatter.write_str("unicast IP:PORT, port 1024 to 65535"),
-            Self::AddressList { most } => {
-                write!(formatter, "list of at most {most} IP:PORT, each once")
+            Self::AddressList { maximum_items } => {
+                write!(
+                    formatter,
+                    "list of at most {maximum_items} IP:PORT, each once"
+                )
+            }
+            Self::PathList { maximum_items } => {
+                write!(formatter, "list of 1 to {maximum_items} paths")
             }
-            Self::PathList { most } => write!(formatter, "list of 1 to {most} paths"),
             Self::Url => formatter.write_str("http:// or https:// URL with an IP address as host"),
         }
     }
@@ -96,7 +101,7 @@
     /// What holds when it is not given.
     pub default: DefaultValue,
     /// What it means, one sentence for the documentation.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
 impl KeyDescriptor {
@@ -121,7 +126,7 @@
     unit: &'static str,
     kind: ValueKind,
     default: DefaultValue,
-    meaning: &'static str,
+    description: &'static str,
 ) -> KeyDescriptor {
     KeyDescriptor {
         section,
@@ -129,20 +134,20 @@
         unit,
         kind,
         default,
-        meaning,
+        description,
     }
 }
 
 /// A bounded whole number.
 #[must_use]
-pub const fn integer(least: i64, greatest: i64) -> ValueKind {
-    ValueKind::Integer { least, greatest }
+pub const fn integer(minimum: i64, maximum: i64) -> ValueKind {
+    ValueKind::Integer { minimum, maximum }
 }
 
 /// A bounded number.
 #[must_use]
-pub const fn number(least: i64, greatest: i64) -> ValueKind {
-    ValueKind::Number { least, greatest }
+pub const fn number(minimum: i64, maximum: i64) -> ValueKind {
+    ValueKind::Number { minimum, maximum }
 }
 
 /// All keys of one daemon's settings, in the order of the documentation.
--- a/crates/bellyoke-process/src/settings/flags.rs
+++ b/crates/bellyoke-process/src/settings/flags.rs
@@ -81,7 +81,7 @@
         match name.as_str() {
             "help" => return Ok(CommandLine::Help),
             "version" => return Ok(CommandLine::Version),
-            _ => parsed.take(schema, &mut parser, &name),
+            _ => parsed.parse_flag(schema, &mut parser, &name),
         }
     }
     parsed.finish()
@@ -97,7 +97,7 @@
 }
 
 impl ParsedFlags {
-    fn take(&mut self, schema: &Schema, parser: &mut Parser, name: &str) {
+    fn parse_flag(&mut self, schema: &Schema, parser: &mut Parser, name: &str) {
         if name == "check" {
             self.check_only = true;
             return;
@@ -159,7 +159,7 @@
 fn override_value(descriptor: &KeyDescriptor, text: &str) -> Value {
     let string = || Value::String(text.to_owned());
     match descriptor.kind {
-        ValueKind::Integer { .. } | ValueKind::Number { .. } | ValueKind::Switch => {
+        ValueKind::Integer { .. } | ValueKind::Number { .. } | ValueKind::Boolean => {
             literal_value(text).unwrap_or_else(string)
         }
         ValueKind::AddressList { .. } | ValueKind::PathList { .. } => text
--- a/crates/bellyoke-process/src/settings/reference.rs
+++ b/crates/bellyoke-process/src/settings/reference.rs
@@ -18,7 +18,7 @@
             descriptor.unit,
             descriptor.kind,
             descriptor.default,
-            descriptor.meaning
+            descriptor.description
         );
     }
     table
--- a/crates/bellyoke-process/src/settings/table.rs
+++ b/crates/bellyoke-process/src/settings/table.rs
@@ -109,10 +109,10 @@
 
 /// A whole number may also be written as a float: `3000.0`.
 fn normalize_number(descriptor: &KeyDescriptor, value: &mut Value) {
-    const LARGEST_EXACT: f64 = 9_007_199_254_740_992.0;
+    const MAXIMUM_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
     if let (ValueKind::Integer { .. }, Value::Float(number)) = (descriptor.kind, &*value)
         && number.fract() == 0.0
-        && number.abs() <= LARGEST_EXACT
+        && number.abs() <= MAXIMUM_EXACT_INTEGER
     {
         // Exact: whole, and within the integers that a float tells apart.
         #[expect(clippy::cast_possible_truncation)]
--- a/crates/bellyoke-process/src/signals.rs
+++ b/crates/bellyoke-process/src/signals.rs
@@ -15,7 +15,7 @@
     /// # Errors
     ///
     /// If they cannot be taken over.
-    pub fn take() -> std::io::Result<Self> {
+    pub fn register() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
--- a/crates/bellyoke-process/tests/clock.rs
+++ b/crates/bellyoke-process/tests/clock.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_clock_that_starts_late_tells_times_before_its_start() {
-    let first = Timestamp::from_micros(60_000_000);
-    let now = MonotonicClock::start_at(first).now();
+    let origin = Timestamp::from_micros(60_000_000);
+    let now = MonotonicClock::start_at(origin).now();
     let age = Duration::from_secs(50);
     assert_eq!(now.since(now.before(age)), age);
 }
