--- a/crates/bellyoke-node/examples/settings_reference.rs
+++ b/crates/bellyoke-node/examples/settings_reference.rs
@@ -1,4 +1,4 @@
-//! Prints the table of keys in docs/CONFIGURATION.md.
+//! Prints the table of settings keys for docs/CONFIGURATION.md.
 
 fn main() {
     print!(
--- a/crates/bellyoke-node/src/connection/follow.rs
+++ b/crates/bellyoke-node/src/connection/follow.rs
@@ -1,4 +1,4 @@
-//! Runs a follower against the store.
+//! Reads one kind of object from the store and follows its changes.
 
 use super::peers::PeerLink;
 use super::store::StoreReader;
@@ -12,14 +12,14 @@
 use bellyoke_core::time::Timestamp;
 use std::time::Duration;
 
-/// Longest rest before the node looks again whether it has to ask the store.
+/// Maximum time between checks whether the node has to call the store.
 const MAXIMUM_IDLE_TIME: Duration = Duration::from_millis(200);
 
-/// Time between two looks at whether a call is still needed, or may be made. A tenth of the time
-/// that a list takes where dropping it is worth anything, a quarter of that between two turns.
+/// Interval between checks whether a call is still needed or may be made. This is a tenth of the
+/// duration of a list call that is worth cancelling, and a quarter of the time between two slots.
 const CALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Follows one kind of object for the life of the process, and hands news to `apply`.
+/// Follows one kind of object for the lifetime of the process and passes updates to `apply`.
 pub async fn follow<Reader: StoreReader>(
     link: PeerLink,
     kind: ObjectKind,
@@ -84,8 +84,8 @@
     }
 }
 
-/// The answer to a call; none once `needless` says that it isn't needed any more. The call is then
-/// dropped with its connection, so that a long answer takes no more of a thin link.
+/// Returns the answer to a call, or `None` once `is_redundant` returns true. The call is then
+/// dropped together with its connection, so that a long answer stops using a low-bandwidth link.
 async fn cancel_if<Answer>(
     is_redundant: impl Fn() -> bool,
     call: impl Future<Output = Answer>,
--- a/crates/bellyoke-node/src/connection/http_client.rs
+++ b/crates/bellyoke-node/src/connection/http_client.rs
@@ -1,4 +1,4 @@
-//! A kept-alive HTTP/1.1 connection that notices when the other side is gone.
+//! A persistent HTTP/1.1 connection that detects an unresponsive peer.
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Request, Response, StatusCode, header};
@@ -13,62 +13,63 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Longest wait for a connection.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time without traffic after which the other side is probed, and between two probes.
+/// Idle time before the first keepalive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which the connection is given up.
+/// Number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Longest time that sent bytes may stay unacknowledged.
+/// Maximum time that sent data may remain unacknowledged.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a call waits for its answer before it may be made again: longer than a slow store takes.
+/// Delay before a call may be hedged. Exceeds the response time of a slow store.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two further ones.
+/// Interval between further hedges.
 const HEDGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest pause within an answer. A long one may take longer over a thin link.
+/// Maximum time without progress while a body is received. The whole body may take longer over a
+/// low-bandwidth link.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest answer that is read, bytes.
+/// Maximum length of a response body.
 const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a call came to nothing. It may have been done all the same.
+/// Error of a call. The server may nevertheless have executed the call.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response was received in time.
+    #[error("no response in time")]
     TimedOut,
     /// The connection could not be opened.
     #[error("connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection broke, or the other side speaks no HTTP.
+    /// The connection was closed, or the server violated the HTTP protocol.
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    /// The answer is longer than is read, or broke off.
+    /// The body exceeds the maximum length or is incomplete.
     #[error("body: {0}")]
     Body(String),
-    /// The path is no path.
+    /// The path is invalid.
     #[error("request: {0}")]
     Request(#[from] http::Error),
 }
 
-/// An answer that has come whole.
+/// A completely received response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// A connection to one address, opened when it is needed.
+/// A connection to an address that is opened on demand.
 #[derive(Debug)]
 pub struct HttpConnection {
     address: SocketAddrV4,
@@ -76,7 +77,7 @@
 }
 
 impl HttpConnection {
-    /// A connection to `address` that is not open yet.
+    /// Creates a connection to `address` without opening it.
     #[must_use]
     pub const fn new(address: SocketAddrV4) -> Self {
         Self {
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Gets `path`. After any error the connection is closed: one that has lost an answer may
-    /// never say anything again.
+    /// Sends a GET request for `path`. The connection is closed after any error, because a
+    /// connection that has lost a response may never deliver another one.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no answer begins within `patience`, or it breaks off.
+    /// Returns a [`CallError`] if no response starts within `response_timeout` or it is incomplete.
     pub async fn get(
         &mut self,
         path: &str,
@@ -103,12 +104,14 @@
         Ok(response)
     }
 
-    /// The same, but asks `hedge` now and then, while there is no answer, whether to make the call again
-    /// over another connection; the first answer counts. Only for calls that change nothing.
+    /// Sends a GET request for `path` and hedges it. While there is no response, `hedge` is polled to
+    /// decide whether to repeat the call over another connection. The first response is returned.
+    /// The call must be idempotent.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no answer begins within `patience` of the last call made, or all have failed.
+    /// Returns a [`CallError`] if no response starts within `response_timeout` of the last call, or
+    /// all calls fail.
     pub async fn get_hedged(
         &mut self,
         path: &str,
@@ -123,8 +126,9 @@
     }
 }
 
-/// Starts an exchange, and another one over a new connection whenever `hedge` says so, until one has
-/// an answer or all have failed. None is started later than `patience` after the first.
+/// Starts an exchange, and another one over a new connection whenever `hedge` returns true, until
+/// one receives a response or all have failed. No exchange is started later than `response_timeout`
+/// after the first.
 async fn first_response(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
@@ -142,7 +146,7 @@
             finished = exchanges.join_next() => match finished {
                 Some(Ok(Err(_))) if !exchanges.is_empty() => {}
                 Some(Ok(finished)) => return finished,
-                // An exchange that panicked, or none.
+                // An exchange panicked, or none is left.
                 Some(Err(_)) | None => return Err(CallError::TimedOut),
             },
             () = sleep_until(hedge_at), if hedge_at < hedge_until => {
@@ -155,7 +159,7 @@
     }
 }
 
-/// The connection, for the next call, and what was answered.
+/// The connection, for the next call, and the response.
 type Exchanged = (SendRequest<Empty<Bytes>>, HttpResponse);
 
 async fn exchange(
@@ -175,7 +179,7 @@
     Ok((sender, response))
 }
 
-/// Sends a request, and returns its answer once that begins.
+/// Sends a request and returns the response once its head is received.
 async fn send(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
@@ -226,8 +230,8 @@
     Ok(sender)
 }
 
-/// Lets the system notice a silent other side: by probes while nothing is sent, and by missing
-/// acknowledgements (RFC 5482) otherwise.
+/// Makes the operating system detect an unresponsive peer: by keepalive probes while the connection
+/// is idle, and by missing acknowledgements (RFC 5482) otherwise.
 fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/bellyoke-node/src/connection/http_server.rs
+++ b/crates/bellyoke-node/src/connection/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP endpoints: readiness for routers, metrics for operators.
+//! HTTP endpoints: readiness for routers and metrics for operators.
 
 use crate::process::control::Control;
 use bytes::Bytes;
@@ -15,19 +15,19 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Path that tells whether the node takes new flows.
+/// Path of the readiness check, which reports whether the node accepts new flows.
 pub const READINESS_PATH: &str = "/readyz";
 
-/// Path of the counters, in the Prometheus text format.
+/// Path of the metrics in the Prometheus text format.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Longest life of a connection, so that idle ones don't pile up.
+/// Maximum lifetime of a connection. Prevents idle connections from accumulating.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Most connections at once; further ones wait in the system's queue.
+/// Maximum number of concurrent connections. Further ones wait in the accept queue.
 const MAXIMUM_CONNECTIONS: usize = 64;
 
-/// Serves connections from `listener` for the life of the process.
+/// Serves connections accepted by `listener` for the lifetime of the process.
 pub async fn serve(control: Rc<RefCell<Control>>, listener: TcpListener) {
     let slots = std::sync::Arc::new(tokio::sync::Semaphore::new(MAXIMUM_CONNECTIONS));
     loop {
--- a/crates/bellyoke-node/src/connection/mod.rs
+++ b/crates/bellyoke-node/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a connection: to the store, to peers, and from those who ask for the state.
+//! State with the lifetime of a connection: connections to the store and to peers, and from clients
+//! of the HTTP endpoints.
 
 pub mod follow;
 pub mod http_client;
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats by datagram and snapshots by connection, both at the peer address.
+//! Exchange with peers at the peer address: datagrams over UDP and snapshots over TCP.
 
 use super::stall_timeout::{read_to_end_with_stall_timeout, write_all_with_stall_timeout};
 use crate::process::control::Control;
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::time::{error::Elapsed, timeout};
 
-/// Longest time in which a peer that fetches neither sends nor takes anything: twice as long as
-/// it waits itself.
+/// Maximum time without progress of a peer that fetches a snapshot: twice the time that the peer
+/// itself waits.
 const SERVE_STALL_TIMEOUT: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
 
-/// Snapshots sent at once; further peers wait in the system's queue.
+/// Maximum number of snapshots sent concurrently. Further peers wait in the accept queue.
 const MAXIMUM_CONCURRENT_SNAPSHOTS: usize = 4;
 
-/// Why a snapshot could not be fetched.
+/// Error of fetching or serving a snapshot.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("no answer in time")]
+    #[error("no response in time")]
     TimedOut(#[from] Elapsed),
     #[error("{0}")]
     Connection(#[from] std::io::Error),
@@ -41,16 +41,16 @@
     Encode(#[from] EncodeError),
 }
 
-/// The node's way to its peers.
+/// The link of the node to its peers.
 #[derive(Clone)]
 pub struct PeerLink {
-    /// The node's state.
+    /// State of the control thread.
     pub control: Rc<RefCell<Control>>,
-    /// The socket of heartbeats and deltas.
+    /// Socket for datagrams to and from peers.
     pub socket: Arc<UdpSocket>,
 }
 
-/// Hands datagrams to the control state for the life of the process.
+/// Passes received datagrams to the control state for the lifetime of the process.
 pub async fn receive_datagrams(link: PeerLink) {
     let mut buffer = [0; MAXIMUM_DATAGRAM_LENGTH + 1];
     loop {
@@ -66,7 +66,8 @@
 }
 
 impl PeerLink {
-    /// Does what the exchange wants. What can't be sent at once is left out: heartbeats repeat.
+    /// Performs the effects of the exchange. A message that cannot be sent immediately is dropped,
+    /// because heartbeats are sent periodically.
     pub fn perform(&self, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
@@ -121,7 +122,7 @@
         self.send("heartbeat", to, encode, |metrics| &metrics.heartbeats_sent);
     }
 
-    /// Sends a message and counts it, if the socket has room.
+    /// Sends a message and counts it. Drops the message if the socket buffer is full.
     fn send(
         &self,
         kind: &'static str,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Sends what a peer lacks. Returns false if a delta can't tell it.
+    /// Sends a delta of the state that a peer lacks. Returns false if there is no such delta.
     fn send_delta(&self, to: SocketAddrV4, known: Versions) -> bool {
         let mut control = self.control.borrow_mut();
         let Some(bytes) = control.delta_for(known) else {
@@ -190,7 +191,7 @@
     Ok(decode_snapshot(&bytes, key)?)
 }
 
-/// Sends a snapshot to each peer that asks, for the life of the process.
+/// Sends a snapshot to each peer that requests one, for the lifetime of the process.
 pub async fn serve_snapshots(control: Rc<RefCell<Control>>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(MAXIMUM_CONCURRENT_SNAPSHOTS));
     loop {
@@ -203,7 +204,7 @@
         };
         let control = Rc::clone(&control);
         tokio::task::spawn_local(async move {
-            // Whoever fetches notices that it failed, and logs it.
+            // The fetching peer detects and logs failures.
             let _ = serve_snapshot(control, stream).await;
             drop(slot);
         });
--- a/crates/bellyoke-node/src/connection/probes.rs
+++ b/crates/bellyoke-node/src/connection/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of instances in question: connections that are opened and closed again.
+//! Probes instances under verification by opening and closing connections to them.
 
 use super::peers::PeerLink;
 use bellyoke_core::cookie::instance::Cookie;
@@ -13,13 +13,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Longest time before the node looks whether an instance is to be probed again.
+/// Maximum interval between checks whether an instance must be probed again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long questions are collected before a probe begins.
+/// How long suspected instances are collected before a probe starts.
 const PROBE_BATCHING_DELAY: Duration = Duration::from_millis(20);
 
-/// Probes the instances that the traffic thread or a peer doubts, for the life of the process.
+/// Probes instances suspected by the traffic thread or a peer, for the lifetime of the process.
 pub async fn probe_instances(link: PeerLink, mut suspects: Receiver<Vec<Cookie>>) {
     let probe_requested = link.control.borrow().probe_requested();
     loop {
@@ -31,7 +31,7 @@
             () = probe_requested.notified() => {}
             () = sleep(RECHECK_INTERVAL) => {}
         }
-        // What is asked together is probed together, beside the same controls.
+        // Instances suspected at the same time are probed together, with the same controls.
         sleep(PROBE_BATCHING_DELAY).await;
         let next = || link.control.borrow_mut().next_probe();
         while let Some(batch) = next() {
@@ -63,13 +63,15 @@
     let is_inconclusive =
         |(_, outcome): &(Cookie, ProbeOutcome)| *outcome == ProbeOutcome::Inconclusive;
     if outcomes.iter().any(is_inconclusive) {
-        // Other controls may be sound.
+        // A retry may select other controls that are healthy.
         link.control.borrow().probe_requested().notify_one();
     }
 }
 
-/// The addresses at which a connection opens in time. Lasts the whole time unless all do, so that
-/// attempts at a machine that refuses are spread like those at one that is silent.
+/// Returns the addresses to which a connection opens before the timeout.
+///
+/// Returns only at the timeout unless all connections open, so that attempts are spaced equally for
+/// machines that refuse connections and machines that do not respond.
 async fn try_connect(addresses: &[SocketAddrV4]) -> BTreeSet<SocketAddrV4> {
     let deadline = tokio::time::Instant::now() + ATTEMPT_TIMEOUT;
     let mut connecting = JoinSet::new();
@@ -77,7 +79,7 @@
         let address = *address;
         connecting.spawn_local(async move {
             let connected = timeout(ATTEMPT_TIMEOUT, TcpStream::connect(address)).await;
-            // Whatever the reason, it didn't open; the verdict's log line tells the instance.
+            // The reason of a failure does not matter; the verdict is logged with the instance.
             matches!(connected, Ok(Ok(_))).then_some(address)
         });
     }
--- a/crates/bellyoke-node/src/connection/stall_timeout.rs
+++ b/crates/bellyoke-node/src/connection/stall_timeout.rs
@@ -1,32 +1,34 @@
-//! Reading and writing with a time-out that starts anew with each piece of data.
+//! Reads and writes with a timeout that restarts with each chunk of data.
 //!
-//! How long a whole message takes depends on the link, which nothing tells. So what is bounded is
-//! the time in which nothing at all goes on.
+//! The duration of a whole message depends on the bandwidth of the link, which is unknown.
+//! Therefore only the time without any progress is limited.
 
 use std::io::{Error, ErrorKind};
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes that are read or written at once. A link of 1 Mbit/s carries them in an eighth of a second.
+/// Maximum number of bytes per read or write. A link of 1 Mbit/s transfers them in an eighth of a
+/// second.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// All that the other side sends until it closes. Calls `progressed` after each piece.
+/// Reads until the peer closes the stream. Calls `on_progress` after each chunk.
 ///
 /// ```
-/// use bellyoke_node::connection::patient_io::read_patiently;
+/// use bellyoke_node::connection::stall_timeout::read_to_end_with_stall_timeout;
 /// use std::time::Duration;
 ///
 /// let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-/// let read = read_patiently(&b"state"[..], 100, Duration::from_secs(1), || {});
+/// let timeout = Duration::from_secs(1);
+/// let read = read_to_end_with_stall_timeout(&b"state"[..], 100, timeout, || {});
 /// assert_eq!(runtime.block_on(read)?, b"state");
 /// # Ok::<(), std::io::Error>(())
 /// ```
 ///
 /// # Errors
 ///
-/// [`ErrorKind::TimedOut`] if nothing comes for `patience`, [`ErrorKind::InvalidData`] if more than
-/// `longest` bytes come, and those of the connection.
+/// Returns [`ErrorKind::TimedOut`] if no data arrives for `stall_timeout`,
+/// [`ErrorKind::InvalidData`] if more than `maximum_bytes` arrive, and errors of the stream.
 pub async fn read_to_end_with_stall_timeout(
     mut stream: impl AsyncRead + Unpin,
     maximum_bytes: usize,
@@ -47,12 +49,12 @@
     }
 }
 
-/// Sends all bytes, and that there are no more.
+/// Writes all bytes and shuts down the stream.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::TimedOut`] if the other side takes nothing for `patience`, and those of the
-/// connection.
+/// Returns [`ErrorKind::TimedOut`] if a chunk is not accepted within `stall_timeout`, and errors of
+/// the stream.
 pub async fn write_all_with_stall_timeout(
     mut stream: impl AsyncWrite + Unpin,
     bytes: &[u8],
--- a/crates/bellyoke-node/src/connection/store.rs
+++ b/crates/bellyoke-node/src/connection/store.rs
@@ -1,4 +1,4 @@
-//! The store as the daemon sees it. An adapter implements these traits and decides nothing.
+//! The interface to the store. An adapter implements these traits without making decisions.
 
 use bellyoke_core::cookie::follower::{Read, Reply};
 use bellyoke_core::cookie::instance::{InstanceEvent, InstanceRecord};
@@ -7,18 +7,19 @@
 use bellyoke_core::cookie::zones::{DrainedZone, ZoneEvent};
 use std::net::SocketAddrV4;
 
-/// Reads one kind of object over a connection of its own.
+/// Reads one kind of object over a dedicated connection.
 pub trait StoreReader: 'static {
     /// An object of a list.
     type Item: 'static;
     /// A change of an object.
     type Event: 'static;
 
-    /// Makes a call. Revisions in the answer are of the era that the store tells, or of `era` if it tells none.
+    /// Calls the store. Revisions in the answer belong to the era that the store reports, or to
+    /// `era` if it reports none.
     ///
-    /// A failure closes the connection; the next call opens another. While it is
-    /// not answered, `hedge` is asked now and then whether to make it again over another
-    /// connection; the first answer counts.
+    /// A failure closes the connection; the next call opens another one. While the call is pending,
+    /// `hedge` is polled to decide whether to repeat it over another connection. The first answer is
+    /// returned.
     fn read(
         &mut self,
         read: &Read,
@@ -26,28 +27,28 @@
         hedge: impl FnMut() -> bool,
     ) -> impl Future<Output = Reply<Self::Item, Self::Event>>;
 
-    /// How many objects were left out so far since nothing could be made of them, each as often as it was read.
+    /// Returns the number of malformed objects that were skipped so far, counted at each read.
     fn rejected(&self) -> u64 {
         0
     }
 }
 
-/// Makes readers of a store.
+/// Creates readers of the store.
 pub trait Store: 'static {
-    /// Reads instances.
+    /// Reader of instances.
     type Instances: StoreReader<Item = InstanceRecord, Event = InstanceEvent>;
-    /// Reads the configuration. Each change brings it whole.
+    /// Reader of the configuration. Each change contains the full configuration.
     type Configurations: StoreReader<Item = Configuration, Event = Configuration>;
 
-    /// Reads the zones that operators have drained.
+    /// Reader of the zones that operators have drained.
     type Zones: StoreReader<Item = DrainedZone, Event = ZoneEvent>;
 
-    /// A reader of instances of the store at `address`.
+    /// Creates a reader of the instances in the store at `address`.
     fn instances(&self, address: SocketAddrV4) -> Self::Instances;
 
-    /// A reader of the configuration of the store at `address`.
+    /// Creates a reader of the configuration in the store at `address`.
     fn configurations(&self, address: SocketAddrV4) -> Self::Configurations;
 
-    /// A reader of drained zones of the store at `address`.
+    /// Creates a reader of the drained zones in the store at `address`.
     fn zones(&self, address: SocketAddrV4) -> Self::Zones;
 }
--- a/crates/bellyoke-node/src/lib.rs
+++ b/crates/bellyoke-node/src/lib.rs
@@ -1,13 +1,12 @@
-//! The daemon that forwards by connection cookie.
+//! The load balancer daemon that forwards packets by connection cookie.
 //!
-//! A library first: an adapter brings the packet format ([`PacketCodec`]) and the store's
-//! protocol ([`connection::store::Store`]), and [`process::run`] does the rest. The decisions
-//! are those of [`bellyoke_core::cookie`]; this crate connects them with sockets, the clock and
-//! the log.
+//! This is a library: an adapter supplies the packet format ([`PacketCodec`]) and the protocol of
+//! the store ([`connection::store::Store`]) and calls [`process::run`]. The forwarding logic is in
+//! [`bellyoke_core::cookie`]; this crate connects it to sockets, the clock and the log.
 //!
-//! One control thread (single-threaded tokio) holds the state; traffic threads read an immutable
-//! table that it publishes. Modules are laid out by the life span of what they hold: a packet, a
-//! connection, the process.
+//! A single control thread (a single-threaded tokio runtime) owns the state. Traffic threads read
+//! an immutable table that the control thread publishes. Modules are grouped by the lifetime of
+//! their state: a packet, a connection or the process.
 //!
 //! [`PacketCodec`]: bellyoke_core::cookie::packet::PacketCodec
 
--- a/crates/bellyoke-node/src/packet/counters.rs
+++ b/crates/bellyoke-node/src/packet/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what was done with packets.
+//! Metrics of the traffic threads.
 
 use super::sender::SendOutcome;
 use bellyoke_core::cookie::admission::RequestClass;
@@ -13,42 +13,42 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// What was done with a packet.
+/// How a packet was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketOutcome {
-    /// A new flow was sent to an instance.
+    /// The packet opened a flow and was sent to an instance.
     Placed,
-    /// Sent on by its cookie.
+    /// Forwarded by its cookie.
     Followed,
-    /// Sent on by its cookie, once the link has room.
+    /// Forwarded by its cookie, but queued until the link has capacity.
     Queued,
-    /// Answered with a reset: no route.
+    /// Answered with a reset: there is no route.
     RefusedNoRoute,
-    /// Answered with a reset: no instance.
+    /// Answered with a reset: there is no instance.
     RefusedNoInstance,
     /// Answered with a reset: the service is overloaded.
     RefusedOverloaded,
-    /// The open flow was ended with a reset: its instance's address has passed to another one.
+    /// The open flow was reset: the address of its instance is now used by another instance.
     ResetSuperseded,
-    /// The open flow was ended with a reset: its instance can't be reached.
+    /// The open flow was reset: its instance is unreachable.
     ResetUnreachable,
-    /// A flow that rested was ended with a reset: its instance has ended.
+    /// An idle flow was reset: its instance has ended.
     ResetIdle,
-    /// Dropped: it waited while the process stood still.
+    /// Dropped: the packet waited in the socket while the process was stalled.
     DroppedBacklog,
-    /// Dropped: its cookie is not known.
+    /// Dropped: the cookie is unknown.
     DroppedUnknownCookie,
-    /// Dropped: the same data waits for room on the link already.
+    /// Dropped: the same data is already queued for the link.
     DroppedDuplicate,
-    /// Dropped: too much waits for room on the link.
+    /// Dropped: the queue for the link is full.
     DroppedQueueFull,
-    /// Dropped: it has no cookie.
+    /// Dropped: the packet has no cookie.
     DroppedNoCookie,
-    /// Dropped: this node knows no configuration yet.
+    /// Dropped: this node has no configuration yet.
     DroppedNotReady,
-    /// Dropped: not a client's packet.
+    /// Dropped: not a valid client packet.
     Malformed,
-    /// The system could not send it.
+    /// The operating system failed to send the packet.
     SendFailed,
 }
 
@@ -73,7 +73,7 @@
         Self::SendFailed,
     ];
 
-    /// Its name in metrics and logs.
+    /// Returns the name used in metrics and logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -117,7 +117,7 @@
 }
 
 impl PacketOutcome {
-    /// What became of a packet of an open flow that the link may hold back.
+    /// Returns the outcome of sending a packet of an open flow, which may be queued for the link.
     #[must_use]
     pub const fn from_send(sent: SendOutcome) -> Self {
         match sent {
@@ -134,11 +134,11 @@
     outcome: &'static str,
 }
 
-/// Upper bounds of the buckets of the time that flows take to open, seconds. Clients send copies
-/// of an opening after 0.2 and 0.6 s.
+/// Upper bounds of the histogram buckets for the time that flows take to open, in seconds. Clients
+/// retransmit an opening after 0.2 and 0.6 s.
 const OPENING_SECONDS_BUCKETS: [f64; 9] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.6, 1.4];
 
-/// Counters of all outcomes, shared by the traffic threads.
+/// Metrics of packets, shared by the traffic threads.
 #[derive(Clone, Debug)]
 pub struct PacketCounters {
     counters: [Counter; PacketOutcome::ALL.len()],
@@ -148,7 +148,7 @@
     admission: AdmissionMetrics,
 }
 
-/// Where openings went, and how evenly.
+/// Openings by zone and the load imbalance of instances.
 #[derive(Clone, Debug, Default)]
 struct ZoneGauges {
     own: Gauge,
@@ -161,7 +161,7 @@
     zone: &'static str,
 }
 
-/// Labels of what a service's overload does to its openings.
+/// Labels of the admission metrics of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct AdmissionLabels {
     service: String,
@@ -179,7 +179,7 @@
     }
 }
 
-/// What is admitted and refused of each service's openings, by class.
+/// Admitted share and refused openings of each service, by request class.
 #[derive(Clone, Debug, Default)]
 struct AdmissionMetrics {
     shares: Family<AdmissionLabels, Gauge<f64, AtomicU64>>,
@@ -191,19 +191,19 @@
         let metrics = Self::default();
         registry.register(
             "admitted_share",
-            "Share of the openings that is admitted, by service, priority (0 goes first) and whether requests may be repeated",
+            "Share of openings that are admitted, by service, priority (0 is the highest) and whether requests may be retried",
             metrics.shares.clone(),
         );
         registry.register(
             "openings_refused_overloaded",
-            "Openings refused since most instances of their service queue, by the same",
+            "Openings refused because most instances of their service queue, by service, priority and whether requests may be retried",
             metrics.refused.clone(),
         );
         metrics
     }
 }
 
-/// What the sender believes of the node's own link.
+/// State of the node's own link as estimated by the sender.
 #[derive(Clone, Debug, Default)]
 struct LinkGauges {
     bytes_per_second: Gauge,
@@ -215,13 +215,13 @@
         let family = Family::<ZoneLabel, Gauge>::default();
         registry.register(
             "openings_by_zone",
-            "Openings sent to the node's own zone and to others since its start",
+            "Openings sent to the node's own zone and to other zones since its start",
             family.clone(),
         );
         let imbalance = Gauge::<f64, AtomicU64>::default();
         registry.register(
             "instance_imbalance",
-            "Load of the busiest instance in that of the mean one, by this node's own packets",
+            "Load of the busiest instance relative to the mean, by this node's own packets",
             imbalance.clone(),
         );
         let of = |zone| family.get_or_create(&ZoneLabel { zone }).clone();
@@ -234,7 +234,7 @@
 }
 
 impl PacketCounters {
-    /// New counters, which `registry` shows.
+    /// Creates the metrics and registers them with `registry`.
     #[must_use]
     pub fn new(registry: &mut Registry) -> Self {
         let family = Family::<OutcomeLabel, Counter>::default();
@@ -254,12 +254,12 @@
         let link = LinkGauges::default();
         registry.register(
             "link_bytes_per_second",
-            "Rate at which bulk data is paced, 0 while it is not",
+            "Rate at which bulk data is paced, 0 while it is not paced",
             link.bytes_per_second.clone(),
         );
         registry.register(
             "link_held_packets",
-            "Packets that wait for room on the link",
+            "Packets queued until the link has capacity",
             link.queued_packets.clone(),
         );
         Self {
@@ -271,32 +271,33 @@
         }
     }
 
-    /// The share of a service's openings of a class that is admitted.
+    /// Sets the share of a service's openings of a class that are admitted.
     pub fn set_admitted_share(&self, service: &str, class: RequestClass, share: f32) {
         let labels = AdmissionLabels::of(service, class);
         let gauge = self.admission.shares.get_or_create(&labels);
         gauge.set(f64::from(share));
     }
 
-    /// An opening of a class was refused since its service is overloaded.
+    /// Counts an opening of a class that was refused because its service is overloaded.
     pub fn count_refused(&self, service: &str, class: RequestClass) {
         let labels = AdmissionLabels::of(service, class);
         self.admission.refused.get_or_create(&labels).inc();
     }
 
-    /// Openings so far by zone, and how much busier than the mean the busiest instance is.
+    /// Sets the number of openings by zone.
     pub fn set_zone_placements(&self, placements: ZonePlacements) {
         let gauge = |count: u64| i64::try_from(count).unwrap_or(i64::MAX);
         self.zones.own.set(gauge(placements.own));
         self.zones.other.set(gauge(placements.other));
     }
 
-    /// How much busier than the mean the busiest instance of a service is, of the service where that is most.
+    /// Sets the load of the busiest instance of a service relative to the mean, for the service with
+    /// the greatest imbalance.
     pub fn set_imbalance(&self, imbalance: f32) {
         self.zones.imbalance.set(f64::from(imbalance));
     }
 
-    /// What the sender believes of the link; no rate while nothing is paced.
+    /// Sets the estimated rate of the link, `None` while it is not paced, and the queue length.
     pub fn set_link(&self, bytes_per_second: Option<f32>, queued_packets: usize) {
         let rate = bytes_per_second.unwrap_or_default();
         self.link.bytes_per_second.set(rate as i64);
@@ -305,7 +306,7 @@
             .set(i64::try_from(queued_packets).unwrap_or(i64::MAX));
     }
 
-    /// A flow has opened.
+    /// Records how long a flow took to open.
     pub fn record_opening_time(&self, duration: Duration) {
         self.opening_seconds.observe(duration.as_secs_f64());
     }
--- a/crates/bellyoke-node/src/packet/mod.rs
+++ b/crates/bellyoke-node/src/packet/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for a packet: the traffic threads.
+//! State with the lifetime of a packet: the traffic threads.
 
 mod counters;
 mod sender;
--- a/crates/bellyoke-node/src/packet/sender.rs
+++ b/crates/bellyoke-node/src/packet/sender.rs
@@ -1,4 +1,4 @@
-//! Sends packets to instances, at once or when the node's link has room.
+//! Sends packets to instances, paced by the capacity of the node's link.
 
 use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
 use bellyoke_core::cookie::packet::{Destination, FlowPacket};
@@ -7,27 +7,27 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::os::fd::{AsFd, BorrowedFd};
 
-/// A datagram that waits for room on the link.
+/// A datagram queued until the link has capacity.
 #[derive(Debug)]
 struct QueuedDatagram {
     bytes: Box<[u8]>,
     address: SocketAddrV4,
 }
 
-/// What became of a packet.
+/// Result of sending a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It was sent.
+    /// The packet was sent.
     Sent,
-    /// It waits.
+    /// The packet was queued.
     Queued,
-    /// The same data waits already.
+    /// The same data is already queued; the packet was dropped.
     Duplicate,
-    /// Too much waits.
+    /// The queue is full; the packet was dropped.
     QueueFull,
 }
 
-/// One thread's way out.
+/// Sends the packets of a traffic thread over the node's link.
 #[derive(Debug)]
 pub struct LinkSender {
     socket: UdpSocket,
@@ -35,7 +35,7 @@
 }
 
 impl LinkSender {
-    /// Sends by `socket`.
+    /// Creates a sender that uses `socket`.
     #[must_use]
     pub fn new(socket: UdpSocket) -> Self {
         Self {
@@ -44,17 +44,17 @@
         }
     }
 
-    /// The socket, to receive by.
+    /// Returns the file descriptor of the socket, for receiving.
     #[must_use]
     pub fn as_fd(&self) -> BorrowedFd<'_> {
         self.socket.as_fd()
     }
 
-    /// Sends a datagram to an instance, or holds it back.
+    /// Sends a datagram to an instance, or queues it until the link has capacity.
     ///
     /// # Errors
     ///
-    /// If the system can't send it.
+    /// Returns an error if the operating system fails to send the datagram.
     pub fn forward(
         &mut self,
         now: Timestamp,
@@ -84,21 +84,22 @@
         Ok(SendOutcome::Queued)
     }
 
-    /// Sends a datagram at once.
+    /// Sends a datagram immediately.
     ///
     /// # Errors
     ///
-    /// If the system can't send it.
+    /// Returns an error if the operating system fails to send the datagram.
     pub fn send(&self, datagram: &[u8], to: SocketAddrV4) -> io::Result<()> {
         self.socket.send_to(datagram, to)?;
         Ok(())
     }
 
-    /// Sends what was held back and may go by now.
+    /// Sends the queued datagrams that are due.
     ///
     /// # Errors
     ///
-    /// If the system can't send one; further ones go with the next call.
+    /// Returns an error if the operating system fails to send a datagram. The remaining datagrams
+    /// are sent by the next call.
     pub fn send_due(&mut self, now: Timestamp) -> io::Result<()> {
         while let Some(queued) = self.pacer.next_due(now) {
             self.send(&queued.bytes, queued.address)?;
@@ -106,19 +107,19 @@
         Ok(())
     }
 
-    /// When the next datagram that was held back may go; none if none was.
+    /// Returns when the next queued datagram is due, or `None` if the queue is empty.
     #[must_use]
     pub fn next_due_at(&self) -> Option<Timestamp> {
         self.pacer.next_due_at()
     }
 
-    /// Datagrams that wait.
+    /// Returns the number of queued datagrams.
     #[must_use]
     pub fn queued_packets(&self) -> usize {
         self.pacer.queued_packets()
     }
 
-    /// The learned rate of the link, bytes a second; none while nothing is paced.
+    /// Returns the estimated rate of the link in bytes per second, or `None` while it is not paced.
     #[must_use]
     pub fn bytes_per_second(&self) -> Option<f32> {
         self.pacer.bytes_per_second()
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -1,4 +1,4 @@
-//! One traffic thread: reads client packets and does what the forwarder decides.
+//! The traffic thread, which reads client packets and carries out the decisions of the forwarder.
 
 mod report;
 
@@ -26,31 +26,33 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Longest packet that is read, bytes.
+/// Maximum length of a received packet.
 const MAXIMUM_PACKET_BYTES: usize = 2_048;
 
-/// Stack of a traffic thread, bytes.
+/// Stack size of a traffic thread.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Time between two reviews of the openings under way.
+/// Interval between reviews of pending openings.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same while a client waits in vain: a request of 600 ms has 100 ms to spare beside the repetition that shows it
-/// (200 ms), the probes (220 ms) and its way to another instance, so that half of the usual interval counts.
+/// Interval between reviews while a client waits for an instance that does not answer. A request
+/// with a timeout of 600 ms has 100 ms to spare besides the retransmission that reveals the wait
+/// (200 ms), the probes (220 ms) and the transfer to another instance, so even half of
+/// [`REVIEW_INTERVAL`] would be too long.
 const URGENT_REVIEW_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for a packet: resting flows are to be ended soon after their instance, and a node that gets
-/// no packets wakes up ten times a second.
+/// Maximum wait for a packet. Idle flows must be reset soon after their instance has ended. A node
+/// that receives no packets wakes up ten times a second.
 const MAXIMUM_RECEIVE_WAIT: Duration = REVIEW_INTERVAL;
 
-/// Lines of one event in one second.
+/// Maximum number of log lines per event and second.
 const LOG_LINES_PER_SECOND: u32 = 200;
 
-/// Starts a thread that forwards what comes in at `socket`.
+/// Starts a thread that forwards the packets received at `socket`.
 ///
 /// # Errors
 ///
-/// If the system has no thread left.
+/// Returns an error if the socket cannot be configured or the thread cannot be created.
 pub fn start_traffic_thread<Codec: PacketCodec>(
     name: String,
     socket: UdpSocket,
@@ -75,7 +77,7 @@
     next_urgent_review: Timestamp,
     next_gauge_update: Timestamp,
     was_paced: bool,
-    /// The port that clients are answered at.
+    /// Port of the clients to which resets are sent, the same number as that of the socket.
     client_port: u16,
 }
 
@@ -103,8 +105,8 @@
         loop {
             self.send_due();
             self.reset_idle_flows();
-            // While packets may be old, or others wait to be sent, the socket is read without
-            // waiting until it is empty.
+            // Reads without blocking until the socket is empty while received packets may be old or
+            // another event is due.
             let flags = if drain || self.next_event_at().is_some() {
                 MsgFlags::MSG_DONTWAIT
             } else {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Sends what the link has room for by now.
+    /// Sends the queued packets that are due.
     fn send_due(&mut self) {
         if self.sender.next_due_at().is_none() {
             return;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// When something is due that no packet brings about; none if nothing is.
+    /// Returns the time of the next event that is not triggered by a packet, if there is one.
     fn next_event_at(&self) -> Option<Timestamp> {
         let reset_at = self.forwarder.next_end_at();
         let send_at = self.sender.next_due_at();
@@ -151,20 +153,20 @@
         send_at.into_iter().chain(reset_at).chain(review_at).min()
     }
 
-    /// Whether clients wait in vain for instances. Where the node's own link is paced it may be its fault, and it acts
-    /// on nothing.
+    /// Returns whether clients wait for instances that do not answer. Always false while the node's
+    /// own link is paced, because the link may then be the cause.
     fn has_waiting_clients(&self) -> bool {
         !self.was_paced && self.forwarder.has_waiting_clients()
     }
 
-    /// Looks at what has changed, though no packet has come.
+    /// Performs a review when no packet was received.
     fn review_idle(&mut self) {
         let now = self.shared.clock.now();
         let table = self.shared.table.load_full();
         self.review(now, &table);
     }
 
-    /// Resets the resting flows that are due.
+    /// Resets the idle flows that are due.
     fn reset_idle_flows(&mut self) {
         if self.forwarder.next_end_at().is_none() {
             return;
@@ -182,19 +184,19 @@
         }
     }
 
-    /// Waits until a packet comes or the next one that was held back may go.
+    /// Waits until a packet is received or the next event is due.
     fn wait_for_event(&self) {
         let Some(next_event_at) = self.next_event_at() else {
             return;
         };
         let wait = TimeSpec::from_duration(next_event_at.since(self.shared.clock.now()));
         let mut sockets = [PollFd::new(self.sender.as_fd(), PollFlags::POLLIN)];
-        // An interrupted wait is a short one.
+        // An interrupted wait only ends early.
         let _ = ppoll(&mut sockets, Some(wait), None);
     }
 
-    /// Handles one packet, which stands behind room for its encapsulation. Returns whether
-    /// packets in the socket may be old.
+    /// Handles a packet, which is preceded by space for its encapsulation. Returns whether packets
+    /// in the socket may be old.
     fn handle_packet(&mut self, datagram: &mut [u8], was_draining: bool) -> bool {
         let now = self.shared.clock.now();
         let backlog = self.backlog_guard.packet(now, self.shared.ticks());
@@ -308,8 +310,9 @@
         }
     }
 
-    /// Says which instances are in question, and hears which can't be reached. While this node's own
-    /// link loses data it neither asks nor acts: what it sees may be its own fault.
+    /// Reports suspected, healthy and alive instances to the control thread and applies its view of
+    /// reachability. While this node's own link is paced because it loses data, suspects are not
+    /// reported and unreachability is ignored, because the link may be the cause of the failures.
     fn exchange_reachability(&mut self, now: Timestamp) {
         let suspects = self.forwarder.take_failed(now);
         let healthy = self.forwarder.sound_instances(now);
@@ -331,14 +334,14 @@
         let avoided = self.shared.avoided.load();
         self.forwarder.set_unreachable(&unreachable, &avoided);
         self.forwarder.set_ended(&self.shared.ended.load());
-        // If the control thread is behind, the next failure asks again.
+        // If the queue of the control thread is full, the next failure reports the instance again.
         if !suspects.is_empty() {
             let _ = self.shared.suspects.try_send(suspects);
         }
     }
 
-    /// Hands on what became of requests, and hears whose answers fail. What the control thread has not taken
-    /// yet waits here.
+    /// Applies the current outliers and passes request outcomes to the control thread. Outcomes
+    /// accumulate here until the control thread has taken the previous ones.
     fn exchange_outliers(&mut self) {
         self.forwarder.set_outliers(&self.shared.outliers.load());
         if let Ok(mut tallies) = self.shared.tallies.try_lock()
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread tells of itself: log lines for its decisions and beliefs, and gauges.
+//! Logging and metrics of the traffic thread.
 
 use super::{PacketOutcome, TrafficThread};
 use bellyoke_api::event_code::EventCode;
@@ -12,7 +12,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time between two looks at how evenly instances are loaded, which reads the load of each, and at what is admitted.
+/// Interval between updates of the load imbalance and the admitted shares. Computing the imbalance
+/// reads the load of every instance.
 const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<Codec: PacketCodec> TrafficThread<Codec> {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Adapts the shares of openings that go to other zones, and shows what came of them.
+    /// Adapts the spill shares of services, logs their changes and updates the gauges of zones.
     pub(super) fn review_zones(&mut self, now: Timestamp, table: &ForwardingTable) {
         for change in self.forwarder.review_zones(now) {
             let service = table.services().get(change.service.0 as usize);
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Counts an opening that was refused since its service is overloaded.
+    /// Counts an opening that was refused because its service is overloaded.
     pub(super) fn count_refused(&self, table: &ForwardingTable, packet: &FlowPacket) {
         let Some(route) = table.route(packet.flow.service) else {
             return;
--- a/crates/bellyoke-node/src/process/command_line.rs
+++ b/crates/bellyoke-node/src/process/command_line.rs
@@ -4,40 +4,40 @@
 use bellyoke_process::settings::{self, CommandLine, Problems};
 use std::ffi::OsString;
 
-/// What `--help` prints, before the list of flags.
+/// The text that `--help` prints before the list of flags.
 pub const USAGE: &str = "\
-bellyoke-node: the daemon that forwards by connection cookie
+bellyoke-node: load balancer daemon that forwards packets by connection cookie
 
 Usage: bellyoke-node --config FILE [--check] [--SECTION-KEY VALUE]...
 
   --config FILE   settings file (TOML)
-  --check         only check the settings
-  --help          this text
-  --version       the version
+  --check         validate the settings and exit
+  --help          print this help
+  --version       print the version
 
-SIGTERM: the node is no longer ready, goes on forwarding for timing.leave_grace_ms and stops;
-a second one stops it at once. SIGHUP: the settings are read again.
+SIGTERM: the node reports that it is not ready, continues to forward for timing.leave_grace_ms
+and stops; a second SIGTERM stops it immediately. SIGHUP: reloads the settings.
 
-Every key of the settings has a flag that overrides it; lists are comma-separated:
+Every settings key has a flag that overrides it; lists are comma-separated:
 ";
 
-/// All flags that override keys, a line each.
+/// Returns the help text of all flags that override keys, one per line.
 #[must_use]
 pub fn flag_list() -> String {
     settings::flag_list(&SCHEMA)
 }
 
-/// All keys as a Markdown table.
+/// Returns all keys as a Markdown table.
 #[must_use]
 pub fn reference_table() -> String {
     settings::reference_table(&SCHEMA)
 }
 
-/// Parses the arguments after the program's name.
+/// Parses the command-line arguments that follow the program name.
 ///
 /// # Errors
 ///
-/// All unknown or incomplete flags at once.
+/// Returns all unknown and incomplete flags.
 pub fn parse_command_line<I>(arguments: I) -> Result<CommandLine, Problems>
 where
     I: IntoIterator<Item = OsString>,
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -1,4 +1,4 @@
-//! The state of the control thread, and what each event does to it.
+//! State of the control thread and its event handlers.
 
 mod report;
 mod store;
@@ -8,7 +8,6 @@
 use super::shared::Shared;
 use bellyoke_api::event_code::EventCode;
 use bellyoke_core::cookie::coordinator::{Coordinator, Outcome};
-
 use bellyoke_core::cookie::exchange::{
     Exchange, ExchangeEffect, ExchangeSettings, FetchRequest, PeerDatagram, PeerKey, StoreDuty,
 };
@@ -35,17 +34,17 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Period of [`Control::tick`].
+/// Interval between calls of [`Control::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines of one event in one second.
+/// Maximum number of log lines per event and second.
 const LOG_LINES_PER_SECOND: u32 = 20;
 
-/// Least time between two tellings of what peers found, beside those of each tick: all instances that are held to be
-/// unreachable are put together for each.
+/// Minimum interval between publications of reachability that are triggered by peer messages
+/// rather than by a tick. Each publication collects all instances considered unreachable.
 const REACHABILITY_PUBLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A node that knows nothing yet.
+/// Creates an empty replica.
 fn new_replica(timing: &TimingSettings) -> Replica {
     let tombstone_lifetime = timing.tombstone_lifetime();
     if timing.reads_zones() {
@@ -55,10 +54,11 @@
     }
 }
 
-/// How long an encoded delta is kept: it tells ages of what has gone.
+/// How long an encoded delta is cached. The bound is short because a delta contains the ages of
+/// tombstones.
 const ENCODED_DELTA_LIFETIME: Duration = Duration::from_millis(20);
 
-/// A delta as it was sent last.
+/// The delta that was encoded last, with the versions that it leads from and to.
 struct EncodedDelta {
     known: Versions,
     own: Versions,
@@ -66,7 +66,7 @@
     bytes: Option<Rc<[u8]>>,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 pub struct Control {
     clock: MonotonicClock,
     shared: Arc<Shared>,
@@ -78,21 +78,21 @@
     metrics: ControlMetrics,
     limiter: LogLimiter,
     reported_failing: Arc<Vec<Cookie>>,
-    /// Told when a peer asks whether instances can be reached.
+    /// Notified when a peer requests probes of instances.
     probe_requested: Arc<Notify>,
     was_ready: bool,
     last_duty: StoreDuty,
     was_busy: bool,
     last_delta: Option<EncodedDelta>,
     tables: TablePacer,
-    /// When the traffic thread may next be told at once which instances can't be reached.
+    /// Earliest time at which a peer message may trigger the next publication of reachability.
     next_reachability_publication: Timestamp,
-    /// The store's era as logged last.
+    /// The era of the store that was logged last.
     logged_era: StoreEra,
 }
 
 impl Control {
-    /// A node that knows nothing yet.
+    /// Creates the state of a node that has no configuration or instances yet.
     #[must_use]
     pub fn new(settings: &Settings, shared: Arc<Shared>, mut registry: Registry) -> Self {
         let mut random: ChaCha8Rng = rand::make_rng();
@@ -132,62 +132,65 @@
         }
     }
 
-    /// The process's clock.
+    /// Returns the clock of the process.
     #[must_use]
     pub const fn clock(&self) -> MonotonicClock {
         self.clock
     }
 
-    /// The process's randomness.
+    /// Returns the random number generator of the control thread.
     pub const fn random(&mut self) -> &mut ChaCha8Rng {
         &mut self.random
     }
 
-    /// The key of peer messages.
+    /// Returns the key that authenticates peer messages.
     #[must_use]
     pub const fn peer_key(&self) -> &PeerKey {
         &self.peer_key
     }
 
-    /// The counters.
+    /// Returns the metrics of the control thread.
     #[must_use]
     pub const fn metrics(&self) -> &ControlMetrics {
         &self.metrics
     }
 
-    /// All counters in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string fails never.
+        // Writing to a string never fails.
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
         text
     }
 
-    /// Whether the node takes new flows.
+    /// Checks whether the node is ready for new flows.
     ///
     /// # Errors
     ///
-    /// Why it doesn't.
+    /// Returns the reason if the node is not ready.
     pub fn readiness(&self) -> Result<(), Unready> {
         let known = self.coordinator.replica().versions();
         self.lifecycle.ready(known)
     }
 
-    /// What a peer that asked for it lacks.
+    /// Builds a snapshot of the state that the requesting peer lacks.
     #[must_use]
     pub fn snapshot_for(&self, request: FetchRequest) -> Snapshot {
         self.coordinator.snapshot_for(self.clock.now(), request)
     }
 
-    /// What to ask a peer that is ahead.
+    /// Builds the request for the state that this node lacks.
     #[must_use]
     pub fn fetch_request(&self) -> FetchRequest {
         self.coordinator.fetch_request()
     }
 
-    /// The bytes of the message for a peer that knows `known`; none if there is none, or it is too long. Each change
-    /// goes to several peers that know as much, so that the last message is kept for a moment.
+    /// Returns the encoded delta for a peer with the versions `known`, or `None` if there is no
+    /// delta from these versions or it is too long.
+    ///
+    /// The last message is cached briefly because a change is usually sent to several peers with
+    /// the same versions.
     pub fn delta_for(&mut self, known: Versions) -> Option<Rc<[u8]>> {
         let now = self.clock.now();
         let own = self.coordinator.replica().versions();
@@ -209,7 +212,7 @@
         bytes
     }
 
-    /// The store tells of instances.
+    /// Applies an update of instances from the store.
     pub fn apply_instances(
         &mut self,
         update: Update<InstanceRecord, InstanceEvent>,
@@ -223,7 +226,7 @@
         self.apply_outcome(outcome, Source::Store)
     }
 
-    /// The store tells of the configuration.
+    /// Applies an update of the configuration from the store.
     pub fn apply_configurations(
         &mut self,
         update: Update<Configuration, Configuration>,
@@ -238,13 +241,13 @@
         self.apply_outcome(outcome, Source::Store)
     }
 
-    /// The store tells of drained zones.
+    /// Applies an update of drained zones from the store.
     pub fn apply_zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
         let outcome = self.coordinator.apply_zones(self.clock.now(), update);
         self.apply_outcome(outcome, Source::Store)
     }
 
-    /// A peer's snapshot has come.
+    /// Applies a snapshot fetched from a peer.
     pub fn apply_snapshot(
         &mut self,
         from: SocketAddrV4,
@@ -264,18 +267,18 @@
         self.apply_outcome(outcome, Source::Peer)
     }
 
-    /// A part of a peer's snapshot has come.
+    /// Records that a part of a peer's snapshot was received.
     pub fn record_fetch_progress(&mut self, from: SocketAddrV4) {
         self.coordinator
             .record_fetch_progress(self.clock.now(), from);
     }
 
-    /// A peer's snapshot could not be read.
+    /// Records that fetching a peer's snapshot failed.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.coordinator.fetch_failed(from);
     }
 
-    /// A datagram has come from a peer.
+    /// Handles a datagram from a peer.
     pub fn handle_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) -> Vec<ExchangeEffect> {
         let datagram = match PeerDatagram::decode(bytes, &self.peer_key) {
             Ok(datagram) => datagram,
@@ -312,24 +315,24 @@
         self.apply_outcome(outcome, Source::Peer)
     }
 
-    /// Told when a peer asks whether instances can be reached.
+    /// Returns the notification that is triggered when a peer requests probes of instances.
     #[must_use]
     pub fn probe_requested(&self) -> Arc<Notify> {
         Arc::clone(&self.probe_requested)
     }
 
-    /// The traffic thread's openings at some instances came to nothing.
+    /// Marks instances as suspected because openings of the traffic thread failed there.
     pub fn suspect(&mut self, cookies: &[Cookie]) {
         self.coordinator.suspect(self.clock.now(), cookies);
     }
 
-    /// The probe to begin now, if an instance is in question.
+    /// Returns the next probe to start, if an instance needs verification.
     pub fn next_probe(&mut self) -> Option<ProbeBatch> {
         let healthy = self.shared.healthy.load();
         self.coordinator.next_probe(self.clock.now(), &healthy)
     }
 
-    /// A probe is over.
+    /// Records the outcomes of a finished probe.
     pub fn record_probes(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.count_probes(outcomes);
@@ -341,7 +344,7 @@
         effects
     }
 
-    /// Time has passed.
+    /// Performs the periodic work. Called every [`TICK_INTERVAL`].
     pub fn tick(&mut self) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         let paced = self.shared.link_paced.load(Ordering::Relaxed);
@@ -370,7 +373,7 @@
         effects
     }
 
-    /// The node was asked to stop.
+    /// Starts to leave the cluster after a request to stop.
     pub fn leave(&mut self) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.lifecycle.leave(now);
@@ -378,18 +381,18 @@
         self.coordinator.leave(now)
     }
 
-    /// When the process may stop, once it was asked to.
+    /// Returns when the process may stop, or `None` if it is not leaving.
     #[must_use]
     pub fn stop_at(&self) -> Option<Timestamp> {
         self.lifecycle.stop_at()
     }
 
-    /// Takes over what of changed settings can change while the process runs.
+    /// Applies the settings that can change at run time.
     pub fn reload(&mut self, settings: &Settings) {
         self.coordinator.set_seeds(settings.peer_seeds());
     }
 
-    /// Publishes and logs what changed, and returns what to do.
+    /// Logs and publishes the changes of an outcome and returns its effects.
     fn apply_outcome(&mut self, outcome: Outcome, source: Source) -> Vec<ExchangeEffect> {
         self.record_era(source);
         if outcome.change.configuration {
@@ -406,7 +409,8 @@
         outcome.effects
     }
 
-    /// Publishes the table after a change, once it is due, or at once if what is published says nothing yet.
+    /// Records changes and publishes the forwarding table once it is due, or immediately if the
+    /// published table is still uninitialized.
     fn publish_table_changes(&mut self, now: Timestamp, change: StateChange) {
         self.tables.changed(now, change);
         let is_uninitialized = self.tables.is_behind() && !self.shared.table.load().is_informed();
@@ -417,7 +421,7 @@
         }
     }
 
-    /// Tells the traffic thread which instances can't be reached.
+    /// Publishes the reachability of instances to the traffic thread.
     fn publish_reachability(&mut self, now: Timestamp) {
         self.next_reachability_publication = now.after(REACHABILITY_PUBLICATION_INTERVAL);
         let unreachable = self.coordinator.unreachable(now);
@@ -440,7 +444,7 @@
         }
     }
 
-    /// Tells peers which of the instances in question the traffic thread has seen alive.
+    /// Reports instances under verification that the traffic thread has seen alive to peers.
     fn report_alive(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let alive = self.shared.alive.load_full();
         if alive.is_empty() {
@@ -453,7 +457,7 @@
         effects
     }
 
-    /// Takes over what became of requests, and tells the traffic thread whose answers fail.
+    /// Records the request outcomes of the traffic thread and publishes the current outliers to it.
     fn review_outliers(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let table = self.shared.table.load_full();
         let tallies = self
@@ -477,7 +481,7 @@
         effects
     }
 
-    /// Tells peers at once of a new suspicion, and the traffic thread of theirs.
+    /// Reports new suspicions to peers and publishes the suspicions of peers to the traffic thread.
     fn exchange_suspicions(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         let failing = self.shared.failing.load_full();
--- a/crates/bellyoke-node/src/process/control/report.rs
+++ b/crates/bellyoke-node/src/process/control/report.rs
@@ -1,4 +1,4 @@
-//! What the control thread tells of itself: log lines for changed beliefs, and gauges.
+//! Logging and metrics of the control thread.
 
 use super::super::metrics::{AnswerLabels, PeerBytesLabels, ProbeLabels};
 use super::Control;
@@ -19,7 +19,7 @@
 use std::net::SocketAddrV4;
 use std::sync::atomic::Ordering;
 
-/// The gauge of the confirmation's age while there is none.
+/// Value of the confirmation age gauge if the state was never confirmed.
 const NEVER_CONFIRMED: i64 = -1;
 
 impl Control {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// A peer came or went. In a large cluster a node hears of many, so that these lines are
-    /// limited like all others.
+    /// Logs that a peer joined or was lost. These lines are rate-limited because a node of a large
+    /// cluster receives many such changes.
     pub fn log_peer(&mut self, event: EventCode, peer: SocketAddrV4) {
         let now = self.clock.now();
         self.limiter.log(event, now, format_args!("peer={peer}"));
@@ -54,7 +54,7 @@
         self.log_busy_change();
     }
 
-    /// Why the node took or left a duty.
+    /// Logs the capacity class, zone and claim rank by which the node took or left a duty.
     fn log_duty_reason(&self, duty: StoreDuty) {
         let event = if duty == StoreDuty::Listener {
             EventCode::DutyLeft
@@ -68,7 +68,7 @@
         log_event(event, format_args!("class={class} zone={zone} rank={rank}"));
     }
 
-    /// The node has become too busy for duties that others can take, or is no more.
+    /// Logs that the node has become too busy for duties that other nodes can take, or no longer is.
     fn log_busy_change(&mut self) {
         let exchange = self.coordinator.exchange();
         let (busy, class) = (exchange.is_busy(), exchange.place().class.number());
@@ -84,13 +84,13 @@
         log_event(event, format_args!("class={class} link_paced={paced}"));
     }
 
-    /// Counts bytes that go to a peer.
+    /// Counts bytes sent to a peer.
     pub fn count_sent(&self, kind: &'static str, to: SocketAddrV4, length: usize) {
         let zone = self.coordinator.exchange().zone_of(to);
         self.count_sent_to(kind, zone, length);
     }
 
-    /// Counts bytes that go to a zone, if that is known.
+    /// Counts bytes sent to a zone; `None` if the zone is unknown.
     pub fn count_sent_to(&self, kind: &'static str, zone: Option<ZoneKey>, length: usize) {
         let own = self.coordinator.exchange().place().zone;
         let to = match zone {
@@ -122,7 +122,7 @@
         );
     }
 
-    /// The store may have been restored.
+    /// Records the current era of the store and logs it if the store was restored.
     pub(super) fn record_era(&mut self, source: Source) {
         let era = self.coordinator.era();
         if era == self.logged_era {
@@ -146,7 +146,7 @@
         );
     }
 
-    /// A reply of the store came from an earlier era, or told none.
+    /// Logs that a reply of the store was ignored because it has an earlier era, or none.
     pub(super) fn log_outdated_reply(
         &mut self,
         kind: ObjectKind,
@@ -165,7 +165,7 @@
             .log(EventCode::OldStateIgnored, self.clock.now(), line);
     }
 
-    /// An answer of the store was older than what this node knows.
+    /// Logs that an answer of the store was ignored because this node has newer state.
     pub(super) fn log_stale_state(
         &mut self,
         kind: ObjectKind,
@@ -180,7 +180,8 @@
         );
     }
 
-    /// The store has told a configuration: if it isn't the one in force, it was taken for older.
+    /// Logs that a configuration from the store was ignored as older, which is the case if it is not
+    /// the current one.
     pub(super) fn log_ignored_configuration(&mut self, version: u64, revision: Revision) {
         let Some(current) = self.coordinator.replica().configuration() else {
             return;
@@ -350,7 +351,7 @@
     }
 }
 
-/// What cold instances of each service bear, as the configuration tells.
+/// Formats the configured limit of flows to cold instances of each service.
 fn cold_limits(configuration: &Configuration) -> String {
     let limits = configuration.limits.iter();
     let limits =
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -1,4 +1,4 @@
-//! What the control thread asks of the store, and what the answers count for.
+//! Calls of the control thread to the store and the evaluation of their answers.
 
 use super::Control;
 use bellyoke_api::event_code::EventCode;
@@ -10,55 +10,57 @@
 use bellyoke_process::log::log_event;
 
 impl Control {
-    /// How this node goes on reading objects of a kind.
+    /// Returns how this node continues to read objects of a kind.
     #[must_use]
     pub fn watch_plan(&self, kind: ObjectKind) -> WatchPlan {
         self.coordinator.watch_plan(self.clock.now(), kind)
     }
 
-    /// Whether this node is one of the few that ask the store for all that know nothing.
+    /// Returns whether this node is a bootstrap reader, one of the few nodes that read the whole state
+    /// from the store while no node has it.
     #[must_use]
     pub fn is_bootstrap_reader(&self) -> bool {
         self.coordinator.is_bootstrap_reader()
     }
 
-    /// The revision up to which everything of a kind is known.
+    /// Returns the revision up to which all objects of a kind are known.
     #[must_use]
     pub fn known_up_to(&self, kind: ObjectKind) -> Revision {
         self.coordinator.known_up_to(kind)
     }
 
-    /// Whether the node may call the store for a kind now.
+    /// Returns whether the node may call the store for a kind now.
     #[must_use]
     pub fn may_call_store(&self, kind: ObjectKind) -> bool {
         self.coordinator.may_call_store(self.clock.now(), kind)
     }
 
-    /// A call to the store for a kind begins.
+    /// Records the start of a call to the store for a kind.
     pub fn record_store_call(&mut self, kind: ObjectKind, freshness: Freshness) {
         let now = self.clock.now();
         self.coordinator.record_store_call(now, kind, freshness);
     }
 
-    /// The store has answered a call for a kind, or not.
+    /// Records whether the store answered a call for a kind.
     pub fn record_store_availability(&mut self, kind: ObjectKind, answered: bool) {
         self.coordinator
             .record_store_availability(self.clock.now(), kind, answered);
     }
 
-    /// The latest era of the store that is known.
+    /// Returns the latest known era of the store.
     #[must_use]
     pub const fn era(&self) -> StoreEra {
         self.coordinator.era()
     }
 
-    /// What to hand in with the reply to a call to the store that begins now.
+    /// Returns the context of a call to the store that starts now. The context is required to
+    /// classify the reply.
     #[must_use]
     pub fn call_context(&self) -> CallContext {
         self.coordinator.call_context()
     }
 
-    /// What a reply of the store counts for.
+    /// Classifies whether a reply of the store may be used.
     pub fn classify_reply<Item, Event>(
         &mut self,
         kind: ObjectKind,
@@ -75,7 +77,7 @@
         validity
     }
 
-    /// The store answers calls for a kind again, or has ceased to.
+    /// Logs that the store has become reachable or unreachable for a kind.
     pub fn log_store_availability(&self, kind: ObjectKind, usable: bool) {
         let event = if usable {
             EventCode::StoreReachable
--- a/crates/bellyoke-node/src/process/metrics.rs
+++ b/crates/bellyoke-node/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the control thread.
+//! Metrics of the control thread.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,13 +7,13 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the buckets of the store's answers to lists, seconds.
+/// Upper bounds of the histogram buckets for the duration of list calls, in seconds.
 const LIST_SECONDS_BUCKETS: [f64; 7] = [0.005, 0.02, 0.05, 0.1, 0.3, 0.7, 1.5];
 
 /// Labels of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreCallLabels {
-    /// Kind of object.
+    /// Kind of the objects.
     pub kind: &'static str,
     /// `list`, `watch` or `stale_watch`.
     pub call: &'static str,
@@ -28,89 +28,90 @@
     pub outcome: &'static str,
 }
 
-/// Labels of bytes that go to peers.
+/// Labels of bytes sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PeerBytesLabels {
-    /// `heartbeat`, `delta`, `question` or `snapshot`.
+    /// `heartbeat`, `delta`, `question`, `findings`, `objection`, `outliers` or `snapshot`.
     pub kind: &'static str,
-    /// `own_zone`, `other_zone`, or `unknown` where the receiver's is not known.
+    /// `own_zone`, `other_zone`, or `unknown` if the zone of the receiver is not known.
     pub to: &'static str,
 }
 
-/// Labels of what became of requests.
+/// Labels of request outcomes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AnswerLabels {
     /// `usual`, `slow` or `failed`.
     pub quality: &'static str,
 }
 
-/// What the control thread counts.
+/// Metrics of the control thread.
 #[derive(Debug)]
 pub struct ControlMetrics {
-    /// Time of the store's answers to lists, seconds. Watches wait by design.
+    /// Duration of list calls to the store, in seconds. Watches are excluded because they wait by
+    /// design.
     pub list_seconds: Histogram,
-    /// Calls to the store by what came of them.
+    /// Calls to the store by kind of object, call and outcome.
     pub store_calls: Family<StoreCallLabels, Counter>,
     /// Bytes sent to peers, by kind of message and whether they leave the zone.
     pub peer_bytes_sent: Family<PeerBytesLabels, Counter>,
     /// Heartbeats sent to peers.
     pub heartbeats_sent: Counter,
-    /// Heartbeats received.
+    /// Heartbeats received from peers.
     pub heartbeats_received: Counter,
-    /// Questions about instances sent to peers.
+    /// Probe requests sent to peers.
     pub probe_requests_sent: Counter,
-    /// Questions about instances received.
+    /// Probe requests received from peers.
     pub probe_requests_received: Counter,
-    /// Objects of the store of which nothing could be made.
+    /// Malformed objects read from the store, counted at each read.
     pub objects_rejected: Counter,
-    /// Answers of the store that told an older state than was known.
+    /// Answers of the store that contained older state than this node has.
     pub stale_states: Counter,
-    /// The store's era; zero if it tells none.
+    /// Era of the store; zero if the store does not report one.
     pub store_era: Gauge,
-    /// Messages of what probes found sent to peers.
+    /// Messages with findings of probes sent to peers.
     pub findings_sent: Counter,
-    /// Messages of what probes found received.
+    /// Messages with findings of probes received from peers.
     pub findings_received: Counter,
-    /// Objections to questions sent to peers.
+    /// Refutations of suspicions sent to peers.
     pub refutations_sent: Counter,
-    /// Objections to questions received.
+    /// Refutations of suspicions received from peers.
     pub refutations_received: Counter,
-    /// Probes of instances, by what they found.
+    /// Probes of instances by outcome.
     pub probes: Family<ProbeLabels, Counter>,
-    /// Instances that this node can't reach.
+    /// Instances that this node cannot reach.
     pub unreachable: Gauge,
-    /// Requests by how their answers compared with the route's usual ones.
+    /// Requests by how their answers compare with the baseline of the route.
     pub answers: Family<AnswerLabels, Counter>,
-    /// Instances whose answers fail, so that others are preferred.
+    /// Outliers, instances that are avoided because their answers fail or are late.
     pub outliers: Gauge,
-    /// Reports and verdicts of answers sent to peers.
+    /// Outlier reports and verdicts sent to peers.
     pub outlier_messages_sent: Counter,
-    /// Reports and verdicts of answers received.
+    /// Outlier reports and verdicts received from peers.
     pub outlier_messages_received: Counter,
     /// Deltas sent to peers.
     pub deltas_sent: Counter,
-    /// Deltas received.
+    /// Deltas received from peers.
     pub deltas_received: Counter,
     /// Peer messages that could not be decoded.
     pub peer_messages_rejected: Counter,
-    /// Snapshots read from peers.
+    /// Snapshots fetched from peers.
     pub snapshots_fetched: Counter,
     /// Stalls of the process.
     pub stalls: Counter,
-    /// Peers heard of late.
+    /// Peers from which heartbeats were received recently.
     pub peers: Gauge,
-    /// Instances known, gone ones included.
+    /// Known instances, including deleted ones.
     pub instances: Gauge,
-    /// Zones that are drained.
+    /// Drained zones.
     pub drained_zones: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the current configuration.
     pub configuration_version: Gauge,
-    /// Milliseconds since the state was last known to be the newest; -1 if it never was.
+    /// Milliseconds since the state was last confirmed to be the newest; -1 if it never was.
     pub confirmation_age_milliseconds: Gauge,
 }
 
 impl ControlMetrics {
-    /// New metrics, which `registry` shows.
+    /// Creates the metrics and registers them with `registry`.
     #[must_use]
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
@@ -147,7 +148,7 @@
         };
         registry.register(
             "list_seconds",
-            "Time of the store's answers to lists",
+            "Duration of list calls to the store in seconds",
             metrics.list_seconds.clone(),
         );
         registry.register(
@@ -168,109 +169,109 @@
             ),
             (
                 "heartbeats_received",
-                "Heartbeats received",
+                "Heartbeats received from peers",
                 &metrics.heartbeats_received,
             ),
             (
                 "questions_received",
-                "Questions about instances received",
+                "Probe requests received from peers",
                 &metrics.probe_requests_received,
             ),
             (
                 "questions_sent",
-                "Questions about instances sent to peers",
+                "Probe requests sent to peers",
                 &metrics.probe_requests_sent,
             ),
             (
                 "objects_rejected",
-                "Objects of the store of which nothing could be made, as often as they were read",
+                "Malformed objects read from the store, counted at each read",
                 &metrics.objects_rejected,
             ),
             (
                 "old_states",
-                "Answers of the store that told an older state than was known",
+                "Answers of the store that contained older state than the node has",
                 &metrics.stale_states,
             ),
             (
                 "findings_received",
-                "Messages of what probes of instances found received",
+                "Messages with findings of probes received from peers",
                 &metrics.findings_received,
             ),
             (
                 "findings_sent",
-                "Messages of what probes of instances found sent to peers",
+                "Messages with findings of probes sent to peers",
                 &metrics.findings_sent,
             ),
             (
                 "objections_received",
-                "Objections to questions about instances received",
+                "Refutations of suspected instances received from peers",
                 &metrics.refutations_received,
             ),
             (
                 "objections_sent",
-                "Objections to questions about instances sent to peers",
+                "Refutations of suspected instances sent to peers",
                 &metrics.refutations_sent,
             ),
             (
                 "outlier_messages_sent",
-                "Reports and verdicts of answers sent to peers",
+                "Outlier reports and verdicts sent to peers",
                 &metrics.outlier_messages_sent,
             ),
             (
                 "outlier_messages_received",
-                "Reports and verdicts of answers received",
+                "Outlier reports and verdicts received from peers",
                 &metrics.outlier_messages_received,
             ),
             ("deltas_sent", "Deltas sent to peers", &metrics.deltas_sent),
             (
                 "deltas_received",
-                "Deltas received",
+                "Deltas received from peers",
                 &metrics.deltas_received,
             ),
             (
                 "heartbeats_rejected",
-                "Peer messages dropped as malformed",
+                "Peer messages that could not be decoded",
                 &metrics.peer_messages_rejected,
             ),
             (
                 "snapshots_fetched",
-                "Snapshots read from peers",
+                "Snapshots fetched from peers",
                 &metrics.snapshots_fetched,
             ),
-            (
-                "stalls",
-                "Times that the process stood still",
-                &metrics.stalls,
-            ),
+            ("stalls", "Stalls of the process", &metrics.stalls),
         ];
         for (name, help, counter) in counters {
             registry.register(name, help, counter.clone());
         }
         registry.register(
             "probes",
-            "Probes of instances in question by outcome",
+            "Probes of suspected instances by outcome",
             metrics.probes.clone(),
         );
         registry.register(
             "answers",
-            "Requests by how their answers compared with the usual ones of their route",
+            "Requests by how their answers compare with the baseline of their route",
             metrics.answers.clone(),
         );
         let gauges = [
             (
                 "unreachable",
-                "Instances that this node can't reach",
+                "Instances that this node cannot reach",
                 &metrics.unreachable,
             ),
             (
                 "outliers",
-                "Instances whose answers fail, unlike those of others",
+                "Outliers, instances that are avoided because their answers fail or are late",
                 &metrics.outliers,
             ),
-            ("peers", "Peers heard of late", &metrics.peers),
+            (
+                "peers",
+                "Peers from which heartbeats were received recently",
+                &metrics.peers,
+            ),
             (
                 "instances",
-                "Instances known, gone ones included",
+                "Known instances, including deleted ones",
                 &metrics.instances,
             ),
             (
@@ -280,17 +281,17 @@
             ),
             (
                 "store_era",
-                "How often the store has been restored, as it tells; 0 if it doesn't",
+                "Number of times the store was restored, as reported by the store; 0 if it reports none",
                 &metrics.store_era,
             ),
             (
                 "configuration_version",
-                "Version of the configuration in force",
+                "Version of the current configuration",
                 &metrics.configuration_version,
             ),
             (
                 "confirmation_age_milliseconds",
-                "Time since the state was known to be the newest, -1 for never",
+                "Milliseconds since the state was last confirmed to be the newest, -1 if it never was",
                 &metrics.confirmation_age_milliseconds,
             ),
         ];
--- a/crates/bellyoke-node/src/process/mod.rs
+++ b/crates/bellyoke-node/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for the process: settings, the control state, threads and tasks.
+//! State with the lifetime of the process: settings, the control state, threads and tasks.
 
 pub mod command_line;
 pub mod control;
--- a/crates/bellyoke-node/src/process/run.rs
+++ b/crates/bellyoke-node/src/process/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to the end of the process.
+//! Runs the daemon, from parsing the command line until the process exits.
 
 use super::command_line::{USAGE, flag_list, parse_command_line};
 use super::control::{Control, TICK_INTERVAL};
@@ -38,20 +38,23 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Doubts of the traffic thread that wait for the control thread; further ones are dropped, and the
-/// next failure tells them again.
+/// Maximum number of lists of suspects queued for the control thread. Further lists are dropped;
+/// the next failure reports the instances again.
 const MAXIMUM_QUEUED_SUSPECT_LISTS: usize = 64;
 
-/// How often the settings file is compared with what is in force, since it may change without
-/// a signal.
+/// Interval at which the settings are reloaded and compared with the current ones, because the
+/// file may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the process's clock shows at its start. Peers tell ages, of confirmations, claims and gone
-/// instances, and what is older than this process must not look younger.
+/// Time of the process clock at its start.
+///
+/// Peers report the ages of confirmations, claims and tombstones. Without this offset, anything
+/// older than this process would appear younger than it is.
 const CLOCK_ORIGIN: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
-/// Runs the daemon with an adapter's packet format and store. Returns the exit status: the
-/// group of the result code, or 0.
+/// Runs the daemon with the packet format and store of an adapter.
+///
+/// The exit status is 0, or the group of the result code on failure.
 pub fn run<Codec, S>(
     arguments: impl IntoIterator<Item = OsString>,
     codec: Codec,
@@ -100,7 +103,7 @@
         Err(problems) => return report_problems(&problems),
     };
     if check_only {
-        println!("the settings are usable");
+        println!("the settings are valid");
         return ExitCode::SUCCESS;
     }
     let _log = start_non_blocking_log(&settings.log);
@@ -124,7 +127,7 @@
     }
 }
 
-/// Where the settings come from, to read them again.
+/// The source of the settings, kept to reload them.
 struct SettingsSource {
     config: Option<PathBuf>,
     overrides: Vec<Override>,
@@ -136,7 +139,7 @@
     }
 }
 
-/// Serves until a signal ends the process.
+/// Runs the control thread until a signal stops the process.
 async fn serve<Codec, S>(
     source: SettingsSource,
     settings: Settings,
@@ -197,7 +200,7 @@
                 let effects = control.borrow_mut().tick();
                 link.perform(effects);
                 if may_stop(&control, clock) {
-                    log_event(EventCode::ProcessStopped, "grace time is over");
+                    log_event(EventCode::ProcessStopped, "the leave grace period has ended");
                     return Ok(());
                 }
             }
@@ -222,8 +225,8 @@
     stop_at.is_some_and(|stop_at| clock.now() >= stop_at)
 }
 
-/// Binds all sockets but that of the traffic, starts what serves them, and returns the way to
-/// peers.
+/// Binds all sockets except the data socket, spawns the tasks that serve them, and returns the
+/// link to the peers.
 async fn bind_all(settings: &Settings, control: &Rc<RefCell<Control>>) -> anyhow::Result<PeerLink> {
     let node = &settings.node;
     let ready = listen(node.ready_address, "node.ready_address").await?;
@@ -244,7 +247,8 @@
     Ok(link)
 }
 
-/// Metrics are not worth a node that doesn't start.
+/// Serves metrics at `address`. A failure to bind is only logged, because a node must start without
+/// metrics rather than not at all.
 async fn serve_metrics(control: &Rc<RefCell<Control>>, address: SocketAddrV4) {
     match listen(address, "node.metrics_address").await {
         Ok(listener) => {
@@ -303,8 +307,8 @@
 impl Signals {
     fn register() -> anyhow::Result<Self> {
         Ok(Self {
-            terminate: signal(SignalKind::terminate()).context("take over SIGTERM")?,
-            hangup: signal(SignalKind::hangup()).context("take over SIGHUP")?,
+            terminate: signal(SignalKind::terminate()).context("install a handler for SIGTERM")?,
+            hangup: signal(SignalKind::hangup()).context("install a handler for SIGHUP")?,
         })
     }
 }
@@ -315,7 +319,7 @@
     Poll,
 }
 
-/// Reads the settings again and takes over what can change.
+/// Reloads the settings and applies those that can change at run time.
 struct Reloader {
     source: SettingsSource,
     settings: Settings,
--- a/crates/bellyoke-node/src/process/settings.rs
+++ b/crates/bellyoke-node/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the daemon.
+//! Settings of the daemon.
 
 use bellyoke_core::cookie::admission::AdmissionSettings;
 use bellyoke_core::cookie::capacity::{MachineCapacity, NodePlace, ZoneKey};
@@ -15,139 +15,139 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// All keys, in the order of the documentation.
+/// All settings keys, in the order of the documentation.
 #[rustfmt::skip]
 pub const KEYS: &[KeyDescriptor] = &[
     key("node", "name", "", ValueKind::Name, Required,
-        "Name of the machine, for logs."),
+        "Name of the machine, used in logs."),
     key("node", "zone", "", ValueKind::Name, Required,
-        "Zone that the machine stands in: machines that fail together."),
+        "Zone of the machine, a group of machines that fail together."),
     key("node", "data_address", "", ValueKind::Address, Required,
-        "UDP address that receives client packets; clients are answered at its port."),
+        "UDP address that receives client packets. Replies to clients are sent to the same port number."),
     key("node", "peer_address", "", ValueKind::Address, Required,
-        "UDP and TCP address of the exchange between nodes; the port is the same on all nodes."),
+        "UDP and TCP address for the exchange between nodes. The port must be the same on all nodes."),
     key("node", "ready_address", "", ValueKind::Address, Required,
-        "TCP address of `/readyz`, by which routers choose nodes, and of `/metrics`."),
+        "TCP address of `/readyz`, which routers use to select nodes, and of `/metrics`."),
     key("node", "metrics_address", "", ValueKind::Address, Absent,
-        "TCP address of `/metrics` alone, where that is not to be asked at `ready_address`."),
+        "Additional TCP address of `/metrics`, for metrics collectors that must not use `ready_address`."),
     key("machine", "cpu_share", "cores", number(0, 1_024), Absent,
-        "Processor time that the machine gives, in cores; a fraction of one if it shares one. Duties for the whole cluster go to larger machines first; what isn't told counts as little."),
+        "Processor time available to the process, in cores; a fraction if it shares a core. Cluster-wide duties are assigned to larger machines first; an unspecified resource counts as small."),
     key("machine", "memory_mb", "MB", integer(1, 16_777_216), Absent,
         "Memory of the machine."),
     key("machine", "link_mbps", "Mbit/s", number(0, 1_000_000), Absent,
-        "What the machine's link carries."),
+        "Bandwidth of the network link of the machine."),
     key("machine", "descriptors", "", integer(1, 16_777_216), Absent,
-        "File descriptors that the process may hold."),
+        "Number of file descriptors that the process may open."),
     key("exchange", "own_zone_first", "", ValueKind::Boolean, Literal("true"),
-        "Whether nodes tell and ask peers of their own zone first, so that bytes between zones don't grow with the nodes of a zone."),
+        "Whether nodes exchange state with peers in their own zone first, which keeps traffic between zones independent of the number of nodes in a zone."),
     key("cluster", "seeds", "", ValueKind::AddressList { maximum_items: 64 }, Literal("[]"),
-        "Some nodes to start from. Only the hosts count: the port is that of `node.peer_address`."),
+        "Addresses of some nodes, for joining the cluster. Only the hosts are used; the port is that of `node.peer_address`."),
     key("store", "address", "", ValueKind::Address, Required,
-        "TCP address of the store that holds configuration and instances."),
+        "TCP address of the store of the configuration and the instances."),
     key("timing", "flow_lifetime_s", "s", integer(1, 86_400), Literal("120"),
-        "Longest life of a flow. Instances whose records have gone are remembered for so long."),
+        "Maximum lifetime of a flow. Instances whose records were deleted are remembered at least this long."),
     key("timing", "leave_grace_ms", "ms", integer(0, 600_000), Literal("3000"),
-        "How long a leaving node goes on forwarding; longer than routers take to notice."),
+        "How long a leaving node continues to forward. Must be longer than routers take to notice that it is not ready."),
     key("timing", "watch_wait_ms", "ms", integer(200, 30_000), Literal("750"),
-        "How long the store holds a watch open; bounds how long a dead connection goes unnoticed."),
+        "How long the store keeps a watch open. Limits the time until a dead connection is detected."),
     key("timing", "in_force_within_ms", "ms", integer(100, 3_600_000), Literal("3000"),
-        "How soon a change of the configuration must be in force. A node that heard no confirmation of what it knows for half of it asks the store itself."),
+        "Time within which a configuration change must take effect. A node that receives no confirmation of its state for half of this time reads from the store itself."),
     key("timing", "drained_within_ms", "ms", integer(100, 3_600_000), Literal("3000"),
-        "How soon a backend that drains must get no new flow; counts like `in_force_within_ms`."),
+        "Time within which a draining backend must stop receiving new flows. Also limits the age of a node's state, like `in_force_within_ms`."),
     key("timing", "zone_drained_within_ms", "ms", integer(100, 3_600_000), Absent,
-        "How soon the instances of a zone that operators drain must get no new flow; counts like `in_force_within_ms`. Without it nodes don't ask which zones are drained."),
+        "Time within which the instances of a drained zone must stop receiving new flows. Also limits the age of a node's state, like `in_force_within_ms`. If absent, nodes do not read which zones are drained."),
     key("cold", "overshoot", "", number(0, 1_000), Absent,
-        "Factor to the flows that cold instances are said to bear, up to which all nodes together may open flows there. Without it they have no limit, whatever `slack` says."),
+        "Limit of the flows that all nodes together may open to cold instances, as a factor of the configured capacity of these instances. If absent, there is no limit, regardless of `slack`."),
     key("cold", "slack", "flows/s", integer(0, 1_000_000), Literal("0"),
-        "Flows a second that cold instances may get beyond that."),
+        "Flows per second that cold instances may receive in addition to that limit."),
     key("flows", "capacity", "", integer(2, 1_048_576), Literal("8192"),
-        "Open flows that a node remembers, about 100 bytes each. Beyond them those are forgotten first that sent nothing for longest; they end by their first packet, not while they rest."),
+        "Maximum number of open flows that a node tracks, at about 100 bytes each. Beyond that, the flows idle the longest are evicted; an evicted flow is reset at its next packet instead of while it is idle."),
     key("flows", "end_resting", "", ValueKind::Boolean, Literal("true"),
-        "Whether resting flows of an instance that has ended are reset, before their clients send anything."),
+        "Whether idle flows of an instance that has ended are reset before their clients send a packet."),
     key("outliers", "largest_share", "", number(0, 1), Literal("0.4"),
-        "Largest part of a service's instances to which others are preferred since their answers fail or are late. With zero nodes don't report answers, and none is set aside."),
+        "Maximum fraction of the instances of a service that may be ejected as outliers because their answers fail or are late. With 0, nodes do not report answers and no instance is ejected."),
     key("placement", "own_zone_first", "", ValueKind::Boolean, Literal("true"),
-        "Whether new flows go to instances in the node's own zone as long as these have room. Otherwise all zones are alike."),
+        "Whether new flows are sent to instances in the node's own zone while these have spare capacity. Otherwise all zones are treated equally."),
     key("admission", "enabled", "", ValueKind::Boolean, Literal("true"),
-        "Whether new flows are refused, the lowest priority first, while most instances of their service queue and turn requests away."),
+        "Whether new flows are refused, lowest priority first, while most instances of their service queue and reject requests."),
     key("admission", "lost_percent", "%", integer(0, 100), Literal("16"),
-        "Share of a service's requests that its instances may turn away in overload before less is admitted. With none, instances idle between two requests."),
+        "Percentage of the requests of a service that its instances may reject under overload before fewer flows are admitted. With 0, instances idle between two requests."),
     key("log", "format", "", ValueKind::Choice(&["text", "json"]), Literal("\"json\""),
-        "Form of the log lines on standard output."),
+        "Format of the log lines on standard output."),
     key("log", "level", "", ValueKind::Choice(&["error", "warn", "info", "debug", "trace"]), Literal("\"info\""),
-        "Least level that is logged."),
+        "Minimum level that is logged."),
 ];
 
-/// The settings of the daemon.
+/// The schema of the settings.
 pub const SCHEMA: Schema = Schema {
     keys: KEYS,
     page: "docs/CONFIGURATION.md",
 };
 
-/// All settings of one process.
+/// All settings of the daemon.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The node itself.
+    /// Identity and addresses of the node.
     pub node: NodeSettings,
-    /// What its machine has.
+    /// Resources of the machine.
     pub machine: MachineSettings,
-    /// How it speaks to its peers.
+    /// Exchange of state with peers.
     pub exchange: PeerExchangeSettings,
-    /// Its peers.
+    /// Cluster membership.
     pub cluster: ClusterSettings,
-    /// The store.
+    /// Connection to the store.
     pub store: StoreSettings,
-    /// Periods and waits.
+    /// Time limits and intervals.
     pub timing: TimingSettings,
-    /// What cold instances may get.
+    /// Limit of flows to cold instances.
     pub cold: ColdSettings,
-    /// Flows that the node remembers.
+    /// Tracking of open flows.
     pub flows: FlowSettings,
-    /// Instances whose answers fail.
+    /// Detection of outliers.
     pub outliers: OutlierDetectionSettings,
-    /// Where new flows go.
+    /// Placement of new flows.
     pub placement: PlacementSettings,
-    /// Which new flows are refused in overload.
+    /// Admission control under overload.
     pub admission: OverloadSettings,
-    /// The log.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
-/// The node itself.
+/// Identity and addresses of the node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
     /// Name of the machine.
     pub name: String,
-    /// Zone that the machine stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// UDP address of client packets.
+    /// UDP address that receives client packets.
     pub data_address: SocketAddrV4,
-    /// Address of the exchange between nodes.
+    /// UDP and TCP address for the exchange between nodes.
     pub peer_address: SocketAddrV4,
-    /// TCP address of readiness.
+    /// TCP address of `/readyz` and `/metrics`.
     pub ready_address: SocketAddrV4,
-    /// TCP address of metrics alone.
+    /// Additional TCP address of `/metrics`.
     pub metrics_address: Option<SocketAddrV4>,
 }
 
-/// What the node's machine has, as far as that is told.
+/// Resources of the machine, as far as they are specified.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineSettings {
-    /// Processor time, cores.
+    /// Processor time, in cores.
     pub cpu_share: Option<f64>,
-    /// Memory, MB.
+    /// Memory, in MB.
     pub memory_mb: Option<u64>,
-    /// What the link carries, Mbit/s.
+    /// Bandwidth of the network link, in Mbit/s.
     pub link_mbps: Option<f64>,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub descriptors: Option<u64>,
 }
 
 impl MachineSettings {
-    /// What counts for duties.
+    /// Returns the capacity by which cluster-wide duties are assigned.
     #[must_use]
     pub fn capacity(&self) -> MachineCapacity {
         MachineCapacity {
@@ -158,87 +158,87 @@
     }
 }
 
-/// How the node speaks to its peers.
+/// Settings of the exchange with peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerExchangeSettings {
-    /// Whether it tells and asks peers of its own zone first.
+    /// Whether state is exchanged with peers in the node's own zone first.
     pub own_zone_first: bool,
 }
 
-/// The node's peers.
+/// Settings of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterSettings {
-    /// Some nodes to start from.
+    /// Addresses of some nodes, for joining the cluster.
     pub seeds: Vec<SocketAddrV4>,
 }
 
-/// The store.
+/// Settings of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its TCP address.
+    /// TCP address of the store.
     pub address: SocketAddrV4,
 }
 
-/// Periods and waits.
+/// Time limits and intervals.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimingSettings {
-    /// Longest life of a flow, seconds.
+    /// Maximum lifetime of a flow, in seconds.
     pub flow_lifetime_s: u64,
-    /// How long a leaving node goes on forwarding, milliseconds.
+    /// How long a leaving node continues to forward, in milliseconds.
     pub leave_grace_ms: u64,
-    /// How long the store holds a watch open, milliseconds.
+    /// How long the store keeps a watch open, in milliseconds.
     pub watch_wait_ms: u64,
-    /// How soon a change of the configuration must be in force, milliseconds.
+    /// Time within which a configuration change must take effect, in milliseconds.
     pub in_force_within_ms: u64,
-    /// How soon a backend that drains must get no new flow, milliseconds.
+    /// Time within which a draining backend must stop receiving new flows, in milliseconds.
     pub drained_within_ms: u64,
-    /// How soon the instances of a drained zone must get no new flow, milliseconds; none where
-    /// zones are not drained.
+    /// Time within which the instances of a drained zone must stop receiving new flows, in
+    /// milliseconds; `None` if drained zones are not read.
     pub zone_drained_within_ms: Option<u64>,
 }
 
-/// Where new flows go.
+/// Settings of the placement of new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSettings {
-    /// Whether the node's own zone goes first.
+    /// Whether instances in the node's own zone are preferred.
     pub own_zone_first: bool,
 }
 
-/// What cold instances may get.
+/// Limit of flows to cold instances.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdSettings {
-    /// Factor to the flows that they are said to bear; none for no limit.
+    /// The limit as a factor of their configured capacity; `None` for no limit.
     pub overshoot: Option<f64>,
-    /// Flows a second beyond that.
+    /// Additional flows per second.
     pub slack: u32,
 }
 
-/// Flows that the node remembers.
+/// Settings of the tracking of open flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowSettings {
-    /// Most of them.
+    /// Maximum number of tracked flows.
     pub capacity: usize,
-    /// Whether resting flows of instances that have ended are reset.
+    /// Whether idle flows of instances that have ended are reset.
     pub end_resting: bool,
 }
 
-/// Instances whose answers fail.
+/// Settings of outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OutlierDetectionSettings {
-    /// Largest part of a service's instances that are set aside.
+    /// Maximum fraction of the instances of a service that may be ejected.
     pub largest_share: f64,
 }
 
 impl OutlierDetectionSettings {
-    /// When an instance stands out.
+    /// Returns the settings of the outlier detector.
     #[must_use]
     pub fn outlier_settings(&self) -> OutlierSettings {
         OutlierSettings {
@@ -249,7 +249,7 @@
 }
 
 impl ColdSettings {
-    /// The limit, if there is one.
+    /// Returns the limit, if one is configured.
     #[must_use]
     pub fn allowance(&self) -> Option<ColdAllowance> {
         let slack = self.slack;
@@ -258,18 +258,18 @@
     }
 }
 
-/// Which new flows are refused in overload.
+/// Settings of admission control under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadSettings {
-    /// Whether any are.
+    /// Whether new flows may be refused.
     pub enabled: bool,
-    /// Share of requests that instances may turn away, percent.
+    /// Percentage of requests that instances may reject before fewer flows are admitted.
     pub lost_percent: u8,
 }
 
 impl OverloadSettings {
-    /// As the traffic threads take them.
+    /// Returns the settings in the form used by the traffic threads.
     #[must_use]
     pub fn admission(&self) -> AdmissionSettings {
         AdmissionSettings {
@@ -280,21 +280,21 @@
 }
 
 impl TimingSettings {
-    /// How long gone instances are remembered: the longest life of a flow, and some more for
-    /// packets under way.
+    /// Returns how long tombstones of instances are kept: the maximum lifetime of a flow plus a
+    /// margin for packets in transit.
     #[must_use]
     pub const fn tombstone_lifetime(&self) -> Duration {
         const MARGIN_SECONDS: u64 = 10;
         Duration::from_secs(self.flow_lifetime_s + MARGIN_SECONDS)
     }
 
-    /// How long a leaving node goes on forwarding.
+    /// Returns how long a leaving node continues to forward.
     #[must_use]
     pub const fn leave_grace(&self) -> Duration {
         Duration::from_millis(self.leave_grace_ms)
     }
 
-    /// How old the last confirmation may be before a node asks the store itself.
+    /// Returns the age of the last confirmation at which a node reads from the store itself.
     #[must_use]
     pub fn freshness_bound(&self) -> Duration {
         let shortest = self.in_force_within_ms.min(self.drained_within_ms);
@@ -302,13 +302,13 @@
         Duration::from_millis(shortest / 2)
     }
 
-    /// Whether nodes read which zones are drained.
+    /// Returns whether nodes read which zones are drained.
     #[must_use]
     pub const fn reads_zones(&self) -> bool {
         self.zone_drained_within_ms.is_some()
     }
 
-    /// How long the store holds a watch open.
+    /// Returns how long the store keeps a watch open.
     #[must_use]
     pub const fn watch_wait(&self) -> Duration {
         Duration::from_millis(self.watch_wait_ms)
@@ -316,7 +316,7 @@
 }
 
 impl Settings {
-    /// Where the node stands, and what its machine can bear.
+    /// Returns the zone of the node and the capacity class of its machine.
     #[must_use]
     pub fn place(&self) -> NodePlace {
         NodePlace {
@@ -325,7 +325,8 @@
         }
     }
 
-    /// The zone whose instances go first for new flows; empty if all zones are alike.
+    /// Returns the zone whose instances are preferred for new flows, or an empty string if all zones
+    /// are treated equally.
     #[must_use]
     pub fn preferred_zone(&self) -> &str {
         if self.placement.own_zone_first {
@@ -335,7 +336,8 @@
         }
     }
 
-    /// Where peers are looked for: the hosts of the seeds, at this node's peer port.
+    /// Returns the addresses at which peers are contacted first: the hosts of the seeds with this
+    /// node's peer port.
     #[must_use]
     pub fn peer_seeds(&self) -> Vec<SocketAddrV4> {
         let port = self.node.peer_address.port();
@@ -346,11 +348,11 @@
     }
 }
 
-/// Reads settings from the text of a file and the flags that override it.
+/// Parses and validates settings from the text of a file and the flags that override it.
 ///
 /// # Errors
 ///
-/// All problems at once: unknown keys, wrong types and values out of range.
+/// Returns all problems found: unknown keys, wrong types and values out of range.
 pub fn parse_settings(text: &str, overrides: &[Override]) -> Result<Settings, Problems> {
     let (table, problems) = settings::checked_table(&SCHEMA, text, overrides)?;
     if !problems.is_empty() {
@@ -359,11 +361,11 @@
     settings::into_typed(&SCHEMA, table)
 }
 
-/// Reads and checks a settings file. Without one, all comes from the flags.
+/// Reads and validates a settings file. Without a file, all values come from the flags.
 ///
 /// # Errors
 ///
-/// All problems at once.
+/// Returns all problems found.
 pub fn load_settings(path: Option<&Path>, overrides: &[Override]) -> Result<Settings, Problems> {
     let text = path.map_or(Ok(String::new()), settings::read_file)?;
     parse_settings(&text, overrides)
--- a/crates/bellyoke-node/src/process/shared.rs
+++ b/crates/bellyoke-node/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic threads share.
+//! State shared between the control thread and the traffic threads.
 
 use crate::packet::PacketCounters;
 use arc_swap::ArcSwap;
@@ -13,49 +13,51 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::sync::mpsc::Sender;
 
-/// Written by the control thread, read by all.
+/// State shared between the control thread and the traffic threads.
 #[derive(Debug)]
 pub struct Shared {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: MonotonicClock,
-    /// The table in force.
+    /// The current forwarding table.
     pub table: ArcSwap<ForwardingTable>,
-    /// Counts of packets.
+    /// Packet counters.
     pub packets: PacketCounters,
-    /// Instances that fail the traffic thread's openings, for peers.
+    /// Instances at which the traffic thread's openings fail, to report to peers.
     pub failing: ArcSwap<Vec<Cookie>>,
-    /// Instances that peers suspect, for the traffic thread.
+    /// Instances suspected by peers, for the traffic thread.
     pub peer_suspicions: ArcSwap<BTreeSet<Cookie>>,
-    /// Instances that this node can't reach, for the traffic thread.
+    /// Instances that this node cannot reach, for the traffic thread.
     pub unreachable: ArcSwap<BTreeSet<Cookie>>,
-    /// Those, and the ones that were unreachable a while ago: openings avoid them.
+    /// Instances that are unreachable or recently were; openings avoid them.
     pub avoided: ArcSwap<BTreeSet<Cookie>>,
-    /// Instances whose resting flows end, for the traffic thread.
+    /// Instances whose idle flows must be reset, for the traffic thread.
     pub ended: ArcSwap<BTreeSet<Cookie>>,
-    /// Instances in question, for the traffic thread.
+    /// Instances under verification, for the traffic thread.
     pub under_verification: ArcSwap<BTreeSet<Cookie>>,
-    /// Those of them that showed life at the traffic thread a moment ago.
+    /// Instances under verification that the traffic thread recently saw alive.
     pub alive: ArcSwap<Vec<Cookie>>,
-    /// How many nodes there are at most, for the traffic thread.
+    /// Upper bound of the number of nodes, for the traffic thread.
     pub node_count_upper_bound: AtomicU64,
-    /// Whether what the traffic thread sends is paced, since the link carries no more.
+    /// Whether the traffic thread paces its packets because the link is saturated.
     pub link_paced: AtomicBool,
-    /// How many nodes there are about, for the traffic thread.
+    /// Estimated number of nodes, for the traffic thread.
     pub estimated_node_count: AtomicU64,
-    /// Instances at which the traffic thread's openings completed a moment ago.
+    /// Instances at which the traffic thread's openings recently completed.
     pub healthy: ArcSwap<Vec<Cookie>>,
-    /// Instances whose answers fail, for the traffic thread.
+    /// Outliers, instances whose answers fail or are late, for the traffic thread.
     pub outliers: ArcSwap<BTreeSet<Cookie>>,
-    /// What the traffic thread saw of answers, for the control thread. The traffic thread doesn't wait for it.
+    /// Request outcomes recorded by the traffic thread, for the control thread. The traffic thread
+    /// never blocks on this lock.
     pub tallies: Mutex<Vec<InstanceTally>>,
-    /// Where the traffic thread says which instances it doubts.
+    /// Channel through which the traffic thread reports suspected instances.
     pub suspects: Sender<Vec<Cookie>>,
     last_tick: AtomicU64,
     stalls: AtomicU64,
 }
 
 impl Shared {
-    /// An empty table, a first tick now. Doubts of the traffic thread go to `doubts`.
+    /// Creates the shared state with an empty table and a first tick now. The traffic thread sends
+    /// suspected instances to `suspects`.
     #[must_use]
     pub fn new(
         clock: MonotonicClock,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The control thread is alive at `now`; `stalled` tells whether it stood still before.
+    /// Records that the control thread is running at `now`, and whether it stalled before.
     pub fn tick(&self, now: Timestamp, stalled: bool) {
         if stalled {
             self.stalls.fetch_add(1, Ordering::Release);
@@ -93,7 +95,7 @@
         self.last_tick.store(now.as_micros(), Ordering::Release);
     }
 
-    /// The ticks so far.
+    /// Returns the time of the last tick and the number of stalls.
     #[must_use]
     pub fn ticks(&self) -> TickReport {
         TickReport {
--- a/crates/bellyoke-node/tests/http_client.rs
+++ b/crates/bellyoke-node/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! The connection to the store, against servers that say nothing.
+//! Tests of the HTTP client against servers that are slow or do not respond.
 
 use bellyoke_node::connection::http_client::HttpConnection;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Longer than any test takes: none may end by it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longer than any test takes. No test may depend on this timeout.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn listen() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
@@ -18,8 +18,8 @@
     (listener, address)
 }
 
-/// Reads a request, and answers it.
-async fn answer(mut stream: TcpStream, body: &str) -> TcpStream {
+/// Reads a request and responds to it.
+async fn respond(mut stream: TcpStream, body: &str) -> TcpStream {
     let mut request = [0; 1_024];
     assert!(stream.read(&mut request).await.unwrap() > 0);
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
@@ -34,21 +34,22 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A connection that lost an answer says nothing more, also when the store is back.
+/// A connection that lost a response may stay silent even after the store has recovered. A hedged
+/// call must not depend on it.
 #[test]
-fn a_hedged_call_is_answered_over_another_connection_than_the_mute_one() {
+fn a_hedged_call_gets_its_response_over_another_connection_if_the_first_is_unresponsive() {
     run(async {
         let (listener, address) = listen().await;
         let server = tokio::spawn(async move {
-            let mute = listener.accept().await.unwrap();
+            let unresponsive = listener.accept().await.unwrap();
             let (second, _) = listener.accept().await.unwrap();
-            (mute, answer(second, "alive").await)
+            (unresponsive, respond(second, "alive").await)
         });
         let mut connection = HttpConnection::new(address);
-        let answered = connection.get_hedged("/", PATIENCE, || true).await;
-        let answer = answered.unwrap();
+        let result = connection.get_hedged("/", RESPONSE_TIMEOUT, || true).await;
+        let response = result.unwrap();
         assert_eq!(
-            (answer.status.as_u16(), &answer.body[..]),
+            (response.status.as_u16(), &response.body[..]),
             (200, &b"alive"[..])
         );
         server.await.unwrap();
@@ -56,48 +57,57 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_hedged_waits_for_its_only_answer() {
+fn a_call_that_must_not_be_hedged_waits_for_its_only_response() {
     run(async {
         let (listener, address) = listen().await;
-        let (asked, was_asked) = tokio::sync::oneshot::channel();
+        let (polled_twice, was_polled_twice) = tokio::sync::oneshot::channel();
         let server = tokio::spawn(async move {
             let (only, _) = listener.accept().await.unwrap();
-            // By then the client was asked twice whether to make the call again.
-            was_asked.await.unwrap();
-            answer(only, "late").await;
+            // At this point the client has polled `hedge` twice.
+            was_polled_twice.await.unwrap();
+            respond(only, "late").await;
             listener
         });
         let mut connection = HttpConnection::new(address);
-        let mut asked = Some(asked);
-        let mut questions = 0;
+        let mut polled_twice = Some(polled_twice);
+        let mut polls = 0;
         let hedge = || {
-            questions += 1;
-            if questions == 2 {
-                asked.take().unwrap().send(()).unwrap();
+            polls += 1;
+            if polls == 2 {
+                polled_twice.take().unwrap().send(()).unwrap();
             }
             false
         };
-        let answer = connection.get_hedged("/", PATIENCE, hedge).await.unwrap();
-        assert_eq!(&answer.body[..], b"late");
+        let response = connection
+            .get_hedged("/", RESPONSE_TIMEOUT, hedge)
+            .await
+            .unwrap();
+        assert_eq!(&response.body[..], b"late");
         let listener = server.await.unwrap();
         let another = tokio::time::timeout(Duration::ZERO, listener.accept()).await;
-        assert!(another.is_err(), "no other connection was opened");
+        assert!(another.is_err(), "the client opened another connection");
     });
 }
 
 #[test]
-fn a_call_whose_connections_all_fail_fails_at_once() {
+fn a_call_fails_immediately_if_all_connections_fail() {
     run(async {
         let (listener, address) = listen().await;
         drop(listener);
         let mut connection = HttpConnection::new(address);
-        assert!(connection.get_hedged("/", PATIENCE, || true).await.is_err());
+        assert!(
+            connection
+                .get_hedged("/", RESPONSE_TIMEOUT, || true)
+                .await
+                .is_err()
+        );
     });
 }
 
-/// A long answer over a thin link takes longer than the store needs to begin it.
+/// A long response over a low-bandwidth link takes longer than the response timeout, which must only
+/// limit the time until the response starts.
 #[test]
-fn an_answer_that_goes_on_is_waited_for() {
+fn a_response_that_makes_progress_may_exceed_the_response_timeout() {
     run(async {
         let (listener, address) = listen().await;
         let server = tokio::spawn(async move {
@@ -106,15 +116,15 @@
             assert!(stream.read(&mut request).await.unwrap() > 0);
             let head = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n";
             stream.write_all(head).await.unwrap();
-            for piece in [b"a", b"b", b"c", b"d"] {
+            for chunk in [b"a", b"b", b"c", b"d"] {
                 tokio::time::sleep(Duration::from_millis(400)).await;
-                stream.write_all(piece).await.unwrap();
+                stream.write_all(chunk).await.unwrap();
             }
         });
         let mut connection = HttpConnection::new(address);
-        let patience = Duration::from_secs(1);
-        let answer = connection.get("/", patience).await.unwrap();
-        assert_eq!(&answer.body[..], b"abcd");
+        let response_timeout = Duration::from_secs(1);
+        let response = connection.get("/", response_timeout).await.unwrap();
+        assert_eq!(&response.body[..], b"abcd");
         server.await.unwrap();
     });
 }
--- a/crates/bellyoke-node/tests/settings.rs
+++ b/crates/bellyoke-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings of the daemon.
+//! Tests of the settings of the daemon.
 
 use bellyoke_api::result_code::ResultCode;
 use bellyoke_node::process::command_line::{parse_command_line, reference_table};
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [node]
 name = "edge-1"
 zone = "cork"
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn the_page_lists_the_keys_of_the_code() {
+fn the_documentation_page_lists_all_keys() {
     assert_eq!(documented_table(), reference_table());
 }
 
 #[test]
-fn what_is_not_given_has_its_default() {
-    let settings: Settings = parse_settings(GOOD, &[]).unwrap();
+fn absent_keys_have_their_defaults() {
+    let settings: Settings = parse_settings(VALID, &[]).unwrap();
     assert_eq!(settings.timing.leave_grace(), Duration::from_secs(3));
     assert_eq!(settings.timing.watch_wait(), Duration::from_millis(750));
     assert_eq!(
@@ -57,28 +57,28 @@
 }
 
 #[test]
-fn gone_instances_outlive_the_longest_flow() {
-    let settings = parse_settings(GOOD, &[]).unwrap();
+fn tombstones_outlive_the_longest_flow() {
+    let settings = parse_settings(VALID, &[]).unwrap();
     assert!(settings.timing.tombstone_lifetime() > Duration::from_secs(120));
 }
 
 #[test]
-fn a_node_asks_the_store_itself_within_half_of_the_shorter_bound() {
+fn the_freshness_bound_is_half_of_the_shortest_time_limit() {
     let timing = "[timing]\nin_force_within_ms = 5000.0\ndrained_within_ms = 4000\n[store]";
-    let settings = parse_settings(&GOOD.replace("[store]", timing), &[]).unwrap();
+    let settings = parse_settings(&VALID.replace("[store]", timing), &[]).unwrap();
     assert_eq!(settings.timing.freshness_bound(), Duration::from_secs(2));
 }
 
 #[test]
-fn a_fraction_is_no_whole_number() {
-    let text = GOOD.replace("[store]", "[timing]\ndrained_within_ms = 4000.5\n[store]");
+fn a_fraction_is_rejected_for_an_integer_key() {
+    let text = VALID.replace("[store]", "[timing]\ndrained_within_ms = 4000.5\n[store]");
     let expected = (ResultCode::WrongType, "timing.drained_within_ms".to_owned());
     assert_eq!(problems(&text), [expected]);
 }
 
 #[test]
-fn seeds_are_sought_at_the_port_of_peers() {
-    let settings = parse_settings(GOOD, &[]).unwrap();
+fn seeds_are_contacted_at_the_peer_port() {
+    let settings = parse_settings(VALID, &[]).unwrap();
     let seeds: Vec<String> = settings
         .peer_seeds()
         .iter()
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn all_problems_are_named_at_once() {
-    let text = GOOD
+fn all_problems_are_reported_together() {
+    let text = VALID
         .replace("name = \"edge-1\"\n", "")
         .replace("\"10.1.0.10:7720\"", "\"peer.example:7720\"")
         .replace(
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn a_problem_names_what_is_allowed() {
-    let text = GOOD.replace("[store]", "[timing]\nwatch_wait_ms = 5\n[store]");
+fn a_problem_contains_the_allowed_values() {
+    let text = VALID.replace("[store]", "[timing]\nwatch_wait_ms = 5\n[store]");
     let shown = parse_settings(&text, &[]).unwrap_err().to_string();
     assert!(
         shown.contains("BY1006 timing.watch_wait_ms: found 5, allowed: 200 to 30000"),
@@ -121,13 +121,13 @@
 }
 
 #[test]
-fn a_file_that_is_missing_is_an_error_with_a_code() {
+fn a_missing_file_is_reported_with_its_result_code() {
     let Problems(problems) = load_settings(Some("no/such/file".as_ref()), &[]).unwrap_err();
     assert_eq!(problems[0].code, ResultCode::SettingsUnreadable);
 }
 
 #[test]
-fn text_that_is_no_toml_is_an_error_with_a_code() {
+fn invalid_toml_is_reported_with_its_result_code() {
     assert_eq!(problems("[node")[0].0, ResultCode::SettingsSyntax);
 }
 
@@ -135,23 +135,23 @@
 fn flags_override_the_file() {
     let arguments = ["--config", "x", "--timing-leave-grace-ms", "1100"].map(OsString::from);
     let CommandLine::Run { overrides, .. } = parse_command_line(arguments).unwrap() else {
-        panic!("not a run");
+        panic!("parsed as another action than run");
     };
-    let settings = parse_settings(GOOD, &overrides).unwrap();
+    let settings = parse_settings(VALID, &overrides).unwrap();
     assert_eq!(settings.timing.leave_grace(), Duration::from_millis(1_100));
 }
 
 #[test]
-fn a_flag_that_does_not_exist_is_an_error_with_a_code() {
+fn an_unknown_flag_is_reported_with_its_result_code() {
     let Problems(problems) = parse_command_line(["--zone".into()]).unwrap_err();
     assert_eq!(problems[0].code, ResultCode::UnknownKey);
 }
 
 #[test]
-fn zones_are_read_only_where_they_may_be_drained() {
-    let settings = parse_settings(GOOD, &[]).unwrap();
+fn zones_are_read_only_if_zone_drains_have_a_time_limit() {
+    let settings = parse_settings(VALID, &[]).unwrap();
     assert!(!settings.timing.reads_zones());
-    let text = format!("{GOOD}[timing]\nzone_drained_within_ms = 1000\n");
+    let text = format!("{VALID}[timing]\nzone_drained_within_ms = 1000\n");
     let settings = parse_settings(&text, &[]).unwrap();
     assert!(settings.timing.reads_zones());
     assert_eq!(
@@ -161,25 +161,25 @@
 }
 
 #[test]
-fn cold_instances_have_a_limit_only_where_one_is_set() {
-    let settings = parse_settings(GOOD, &[]).unwrap();
+fn cold_instances_have_a_limit_only_if_overshoot_is_set() {
+    let settings = parse_settings(VALID, &[]).unwrap();
     assert_eq!(settings.cold.allowance(), None);
     for (overshoot, limit) in [("1.5", 20), ("2", 25)] {
-        let text = format!("{GOOD}[cold]\novershoot = {overshoot}\nslack = 5\n");
+        let text = format!("{VALID}[cold]\novershoot = {overshoot}\nslack = 5\n");
         let settings = parse_settings(&text, &[]).unwrap();
         let allowance = settings.cold.allowance().unwrap();
         assert_eq!(allowance.limit(600), limit);
     }
-    for wrong in ["-1", "1001.5", "\"much\""] {
-        let found = problems(&format!("{GOOD}[cold]\novershoot = {wrong}\n"));
-        assert_eq!(found[0].1, "cold.overshoot", "{wrong}");
+    for invalid in ["-1", "1001.5", "\"much\""] {
+        let found = problems(&format!("{VALID}[cold]\novershoot = {invalid}\n"));
+        assert_eq!(found[0].1, "cold.overshoot", "{invalid}");
     }
 }
 
 #[test]
-fn the_own_zone_is_preferred_unless_that_is_switched_off() {
-    let settings = parse_settings(GOOD, &[]).unwrap();
+fn the_own_zone_is_preferred_unless_disabled() {
+    let settings = parse_settings(VALID, &[]).unwrap();
     assert_eq!(settings.preferred_zone(), "cork");
-    let off = format!("{GOOD}[placement]\nown_zone_first = false\n");
+    let off = format!("{VALID}[placement]\nown_zone_first = false\n");
     assert_eq!(parse_settings(&off, &[]).unwrap().preferred_zone(), "");
 }
--- a/crates/bellyoke-process/src/clock.rs
+++ b/crates/bellyoke-process/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's monotonic clock.
+//! The monotonic clock of the process.
 
 use bellyoke_core::time::Timestamp;
 use std::time::Instant;
@@ -7,27 +7,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     start: Instant,
-    /// What it shows at its start.
+    /// The timestamp of `start`.
     origin: Timestamp,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now, at zero.
+    /// Creates a clock that starts now, at zero.
     #[must_use]
     pub fn start() -> Self {
         Self::start_at(Timestamp::ZERO)
     }
 
-    /// A clock that starts now and shows `first`. Where others tell ages that may be greater than
-    /// that of the process, `first` leaves room for them: a time before zero can't be told.
+    /// Creates a clock that starts now, at `origin`.
+    ///
+    /// Timestamps cannot be negative. A non-zero `origin` makes times before the start of the
+    /// process representable, such as those computed from ages that peers report.
     ///
     /// ```
     /// use bellyoke_core::time::Timestamp;
     /// use bellyoke_process::clock::MonotonicClock;
     ///
-    /// let first = Timestamp::from_micros(1_000_000);
-    /// let clock = MonotonicClock::start_at(first);
-    /// assert!(clock.now() >= first);
+    /// let origin = Timestamp::from_micros(1_000_000);
+    /// let clock = MonotonicClock::start_at(origin);
+    /// assert!(clock.now() >= origin);
     /// ```
     #[must_use]
     pub fn start_at(origin: Timestamp) -> Self {
@@ -37,13 +39,13 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.origin.after(self.start.elapsed())
     }
 
-    /// The instant of `timestamp`.
+    /// Converts `timestamp` to an [`Instant`].
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         self.start + timestamp.since(self.origin)
--- a/crates/bellyoke-process/src/lib.rs
+++ b/crates/bellyoke-process/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the daemons share besides forwarding: checked settings with flags that override them,
-//! the monotonic clock, the log and signals.
+//! Process infrastructure shared by the daemons: validated settings with command-line overrides,
+//! the monotonic clock, logging and signal handling.
 
 pub mod clock;
 pub mod log;
--- a/crates/bellyoke-process/src/log.rs
+++ b/crates/bellyoke-process/src/log.rs
@@ -1,6 +1,7 @@
-//! The log: numbered events.
+//! Logging of numbered events.
 //!
-//! docs/EVENTS.md is the catalogue. What packets can cause is logged through [`LogLimiter`].
+//! docs/EVENTS.md lists all events. Events that packets can trigger are rate-limited by
+//! [`LogLimiter`].
 
 use bellyoke_api::event_code::{EventCode, EventLevel};
 use bellyoke_core::time::Timestamp;
@@ -12,53 +13,55 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait for the writing thread; further ones are left out.
+/// Maximum number of lines queued for the writer thread. Further lines are dropped.
 const MAXIMUM_BUFFERED_LINES: usize = 512;
 
-/// The log.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Least level.
+    /// Minimum severity that is logged.
     pub level: LogLevel,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least level that is logged.
+/// Minimum severity of the events that are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Only errors.
+    /// Errors only.
     Error,
-    /// And warnings.
+    /// Errors and warnings.
     Warn,
-    /// And the ordinary course of things.
+    /// Also events of normal operation.
     Info,
-    /// And details.
+    /// Also debugging details.
     Debug,
-    /// And single packets.
+    /// Also events of individual packets.
     Trace,
 }
 
-/// Starts the log on standard error. A second call has no effect.
+/// Initializes logging to standard error. A second call has no effect.
 pub fn start_log(settings: &LogSettings) {
     start_log_to(settings, std::io::stderr);
 }
 
-/// Starts the log on standard output, written by a thread of its own. Where the reader doesn't
-/// keep up lines are left out, so that logging never holds the process up. The log ends with the
-/// guard that is returned. A second call has no effect.
+/// Initializes logging to standard output through a dedicated writer thread.
+///
+/// Lines are dropped if the reader of standard output falls behind, because logging must never
+/// block the process. Logging stops when the returned guard is dropped. A second call has no
+/// effect.
 pub fn start_non_blocking_log(settings: &LogSettings) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -92,7 +95,7 @@
     }
 }
 
-/// Logs an event; `detail` says what it is about.
+/// Logs an event with its details.
 pub fn log_event(event: EventCode, detail: impl Display) {
     let code = event.to_string();
     let name = event.name();
@@ -103,7 +106,7 @@
     }
 }
 
-/// Lets each event through a number of times in a period and counts the others.
+/// Limits how often each event is logged in a period and counts the suppressed ones.
 #[derive(Debug)]
 pub struct LogLimiter {
     period: Duration,
@@ -119,13 +122,13 @@
 }
 
 impl LogLimiter {
-    /// A limiter of one event of a kind in `period`.
+    /// Creates a limiter that admits each event once per `period`.
     #[must_use]
     pub fn new(period: Duration) -> Self {
         Self::with_allowance(period, 1)
     }
 
-    /// A limiter of `allowance` events of a kind in `period`.
+    /// Creates a limiter that admits each event up to `allowance` times per `period`.
     #[must_use]
     pub fn with_allowance(period: Duration, allowance: u32) -> Self {
         Self {
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Whether the event may be logged now; if so, how many were held back since the last.
+    /// Returns the number of events suppressed since the last admitted one, or `None` if this event
+    /// must not be logged now.
     pub fn admit(&mut self, event: EventCode, now: Timestamp) -> Option<u64> {
         let entry = self.entries.entry(event).or_insert(LimiterEntry {
             period_start: now,
@@ -154,14 +158,14 @@
         Some(std::mem::take(&mut entry.suppressed))
     }
 
-    /// Logs the event if it may be logged now.
+    /// Logs the event unless it exceeds the limit.
     pub fn log(&mut self, event: EventCode, now: Timestamp, detail: impl Display) {
         match self.admit(event, now) {
             None => {}
             Some(0) => log_event(event, detail),
             Some(suppressed) => log_event(
                 event,
-                format_args!("{detail} ({suppressed} more since the last)"),
+                format_args!("{detail} ({suppressed} more suppressed since the last one)"),
             ),
         }
     }
--- a/crates/bellyoke-process/src/settings/check.rs
+++ b/crates/bellyoke-process/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks single values against their descriptors.
+//! Validates single values against their descriptors.
 
 use super::descriptor::{KeyDescriptor, ValueKind};
 use super::problem::Problem;
@@ -7,13 +7,13 @@
 use std::ops::RangeInclusive;
 use toml::Value;
 
-/// Ports below need privileges (RFC 6335, 6: system ports).
+/// Lower ports are system ports, which require privileges (RFC 6335, section 6).
 const FIRST_UNPRIVILEGED_PORT: u16 = 1024;
 
-/// Longest name of a zone, as for a DNS label (RFC 1035, 2.3.4).
+/// Maximum length of a name, as for a DNS label (RFC 1035, section 2.3.4).
 const MAXIMUM_NAME_BYTES: usize = 63;
 
-/// Appends to `problems` what is wrong with `value`.
+/// Validates `value` and appends all problems found to `problems`.
 pub fn check_value(descriptor: &KeyDescriptor, value: &Value, problems: &mut Vec<Problem>) {
     let outcome = match descriptor.kind {
         ValueKind::Integer { minimum, maximum } => check_integer(value, minimum, maximum),
@@ -86,7 +86,8 @@
     check(value.as_str().ok_or(ResultCode::WrongType)?)
 }
 
-/// Checks each item of a list; problems of items are pushed, one of the list is returned.
+/// Validates a list. Appends the problems of its items to `problems` and returns an error if the
+/// list itself is invalid.
 fn check_list(
     descriptor: &KeyDescriptor,
     value: &Value,
@@ -125,7 +126,7 @@
     Ok(())
 }
 
-/// Whether others can send to the address.
+/// Returns whether other hosts can send packets to the address.
 fn is_reachable(address: IpAddr) -> bool {
     let broadcast = matches!(address, IpAddr::V4(address) if address.is_broadcast());
     !address.is_unspecified() && !address.is_multicast() && !broadcast
--- a/crates/bellyoke-process/src/settings/descriptor.rs
+++ b/crates/bellyoke-process/src/settings/descriptor.rs
@@ -1,40 +1,40 @@
-//! Descriptors of keys: checks, flags and documentation are made from them.
+//! Descriptors of settings keys, from which validation, flags and documentation are derived.
 
 use std::fmt;
 
-/// What a key takes.
+/// The type and range of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueKind {
-    /// A whole number within bounds, both inclusive.
+    /// An integer in an inclusive range.
     Integer {
-        /// Least value.
+        /// Minimum value.
         minimum: i64,
-        /// Greatest value.
+        /// Maximum value.
         maximum: i64,
     },
-    /// A number within bounds, both inclusive; it may have a fraction.
+    /// A number in an inclusive range, possibly with a fraction.
     Number {
-        /// Least value.
+        /// Minimum value.
         minimum: i64,
-        /// Greatest value.
+        /// Maximum value.
         maximum: i64,
     },
     /// `true` or `false`.
     Boolean,
-    /// One of a few words.
+    /// One of a fixed set of words.
     Choice(&'static [&'static str]),
     /// A name of 1 to 63 letters, digits, `-`, `_` and `.`.
     Name,
-    /// IP address and port, the address unicast, the port 1024 to 65535.
+    /// A unicast IP address and a port from 1024 to 65535.
     Address,
-    /// A list of addresses, each once.
+    /// A list of distinct addresses.
     AddressList {
-        /// Most addresses.
+        /// Maximum number of addresses.
         maximum_items: usize,
     },
-    /// A list of at least one path of a key file.
+    /// A non-empty list of paths of key files.
     PathList {
-        /// Most paths.
+        /// Maximum number of paths.
         maximum_items: usize,
     },
     /// An `http://` or `https://` URL whose host is an IP address.
@@ -66,14 +66,14 @@
     }
 }
 
-/// What holds when a key is not given.
+/// The value of a key that is not specified.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DefaultValue {
-    /// The key must be given.
+    /// The key must be specified.
     Required,
-    /// The key may stay absent.
+    /// The key is optional and has no default.
     Absent,
-    /// This TOML literal.
+    /// The default, as a TOML literal.
     Literal(&'static str),
 }
 
@@ -87,38 +87,38 @@
     }
 }
 
-/// One key of the settings file.
+/// Describes one key of the settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyDescriptor {
-    /// The table that the key stands in.
+    /// The table that contains the key.
     pub section: &'static str,
-    /// The key's name in its table.
+    /// The name of the key within its table.
     pub name: &'static str,
-    /// The unit of its value, if it has one.
+    /// The unit of the value, or an empty string.
     pub unit: &'static str,
-    /// What it takes.
+    /// The type and range of the value.
     pub kind: ValueKind,
-    /// What holds when it is not given.
+    /// The value if the key is not specified.
     pub default: DefaultValue,
-    /// What it means, one sentence for the documentation.
+    /// A one-sentence description for the documentation.
     pub description: &'static str,
 }
 
 impl KeyDescriptor {
-    /// `section.name`, as problems and documentation show it.
+    /// Returns `section.name`, the form used in problems and documentation.
     #[must_use]
     pub fn path(&self) -> String {
         format!("{}.{}", self.section, self.name)
     }
 
-    /// The flag that overrides the key, without the leading dashes.
+    /// Returns the flag that overrides the key, without the leading dashes.
     #[must_use]
     pub fn flag(&self) -> String {
         format!("{}-{}", self.section, self.name.replace('_', "-"))
     }
 }
 
-/// A descriptor, for lists of them.
+/// Creates a descriptor. Shorthand for tables of keys.
 #[must_use]
 pub const fn key(
     section: &'static str,
@@ -138,29 +138,29 @@
     }
 }
 
-/// A bounded whole number.
+/// Shorthand for [`ValueKind::Integer`].
 #[must_use]
 pub const fn integer(minimum: i64, maximum: i64) -> ValueKind {
     ValueKind::Integer { minimum, maximum }
 }
 
-/// A bounded number.
+/// Shorthand for [`ValueKind::Number`].
 #[must_use]
 pub const fn number(minimum: i64, maximum: i64) -> ValueKind {
     ValueKind::Number { minimum, maximum }
 }
 
-/// All keys of one daemon's settings, in the order of the documentation.
+/// All settings keys of a daemon, in the order of the documentation.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema {
     /// The keys.
     pub keys: &'static [KeyDescriptor],
-    /// The page that explains them.
+    /// The documentation page that describes the keys.
     pub page: &'static str,
 }
 
 impl Schema {
-    /// The descriptor of `section.name`.
+    /// Returns the descriptor of `section.name`.
     #[must_use]
     pub fn find(&self, section: &str, name: &str) -> Option<&'static KeyDescriptor> {
         self.keys
@@ -168,7 +168,7 @@
             .find(|descriptor| descriptor.section == section && descriptor.name == name)
     }
 
-    /// Whether any key stands in `section`.
+    /// Returns whether `section` contains any key.
     #[must_use]
     pub fn has_section(&self, section: &str) -> bool {
         self.keys
--- a/crates/bellyoke-process/src/settings/flags.rs
+++ b/crates/bellyoke-process/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! The command line: every key of the settings has a flag that overrides it.
+//! Command-line parsing. Every settings key has a flag that overrides it.
 
 use super::descriptor::{KeyDescriptor, Schema, ValueKind};
 use super::problem::{Problem, Problems};
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use toml::Value;
 
-/// All flags that override keys, a line each.
+/// Returns the help text of all flags that override keys, one per line.
 #[must_use]
 pub fn flag_list(schema: &Schema) -> String {
     let lines = schema.keys.iter().map(|descriptor| {
@@ -25,22 +25,22 @@
 /// A flag that overrides a key.
 #[derive(Clone, Debug)]
 pub struct Override {
-    /// The key.
+    /// The overridden key.
     pub descriptor: &'static KeyDescriptor,
-    /// Its value.
+    /// The value given on the command line.
     pub value: Value,
 }
 
-/// What the command line asks for.
+/// The action requested on the command line.
 #[derive(Clone, Debug)]
 pub enum CommandLine {
-    /// Run, or only check the settings.
+    /// Run the daemon, or only validate the settings.
     Run {
-        /// The settings file, if one is named.
+        /// Path of the settings file, if specified.
         config: Option<PathBuf>,
-        /// Flags that override it.
+        /// Flags that override keys of the file.
         overrides: Vec<Override>,
-        /// Only check.
+        /// Only validate the settings.
         check_only: bool,
     },
     /// Print the usage.
@@ -49,11 +49,11 @@
     Version,
 }
 
-/// Parses the arguments after the program's name.
+/// Parses the command-line arguments that follow the program name.
 ///
 /// # Errors
 ///
-/// All unknown or incomplete flags at once.
+/// Returns all unknown and incomplete flags.
 pub fn parse_command_line<I>(schema: &Schema, arguments: I) -> Result<CommandLine, Problems>
 where
     I: IntoIterator<Item = OsString>,
@@ -87,7 +87,7 @@
     parsed.finish()
 }
 
-/// What was parsed so far.
+/// Accumulates the parsed flags.
 #[derive(Default)]
 struct ParsedFlags {
     config: Option<PathBuf>,
@@ -155,7 +155,8 @@
     }
 }
 
-/// The TOML value of a flag's text; a text that doesn't parse is left to the checks.
+/// Converts the text of a flag to a TOML value. Text that does not parse becomes a string, which
+/// validation then rejects.
 fn override_value(descriptor: &KeyDescriptor, text: &str) -> Value {
     let string = || Value::String(text.to_owned());
     match descriptor.kind {
--- a/crates/bellyoke-process/src/settings/mod.rs
+++ b/crates/bellyoke-process/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Checked settings: a TOML file and flags that override it.
+//! Validated settings from a TOML file and command-line flags that override it.
 //!
-//! All problems are found in one go. A daemon lists its keys in a [`descriptor::Schema`];
-//! checks, flags and the reference page are made from it.
+//! Validation reports all problems together. A daemon declares its keys in a
+//! [`descriptor::Schema`], from which validation, flags and the reference page are derived.
 
 mod check;
 pub mod descriptor;
--- a/crates/bellyoke-process/src/settings/problem.rs
+++ b/crates/bellyoke-process/src/settings/problem.rs
@@ -1,18 +1,18 @@
-//! What is wrong with settings.
+//! Problems found in settings.
 
 use bellyoke_api::result_code::ResultCode;
 use std::fmt;
 
-/// One thing that is wrong, with all an operator needs to mend it.
+/// A problem in the settings, with the information an operator needs to fix it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// What kind of problem it is.
+    /// The kind of problem.
     pub code: ResultCode,
-    /// The key, `section.name`, or what else is wrong.
+    /// The key as `section.name`, or the flag or file that is invalid.
     pub key: String,
     /// The value that was found.
     pub value: String,
-    /// What would be allowed.
+    /// The allowed values.
     pub allowed: String,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// All that is wrong with one set of settings; never empty.
+/// All problems found in a set of settings; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/bellyoke-process/src/settings/reference.rs
+++ b/crates/bellyoke-process/src/settings/reference.rs
@@ -1,9 +1,9 @@
-//! The table of keys in the settings page.
+//! Generates the table of keys for the settings page.
 
 use super::descriptor::Schema;
 use std::fmt::Write;
 
-/// All keys as a Markdown table.
+/// Returns all keys as a Markdown table.
 #[must_use]
 pub fn reference_table(schema: &Schema) -> String {
     let mut table = String::from(
--- a/crates/bellyoke-process/src/settings/table.rs
+++ b/crates/bellyoke-process/src/settings/table.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a settings file into a table that has passed all checks.
+//! Parses and validates the text of a settings file.
 
 use super::check;
 use super::descriptor::{DefaultValue, KeyDescriptor, Schema, ValueKind};
@@ -9,11 +9,11 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// The table with its defaults filled in, and all that is wrong with it.
+/// Returns the parsed table, with overrides and defaults applied, and all problems found in it.
 ///
 /// # Errors
 ///
-/// If the text is no TOML.
+/// Returns an error if the text is not valid TOML.
 pub fn checked_table(
     schema: &Schema,
     text: &str,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Checks one key and fills in its default.
+/// Validates a key, or inserts its default if it is absent.
 fn check_key(descriptor: &KeyDescriptor, table: &mut Table, problems: &mut Vec<Problem>) {
     let section = table
         .entry(descriptor.section)
@@ -107,31 +107,31 @@
     }
 }
 
-/// A whole number may also be written as a float: `3000.0`.
+/// Converts a float without a fraction, such as `3000.0`, to an integer if the key takes one.
 fn normalize_number(descriptor: &KeyDescriptor, value: &mut Value) {
     const MAXIMUM_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
     if let (ValueKind::Integer { .. }, Value::Float(number)) = (descriptor.kind, &*value)
         && number.fract() == 0.0
         && number.abs() <= MAXIMUM_EXACT_INTEGER
     {
-        // Exact: whole, and within the integers that a float tells apart.
+        // Exact: the number is whole and within the range in which `f64` represents every integer.
         #[expect(clippy::cast_possible_truncation)]
         let whole = *number as i64;
         *value = Value::Integer(whole);
     }
 }
 
-/// The value of a TOML literal.
+/// Parses a TOML literal.
 pub(super) fn literal_value(literal: &str) -> Option<Value> {
     let table: Table = format!("value = {literal}").parse().ok()?;
     table.get("value").cloned()
 }
 
-/// Types what the checks have passed.
+/// Deserializes a validated table into a settings type.
 ///
 /// # Errors
 ///
-/// If the type has other fields than the schema has keys.
+/// Returns an error if the fields of the type differ from the keys of the schema.
 pub fn into_typed<Settings: DeserializeOwned>(
     schema: &Schema,
     table: Table,
@@ -146,11 +146,11 @@
     })
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
 ///
-/// If it cannot be read.
+/// Returns an error if the file cannot be read.
 pub fn read_file(path: &Path) -> Result<String, Problems> {
     std::fs::read_to_string(path).map_err(|error| {
         Problems(vec![Problem {
--- a/crates/bellyoke-process/src/signals.rs
+++ b/crates/bellyoke-process/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals that stop the process.
+//! Termination signals.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// SIGTERM and SIGINT.
+/// Listens for SIGTERM and SIGINT.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -10,11 +10,11 @@
 }
 
 impl Signals {
-    /// Takes over both signals.
+    /// Installs handlers for both signals.
     ///
     /// # Errors
     ///
-    /// If they cannot be taken over.
+    /// Returns an error if a handler cannot be installed.
     pub fn register() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Waits for the next of either.
+    /// Waits until either signal is received.
     pub async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/bellyoke-process/tests/clock.rs
+++ b/crates/bellyoke-process/tests/clock.rs
@@ -1,11 +1,11 @@
-//! The process's clock.
+//! Tests of the monotonic clock.
 
 use bellyoke_core::time::Timestamp;
 use bellyoke_process::clock::MonotonicClock;
 use std::time::Duration;
 
 #[test]
-fn a_clock_that_starts_late_tells_times_before_its_start() {
+fn times_before_the_start_are_representable_with_a_non_zero_origin() {
     let origin = Timestamp::from_micros(60_000_000);
     let now = MonotonicClock::start_at(origin).now();
     let age = Duration::from_secs(50);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_instant_and_its_timestamp_are_as_far_from_now() {
+fn instants_are_as_far_apart_as_their_timestamps() {
     let clock = MonotonicClock::start_at(Timestamp::from_micros(60_000_000));
     let now = clock.now();
     let ahead = Duration::from_secs(7);
