--- a/crates/bellyoke-node/src/connection/http_client.rs
+++ b/crates/bellyoke-node/src/connection/http_client.rs
@@ -106,7 +106,7 @@
 
     /// Sends a GET request for `path` and hedges it. While there is no response, `hedge` is polled to
     /// decide whether to repeat the call over another connection. The first response is returned.
-    /// The call must be idempotent.
+    /// The call must not have side effects.
     ///
     /// # Errors
     ///
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -58,7 +58,7 @@
 /// tombstones.
 const ENCODED_DELTA_LIFETIME: Duration = Duration::from_millis(20);
 
-/// The delta that was encoded last, with the versions that it leads from and to.
+/// The delta that was encoded last, with the versions that it spans.
 struct EncodedDelta {
     known: Versions,
     own: Versions,
