--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -37,8 +37,8 @@
 
 /// Interval between reviews while a client waits for an instance that does not answer. A request
 /// with a timeout of 600 ms has 100 ms to spare besides the retransmission that reveals the wait
-/// (200 ms), the probes (220 ms) and the transfer to another instance, so even half of
-/// [`REVIEW_INTERVAL`] would be too long.
+/// (200 ms), the probes (220 ms) and the transfer to another instance, so a delay of half a
+/// [`REVIEW_INTERVAL`] would be significant.
 const URGENT_REVIEW_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Maximum wait for a packet. Idle flows must be reset soon after their instance has ended. A node
