--- a/crates/bellyoke-node/src/connection/http_client.rs
+++ b/crates/bellyoke-node/src/connection/http_client.rs
@@ -1,4 +1,4 @@
-//! A kept-alive HTTP/1.1 connection that notices when the other side is gone.
+//! A persistent HTTP/1.1 connection that detects an unresponsive peer.
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Request, Response, StatusCode, header};
@@ -13,62 +13,63 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Longest wait for a connection.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time without traffic after which the other side is probed, and between two probes.
+/// Idle time before the first keepalive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which the connection is given up.
+/// Number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Longest time that sent bytes may stay unacknowledged.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum time that sent data may remain unacknowledged.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a call waits for its answer before it may be made again: longer than a slow store takes.
-const FIRST_HEDGE: Duration = Duration::from_millis(500);
+/// Delay before a call may be hedged. Exceeds the response time of a slow store.
+const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two further ones.
+/// Interval between further hedges.
 const HEDGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest pause within an answer. A long one may take longer over a thin link.
-const BODY_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Maximum time without progress while a body is received. The whole body may take longer over a
+/// low-bandwidth link.
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest answer that is read, bytes.
-const MAXIMUM_BODY_LENGTH: usize = 16 * 1024 * 1024;
+/// Maximum length of a response body.
+const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a call came to nothing. It may have been done all the same.
+/// Error of a call. The server may nevertheless have executed the call.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response was received in time.
+    #[error("no response in time")]
     TimedOut,
     /// The connection could not be opened.
     #[error("connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection broke, or the other side speaks no HTTP.
+    /// The connection was closed, or the server violated the HTTP protocol.
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    /// The answer is longer than is read, or broke off.
+    /// The body exceeds the maximum length or is incomplete.
     #[error("body: {0}")]
     Body(String),
-    /// The path is no path.
+    /// The path is invalid.
     #[error("request: {0}")]
     Request(#[from] http::Error),
 }
 
-/// An answer that has come whole.
+/// A completely received response.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
-    /// Its status.
+pub struct HttpResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// A connection to one address, opened when it is needed.
+/// A connection to an address that is opened on demand.
 #[derive(Debug)]
 pub struct HttpConnection {
     address: SocketAddrV4,
@@ -76,7 +77,7 @@
 }
 
 impl HttpConnection {
-    /// A connection to `address` that is not open yet.
+    /// Creates a connection to `address` without opening it.
     #[must_use]
     pub const fn new(address: SocketAddrV4) -> Self {
         Self {
@@ -85,60 +86,67 @@
         }
     }
 
-    /// Gets `path`. After any error the connection is closed: one that has lost an answer may
-    /// never say anything again.
+    /// Sends a GET request for `path`. The connection is closed after any error, because a
+    /// connection that has lost a response may never deliver another one.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no answer begins within `patience`, or it breaks off.
-    pub async fn get(&mut self, path: &str, patience: Duration) -> Result<HttpAnswer, CallError> {
+    /// Returns a [`CallError`] if no response starts within `response_timeout` or it is incomplete.
+    pub async fn get(
+        &mut self,
+        path: &str,
+        response_timeout: Duration,
+    ) -> Result<HttpResponse, CallError> {
         let sender = self.sender.take();
-        let exchange = exchange(self.address, sender, path.to_owned(), patience);
-        let (sender, answer) = exchange.await?;
+        let exchange = exchange(self.address, sender, path.to_owned(), response_timeout);
+        let (sender, response) = exchange.await?;
         self.sender = Some(sender);
-        Ok(answer)
+        Ok(response)
     }
 
-    /// The same, but asks `hedge` now and then, while there is no answer, whether to make the call again
-    /// over another connection; the first answer counts. Only for calls that change nothing.
+    /// Sends a GET request for `path` and hedges it. While there is no response, `hedge` is polled to
+    /// decide whether to repeat the call over another connection. The first response is returned.
+    /// The call must not have side effects.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no answer begins within `patience` of the last call made, or all have failed.
+    /// Returns a [`CallError`] if no response starts within `response_timeout` of the last call, or
+    /// all calls fail.
     pub async fn get_hedged(
         &mut self,
         path: &str,
-        patience: Duration,
+        response_timeout: Duration,
         hedge: impl FnMut() -> bool,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let sender = self.sender.take();
-        let answered = first_answer(self.address, sender, path, patience, hedge);
-        let (sender, answer) = answered.await?;
+        let exchanged = first_response(self.address, sender, path, response_timeout, hedge);
+        let (sender, response) = exchanged.await?;
         self.sender = Some(sender);
-        Ok(answer)
+        Ok(response)
     }
 }
 
-/// Starts an exchange, and another one over a new connection whenever `hedge` says so, until one has
-/// an answer or all have failed. None is started later than `patience` after the first.
-async fn first_answer(
+/// Starts an exchange, and another one over a new connection whenever `hedge` returns true, until
+/// one receives a response or all have failed. No exchange is started later than `response_timeout`
+/// after the first.
+async fn first_response(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: &str,
-    patience: Duration,
+    response_timeout: Duration,
     mut hedge: impl FnMut() -> bool,
-) -> Result<Answered, CallError> {
+) -> Result<Exchanged, CallError> {
     let mut exchanges = JoinSet::new();
-    let start = |sender| exchange(address, sender, path.to_owned(), patience);
+    let start = |sender| exchange(address, sender, path.to_owned(), response_timeout);
     exchanges.spawn_local(start(sender));
-    let hedge_until = Instant::now() + patience;
-    let mut hedge_at = Instant::now() + FIRST_HEDGE;
+    let hedge_until = Instant::now() + response_timeout;
+    let mut hedge_at = Instant::now() + HEDGE_DELAY;
     loop {
         tokio::select! {
-            ended = exchanges.join_next() => match ended {
+            finished = exchanges.join_next() => match finished {
                 Some(Ok(Err(_))) if !exchanges.is_empty() => {}
-                Some(Ok(ended)) => return ended,
-                // An exchange that panicked, or none.
+                Some(Ok(finished)) => return finished,
+                // An exchange panicked, or none is left.
                 Some(Err(_)) | None => return Err(CallError::TimedOut),
             },
             () = sleep_until(hedge_at), if hedge_at < hedge_until => {
@@ -151,33 +159,33 @@
     }
 }
 
-/// The connection, for the next call, and what was answered.
-type Answered = (SendRequest<Empty<Bytes>>, HttpAnswer);
+/// The connection, for the next call, and the response.
+type Exchanged = (SendRequest<Empty<Bytes>>, HttpResponse);
 
 async fn exchange(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: String,
-    patience: Duration,
-) -> Result<Answered, CallError> {
-    let begun = timeout(patience, send(address, sender, path)).await;
-    let (sender, response) = begun.map_err(|_| CallError::TimedOut)??;
-    let (head, body) = response.into_parts();
-    let answer = HttpAnswer {
-        status: head.status,
-        headers: head.headers,
+    response_timeout: Duration,
+) -> Result<Exchanged, CallError> {
+    let started = timeout(response_timeout, send(address, sender, path)).await;
+    let (sender, response) = started.map_err(|_| CallError::TimedOut)??;
+    let (parts, body) = response.into_parts();
+    let response = HttpResponse {
+        status: parts.status,
+        headers: parts.headers,
         body: read_body(body).await?,
     };
-    Ok((sender, answer))
+    Ok((sender, response))
 }
 
-/// Sends a request, and returns its answer once that begins.
+/// Sends a request and returns the response once its head is received.
 async fn send(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
     path: String,
 ) -> Result<(SendRequest<Empty<Bytes>>, Response<Incoming>), CallError> {
-    let mut sender = usable_or_new(address, sender).await?;
+    let mut sender = reuse_or_connect(address, sender).await?;
     let request = Request::get(path)
         .header(header::HOST, address.to_string())
         .body(Empty::new())?;
@@ -186,10 +194,10 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, CallError> {
-    let mut body = Limited::new(body, MAXIMUM_BODY_LENGTH);
+    let mut body = Limited::new(body, MAXIMUM_BODY_BYTES);
     let mut bytes = BytesMut::new();
     loop {
-        let next = timeout(BODY_PATIENCE, body.frame()).await;
+        let next = timeout(BODY_STALL_TIMEOUT, body.frame()).await;
         let Some(frame) = next.map_err(|_| CallError::TimedOut)? else {
             return Ok(bytes.freeze());
         };
@@ -200,7 +208,7 @@
     }
 }
 
-async fn usable_or_new(
+async fn reuse_or_connect(
     address: SocketAddrV4,
     sender: Option<SendRequest<Empty<Bytes>>>,
 ) -> Result<SendRequest<Empty<Bytes>>, CallError> {
@@ -216,15 +224,15 @@
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| CallError::TimedOut)?;
     let stream = stream.map_err(CallError::Connect)?;
-    watch_for_loss(&stream).map_err(CallError::Connect)?;
+    enable_dead_peer_detection(&stream).map_err(CallError::Connect)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(connection);
     Ok(sender)
 }
 
-/// Lets the system notice a silent other side: by probes while nothing is sent, and by missing
-/// acknowledgements (RFC 5482) otherwise.
-fn watch_for_loss(stream: &TcpStream) -> std::io::Result<()> {
+/// Makes the operating system detect an unresponsive peer: by keepalive probes while the connection
+/// is idle, and by missing acknowledgements (RFC 5482) otherwise.
+fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -232,5 +240,5 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/bellyoke-node/src/connection/mod.rs
+++ b/crates/bellyoke-node/src/connection/mod.rs
@@ -1,9 +1,10 @@
-//! What lives for a connection: to the store, to peers, and from those who ask for the state.
+//! State with the lifetime of a connection: connections to the store and to peers, and from clients
+//! of the HTTP endpoints.
 
 pub mod follow;
 pub mod http_client;
 pub mod http_server;
-pub mod patient_io;
 pub mod peers;
 pub mod probes;
+pub mod stall_timeout;
 pub mod store;
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -1,6 +1,6 @@
-//! Heartbeats by datagram and snapshots by connection, both at the peer address.
+//! Exchange with peers at the peer address: datagrams over UDP and snapshots over TCP.
 
-use super::patient_io::{read_patiently, write_patiently};
+use super::stall_timeout::{read_to_end_with_stall_timeout, write_all_with_stall_timeout};
 use crate::process::control::Control;
 use crate::process::metrics::ControlMetrics;
 use bellyoke_api::event_code::EventCode;
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::time::{error::Elapsed, timeout};
 
-/// Longest time in which a peer that fetches neither sends nor takes anything: twice as long as
-/// it waits itself.
-const SERVE_PATIENCE: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
+/// Maximum time without progress of a peer that fetches a snapshot: twice the time that the peer
+/// itself waits.
+const SERVE_STALL_TIMEOUT: Duration = FETCH_STALL_TIMEOUT.saturating_mul(2);
 
-/// Snapshots sent at once; further peers wait in the system's queue.
-const MAXIMUM_SERVED: usize = 4;
+/// Maximum number of snapshots sent concurrently. Further peers wait in the accept queue.
+const MAXIMUM_CONCURRENT_SNAPSHOTS: usize = 4;
 
-/// Why a snapshot could not be fetched.
+/// Error of fetching or serving a snapshot.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("no answer in time")]
+    #[error("no response in time")]
     TimedOut(#[from] Elapsed),
     #[error("{0}")]
     Connection(#[from] std::io::Error),
@@ -41,29 +41,33 @@
     Encode(#[from] EncodeError),
 }
 
-/// The node's way to its peers.
+/// The link of the node to its peers.
 #[derive(Clone)]
 pub struct PeerLink {
-    /// The node's state.
+    /// State of the control thread.
     pub control: Rc<RefCell<Control>>,
-    /// The socket of heartbeats and deltas.
+    /// Socket for datagrams to and from peers.
     pub socket: Arc<UdpSocket>,
 }
 
-/// Hands datagrams to the control state for the life of the process.
+/// Passes received datagrams to the control state for the lifetime of the process.
 pub async fn receive_datagrams(link: PeerLink) {
     let mut buffer = [0; MAXIMUM_DATAGRAM_LENGTH + 1];
     loop {
         let Ok((length, SocketAddr::V4(from))) = link.socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let effects = link.control.borrow_mut().datagram(from, &buffer[..length]);
+        let effects = link
+            .control
+            .borrow_mut()
+            .handle_datagram(from, &buffer[..length]);
         link.perform(effects);
     }
 }
 
 impl PeerLink {
-    /// Does what the exchange wants. What can't be sent at once is left out: heartbeats repeat.
+    /// Performs the effects of the exchange. A message that cannot be sent immediately is dropped,
+    /// because heartbeats are sent periodically.
     pub fn perform(&self, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
@@ -81,7 +85,9 @@
                 }
                 ExchangeEffect::SendProbeRequest { to, request } => {
                     let encode = |key: &PeerKey| request.encode(key);
-                    self.send("question", to, encode, |metrics| &metrics.questions_sent);
+                    self.send("question", to, encode, |metrics| {
+                        &metrics.probe_requests_sent
+                    });
                 }
                 ExchangeEffect::SendFindings { to, report } => {
                     let encode = |key: &PeerKey| report.encode(key);
@@ -89,7 +95,7 @@
                 }
                 ExchangeEffect::SendRefutation { to, refutation } => {
                     let encode = |key: &PeerKey| refutation.encode(key);
-                    self.send("objection", to, encode, |metrics| &metrics.objections_sent);
+                    self.send("objection", to, encode, |metrics| &metrics.refutations_sent);
                 }
                 ExchangeEffect::SendOutliers { to, message } => {
                     let encode = |key: &PeerKey| message.encode(key);
@@ -116,7 +122,7 @@
         self.send("heartbeat", to, encode, |metrics| &metrics.heartbeats_sent);
     }
 
-    /// Sends a message and counts it, if the socket has room.
+    /// Sends a message and counts it. Drops the message if the socket buffer is full.
     fn send(
         &self,
         kind: &'static str,
@@ -133,7 +139,7 @@
         }
     }
 
-    /// Sends what a peer lacks. Returns false if a delta can't tell it.
+    /// Sends a delta of the state that a peer lacks. Returns false if there is no such delta.
     fn send_delta(&self, to: SocketAddrV4, known: Versions) -> bool {
         let mut control = self.control.borrow_mut();
         let Some(bytes) = control.delta_for(known) else {
@@ -151,10 +157,10 @@
     let control = &link.control;
     let key = control.borrow().peer_key().clone();
     let request = control.borrow().fetch_request();
-    let progressed = || control.borrow_mut().fetch_progressed(from);
-    match read_snapshot(from, request, &key, progressed).await {
+    let on_progress = || control.borrow_mut().record_fetch_progress(from);
+    match read_snapshot(from, request, &key, on_progress).await {
         Ok(snapshot) => {
-            let effects = control.borrow_mut().snapshot(from, snapshot);
+            let effects = control.borrow_mut().apply_snapshot(from, snapshot);
             link.perform(effects);
         }
         Err(error) => {
@@ -171,23 +177,23 @@
     from: SocketAddrV4,
     request: FetchRequest,
     key: &PeerKey,
-    progressed: impl FnMut(),
+    on_progress: impl FnMut(),
 ) -> Result<Snapshot, FetchError> {
     let mut stream = timeout(FETCH_STALL_TIMEOUT, TcpStream::connect(from)).await??;
-    write_patiently(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
-    let bytes = read_patiently(
+    write_all_with_stall_timeout(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
+    let bytes = read_to_end_with_stall_timeout(
         stream,
         MAXIMUM_SNAPSHOT_LENGTH,
         FETCH_STALL_TIMEOUT,
-        progressed,
+        on_progress,
     )
     .await?;
     Ok(decode_snapshot(&bytes, key)?)
 }
 
-/// Sends a snapshot to each peer that asks, for the life of the process.
+/// Sends a snapshot to each peer that requests one, for the lifetime of the process.
 pub async fn serve_snapshots(control: Rc<RefCell<Control>>, listener: TcpListener) {
-    let slots = Arc::new(Semaphore::new(MAXIMUM_SERVED));
+    let slots = Arc::new(Semaphore::new(MAXIMUM_CONCURRENT_SNAPSHOTS));
     loop {
         let Ok(slot) = Arc::clone(&slots).acquire_owned().await else {
             return;
@@ -198,7 +204,7 @@
         };
         let control = Rc::clone(&control);
         tokio::task::spawn_local(async move {
-            // Whoever fetches notices that it failed, and logs it.
+            // The fetching peer detects and logs failures.
             let _ = serve_snapshot(control, stream).await;
             drop(slot);
         });
@@ -209,14 +215,20 @@
     control: Rc<RefCell<Control>>,
     mut stream: TcpStream,
 ) -> Result<(), FetchError> {
-    let asked = read_patiently(&mut stream, MAXIMUM_FETCH_LENGTH, SERVE_PATIENCE, || {}).await?;
+    let request_bytes = read_to_end_with_stall_timeout(
+        &mut stream,
+        MAXIMUM_FETCH_LENGTH,
+        SERVE_STALL_TIMEOUT,
+        || {},
+    )
+    .await?;
     let bytes = {
         let control = control.borrow();
-        let request = FetchRequest::decode(&asked, control.peer_key())?;
+        let request = FetchRequest::decode(&request_bytes, control.peer_key())?;
         let bytes = encode_snapshot(&control.snapshot_for(request), control.peer_key())?;
         control.count_sent_to("snapshot", Some(request.zone), bytes.len());
         bytes
     };
-    write_patiently(&mut stream, &bytes, SERVE_PATIENCE).await?;
+    write_all_with_stall_timeout(&mut stream, &bytes, SERVE_STALL_TIMEOUT).await?;
     Ok(())
 }
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -1,4 +1,4 @@
-//! The state of the control thread, and what each event does to it.
+//! State of the control thread and its event handlers.
 
 mod report;
 mod store;
@@ -8,7 +8,6 @@
 use super::shared::Shared;
 use bellyoke_api::event_code::EventCode;
 use bellyoke_core::cookie::coordinator::{Coordinator, Outcome};
-
 use bellyoke_core::cookie::exchange::{
     Exchange, ExchangeEffect, ExchangeSettings, FetchRequest, PeerDatagram, PeerKey, StoreDuty,
 };
@@ -35,18 +34,18 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Period of [`Control::tick`].
-pub const TICK: Duration = Duration::from_millis(100);
+/// Interval between calls of [`Control::tick`].
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines of one event in one second.
-const LOG_ALLOWANCE: u32 = 20;
+/// Maximum number of log lines per event and second.
+const LOG_LINES_PER_SECOND: u32 = 20;
 
-/// Least time between two tellings of what peers found, beside those of each tick: all instances that are held to be
-/// unreachable are put together for each.
-const SHOWING_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum interval between publications of reachability that are triggered by peer messages
+/// rather than by a tick. Each publication collects all instances considered unreachable.
+const REACHABILITY_PUBLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A node that knows nothing yet.
-fn replica(timing: &TimingSettings) -> Replica {
+/// Creates an empty replica.
+fn new_replica(timing: &TimingSettings) -> Replica {
     let tombstone_lifetime = timing.tombstone_lifetime();
     if timing.reads_zones() {
         Replica::reading_zones(tombstone_lifetime)
@@ -55,10 +54,11 @@
     }
 }
 
-/// How long an encoded delta is kept: it tells ages of what has gone.
-const DELTA_LIFETIME: Duration = Duration::from_millis(20);
+/// How long an encoded delta is cached. The bound is short because a delta contains the ages of
+/// tombstones.
+const ENCODED_DELTA_LIFETIME: Duration = Duration::from_millis(20);
 
-/// A delta as it was sent last.
+/// The delta that was encoded last, with the versions that it spans.
 struct EncodedDelta {
     known: Versions,
     own: Versions,
@@ -66,7 +66,7 @@
     bytes: Option<Rc<[u8]>>,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 pub struct Control {
     clock: MonotonicClock,
     shared: Arc<Shared>,
@@ -77,22 +77,22 @@
     registry: Registry,
     metrics: ControlMetrics,
     limiter: LogLimiter,
-    told_failing: Arc<Vec<Cookie>>,
-    /// Told when a peer asks whether instances can be reached.
-    asked: Arc<Notify>,
+    reported_failing: Arc<Vec<Cookie>>,
+    /// Notified when a peer requests probes of instances.
+    probe_requested: Arc<Notify>,
     was_ready: bool,
     last_duty: StoreDuty,
     was_busy: bool,
     last_delta: Option<EncodedDelta>,
     tables: TablePacer,
-    /// When the traffic thread may next be told at once which instances can't be reached.
-    next_showing: Timestamp,
-    /// The store's era as logged last.
+    /// Earliest time at which a peer message may trigger the next publication of reachability.
+    next_reachability_publication: Timestamp,
+    /// The era of the store that was logged last.
     logged_era: StoreEra,
 }
 
 impl Control {
-    /// A node that knows nothing yet.
+    /// Creates the state of a node that has no configuration or instances yet.
     #[must_use]
     pub fn new(settings: &Settings, shared: Arc<Shared>, mut registry: Registry) -> Self {
         let mut random: ChaCha8Rng = rand::make_rng();
@@ -111,91 +111,94 @@
         .with_place(settings.place());
         Self {
             clock: shared.clock,
-            coordinator: Coordinator::new(replica(&settings.timing), exchange)
-                .with_outlier_settings(settings.outliers.detection()),
+            coordinator: Coordinator::new(new_replica(&settings.timing), exchange)
+                .with_outlier_settings(settings.outliers.outlier_settings()),
             lifecycle: Lifecycle::new(settings.timing.leave_grace()),
             random,
             peer_key: PeerKey::default(),
             metrics: ControlMetrics::new(&mut registry),
             registry,
-            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_ALLOWANCE),
-            told_failing: Arc::default(),
-            asked: Arc::default(),
+            limiter: LogLimiter::with_allowance(Duration::from_secs(1), LOG_LINES_PER_SECOND),
+            reported_failing: Arc::default(),
+            probe_requested: Arc::default(),
             was_ready: false,
             last_duty: StoreDuty::Listener,
             was_busy: false,
             last_delta: None,
             tables: TablePacer::default(),
-            next_showing: Timestamp::ZERO,
+            next_reachability_publication: Timestamp::ZERO,
             logged_era: StoreEra::default(),
             shared,
         }
     }
 
-    /// The process's clock.
+    /// Returns the clock of the process.
     #[must_use]
     pub const fn clock(&self) -> MonotonicClock {
         self.clock
     }
 
-    /// The process's randomness.
+    /// Returns the random number generator of the control thread.
     pub const fn random(&mut self) -> &mut ChaCha8Rng {
         &mut self.random
     }
 
-    /// The key of peer messages.
+    /// Returns the key that authenticates peer messages.
     #[must_use]
     pub const fn peer_key(&self) -> &PeerKey {
         &self.peer_key
     }
 
-    /// The counters.
+    /// Returns the metrics of the control thread.
     #[must_use]
     pub const fn metrics(&self) -> &ControlMetrics {
         &self.metrics
     }
 
-    /// All counters in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string fails never.
+        // Writing to a string never fails.
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
         text
     }
 
-    /// Whether the node takes new flows.
+    /// Checks whether the node is ready for new flows.
     ///
     /// # Errors
     ///
-    /// Why it doesn't.
+    /// Returns the reason if the node is not ready.
     pub fn readiness(&self) -> Result<(), Unready> {
         let known = self.coordinator.replica().versions();
         self.lifecycle.ready(known)
     }
 
-    /// What a peer that asked for it lacks.
+    /// Builds a snapshot of the state that the requesting peer lacks.
     #[must_use]
     pub fn snapshot_for(&self, request: FetchRequest) -> Snapshot {
         self.coordinator.snapshot_for(self.clock.now(), request)
     }
 
-    /// What to ask a peer that is ahead.
+    /// Builds the request for the state that this node lacks.
     #[must_use]
     pub fn fetch_request(&self) -> FetchRequest {
         self.coordinator.fetch_request()
     }
 
-    /// The bytes of the message for a peer that knows `known`; none if there is none, or it is too long. Each change
-    /// goes to several peers that know as much, so that the last message is kept for a moment.
+    /// Returns the encoded delta for a peer with the versions `known`, or `None` if there is no
+    /// delta from these versions or it is too long.
+    ///
+    /// The last message is cached briefly because a change is usually sent to several peers with
+    /// the same versions.
     pub fn delta_for(&mut self, known: Versions) -> Option<Rc<[u8]>> {
         let now = self.clock.now();
         let own = self.coordinator.replica().versions();
-        if let Some(held) = &self.last_delta
-            && (held.known, held.own) == (known, own)
-            && now.since(held.encoded_at) < DELTA_LIFETIME
+        if let Some(cached) = &self.last_delta
+            && (cached.known, cached.own) == (known, own)
+            && now.since(cached.encoded_at) < ENCODED_DELTA_LIFETIME
         {
-            return held.bytes.clone();
+            return cached.bytes.clone();
         }
         let message = self.coordinator.delta_for(now, known);
         let bytes = message.and_then(|message| message.encode(&self.peer_key).ok());
@@ -209,43 +212,47 @@
         bytes
     }
 
-    /// The store tells of instances.
-    pub fn instances(
+    /// Applies an update of instances from the store.
+    pub fn apply_instances(
         &mut self,
         update: Update<InstanceRecord, InstanceEvent>,
     ) -> Vec<ExchangeEffect> {
-        let told = update.at();
+        let received = update.at();
         let known = self.known_up_to(ObjectKind::Instances);
         let outcome = self.coordinator.apply_instances(self.clock.now(), update);
-        if told < known {
-            self.log_old_state(ObjectKind::Instances, told, known);
+        if received < known {
+            self.log_stale_state(ObjectKind::Instances, received, known);
         }
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
-    /// The store tells of the configuration.
-    pub fn configurations(
+    /// Applies an update of the configuration from the store.
+    pub fn apply_configurations(
         &mut self,
         update: Update<Configuration, Configuration>,
     ) -> Vec<ExchangeEffect> {
-        let told = update.last().map(|last| (last.version, last.revision));
+        let received = update.last().map(|last| (last.version, last.revision));
         let outcome = self
             .coordinator
             .apply_configurations(self.clock.now(), update);
-        if let Some((version, revision)) = told {
+        if let Some((version, revision)) = received {
             self.log_ignored_configuration(version, revision);
         }
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
-    /// The store tells of drained zones.
-    pub fn zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
+    /// Applies an update of drained zones from the store.
+    pub fn apply_zones(&mut self, update: Update<DrainedZone, ZoneEvent>) -> Vec<ExchangeEffect> {
         let outcome = self.coordinator.apply_zones(self.clock.now(), update);
-        self.take(outcome, Source::Store)
+        self.apply_outcome(outcome, Source::Store)
     }
 
-    /// A peer's snapshot has come.
-    pub fn snapshot(&mut self, from: SocketAddrV4, snapshot: Snapshot) -> Vec<ExchangeEffect> {
+    /// Applies a snapshot fetched from a peer.
+    pub fn apply_snapshot(
+        &mut self,
+        from: SocketAddrV4,
+        snapshot: Snapshot,
+    ) -> Vec<ExchangeEffect> {
         self.metrics.snapshots_fetched.inc();
         let outcome = self
             .coordinator
@@ -257,26 +264,26 @@
                 outcome.change.configuration, outcome.change.directory, outcome.change.zones
             ),
         );
-        self.take(outcome, Source::Peer)
+        self.apply_outcome(outcome, Source::Peer)
     }
 
-    /// A part of a peer's snapshot has come.
-    pub fn fetch_progressed(&mut self, from: SocketAddrV4) {
+    /// Records that a part of a peer's snapshot was received.
+    pub fn record_fetch_progress(&mut self, from: SocketAddrV4) {
         self.coordinator
             .record_fetch_progress(self.clock.now(), from);
     }
 
-    /// A peer's snapshot could not be read.
+    /// Records that fetching a peer's snapshot failed.
     pub fn fetch_failed(&mut self, from: SocketAddrV4) {
         self.coordinator.fetch_failed(from);
     }
 
-    /// A datagram has come from a peer.
-    pub fn datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) -> Vec<ExchangeEffect> {
+    /// Handles a datagram from a peer.
+    pub fn handle_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) -> Vec<ExchangeEffect> {
         let datagram = match PeerDatagram::decode(bytes, &self.peer_key) {
             Ok(datagram) => datagram,
             Err(error) => {
-                self.metrics.heartbeats_rejected.inc();
+                self.metrics.peer_messages_rejected.inc();
                 self.limiter.log(
                     EventCode::PeerMessagesRejected,
                     self.clock.now(),
@@ -290,54 +297,54 @@
             PeerDatagram::Delta(_) => self.metrics.deltas_received.inc(),
             PeerDatagram::Outliers(_) => self.metrics.outlier_messages_received.inc(),
             PeerDatagram::ProbeRequest(_) => {
-                self.asked.notify_one();
-                self.metrics.questions_received.inc()
+                self.probe_requested.notify_one();
+                self.metrics.probe_requests_received.inc()
             }
-            PeerDatagram::Refutation(_) => self.metrics.objections_received.inc(),
+            PeerDatagram::Refutation(_) => self.metrics.refutations_received.inc(),
             PeerDatagram::Findings(_) => self.metrics.findings_received.inc(),
         };
         let now = self.clock.now();
-        let is_verdict = matches!(
+        let affects_reachability = matches!(
             datagram,
             PeerDatagram::ProbeRequest(_) | PeerDatagram::Refutation(_) | PeerDatagram::Findings(_)
         );
         let outcome = self.coordinator.handle_datagram(now, from, datagram);
-        if is_verdict && now >= self.next_showing {
-            self.show_unreachable(now);
+        if affects_reachability && now >= self.next_reachability_publication {
+            self.publish_reachability(now);
         }
-        self.take(outcome, Source::Peer)
+        self.apply_outcome(outcome, Source::Peer)
     }
 
-    /// Told when a peer asks whether instances can be reached.
+    /// Returns the notification that is triggered when a peer requests probes of instances.
     #[must_use]
-    pub fn asked(&self) -> Arc<Notify> {
-        Arc::clone(&self.asked)
+    pub fn probe_requested(&self) -> Arc<Notify> {
+        Arc::clone(&self.probe_requested)
     }
 
-    /// The traffic thread's openings at some instances came to nothing.
-    pub fn doubt(&mut self, cookies: &[Cookie]) {
+    /// Marks instances as suspected because openings of the traffic thread failed there.
+    pub fn suspect(&mut self, cookies: &[Cookie]) {
         self.coordinator.suspect(self.clock.now(), cookies);
     }
 
-    /// The probe to begin now, if an instance is in question.
+    /// Returns the next probe to start, if an instance needs verification.
     pub fn next_probe(&mut self) -> Option<ProbeBatch> {
-        let sound = self.shared.sound.load();
-        self.coordinator.next_probe(self.clock.now(), &sound)
+        let healthy = self.shared.healthy.load();
+        self.coordinator.next_probe(self.clock.now(), &healthy)
     }
 
-    /// A probe is over.
-    pub fn probed(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
+    /// Records the outcomes of a finished probe.
+    pub fn record_probes(&mut self, outcomes: &[(Cookie, ProbeOutcome)]) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.count_probes(outcomes);
         let (changes, effects) = self.coordinator.record_probes(now, outcomes);
         for change in changes {
             self.log_reachability(now, change);
         }
-        self.show_unreachable(now);
+        self.publish_reachability(now);
         effects
     }
 
-    /// Time has passed.
+    /// Performs the periodic work. Called every [`TICK_INTERVAL`].
     pub fn tick(&mut self) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         let paced = self.shared.link_paced.load(Ordering::Relaxed);
@@ -351,41 +358,43 @@
                 format_args!("milliseconds={}", gap.as_millis()),
             );
         }
-        self.note_change(now, outcome.change);
+        self.publish_table_changes(now, outcome.change);
         let mut effects = outcome.effects;
         effects.extend(self.exchange_suspicions(now));
-        effects.extend(self.object(now));
+        effects.extend(self.report_alive(now));
         effects.extend(self.review_outliers(now));
-        self.show_unreachable(now);
-        self.note_duty(now);
+        self.publish_reachability(now);
+        self.log_duty_change(now);
         let nodes = self.coordinator.node_count_upper_bound(now).ceil();
-        self.shared.nodes.store(nodes as u64, Ordering::Relaxed);
-        self.show_state(now);
+        self.shared
+            .node_count_upper_bound
+            .store(nodes as u64, Ordering::Relaxed);
+        self.update_gauges(now);
         effects
     }
 
-    /// The node was asked to stop.
+    /// Starts to leave the cluster after a request to stop.
     pub fn leave(&mut self) -> Vec<ExchangeEffect> {
         let now = self.clock.now();
         self.lifecycle.leave(now);
-        self.note_readiness();
+        self.log_readiness_change();
         self.coordinator.leave(now)
     }
 
-    /// When the process may stop, once it was asked to.
+    /// Returns when the process may stop, or `None` if it is not leaving.
     #[must_use]
     pub fn stop_at(&self) -> Option<Timestamp> {
         self.lifecycle.stop_at()
     }
 
-    /// Takes over what of changed settings can change while the process runs.
+    /// Applies the settings that can change at run time.
     pub fn reload(&mut self, settings: &Settings) {
         self.coordinator.set_seeds(settings.peer_seeds());
     }
 
-    /// Publishes and logs what changed, and returns what to do.
-    fn take(&mut self, outcome: Outcome, source: Source) -> Vec<ExchangeEffect> {
-        self.note_era(source);
+    /// Logs and publishes the changes of an outcome and returns its effects.
+    fn apply_outcome(&mut self, outcome: Outcome, source: Source) -> Vec<ExchangeEffect> {
+        self.record_era(source);
         if outcome.change.configuration {
             self.log_configuration(source);
         }
@@ -395,17 +404,17 @@
         if outcome.change.zones {
             self.log_zones(source);
         }
-        self.note_change(self.clock.now(), outcome.change);
-        self.note_readiness();
+        self.publish_table_changes(self.clock.now(), outcome.change);
+        self.log_readiness_change();
         outcome.effects
     }
 
-    /// Publishes the table after a change, once it is due, or at once if what is published says nothing yet.
-    fn note_change(&mut self, now: Timestamp, change: StateChange) {
-        self.tables.record_change(now, change);
-        let says_nothing =
-            self.tables.has_unpublished_changes() && !self.shared.table.load().is_initialized();
-        if self.tables.is_due(now) || says_nothing {
+    /// Records changes and publishes the forwarding table once it is due, or immediately if the
+    /// published table is still uninitialized.
+    fn publish_table_changes(&mut self, now: Timestamp, change: StateChange) {
+        self.tables.changed(now, change);
+        let is_uninitialized = self.tables.is_behind() && !self.shared.table.load().is_informed();
+        if self.tables.is_due(now) || is_uninitialized {
             let table = self.coordinator.replica().table();
             self.shared.table.store(Arc::new(table));
             self.tables
@@ -413,9 +422,9 @@
         }
     }
 
-    /// Tells the traffic thread which instances can't be reached.
-    fn show_unreachable(&mut self, now: Timestamp) {
-        self.next_showing = now.after(SHOWING_INTERVAL);
+    /// Publishes the reachability of instances to the traffic thread.
+    fn publish_reachability(&mut self, now: Timestamp) {
+        self.next_reachability_publication = now.after(REACHABILITY_PUBLICATION_INTERVAL);
         let unreachable = self.coordinator.unreachable(now);
         if **self.shared.unreachable.load() != unreachable {
             self.shared.unreachable.store(Arc::new(unreachable));
@@ -424,9 +433,11 @@
         if **self.shared.ended.load() != ended {
             self.shared.ended.store(Arc::new(ended));
         }
-        let in_question = self.coordinator.under_verification(now);
-        if **self.shared.in_question.load() != in_question {
-            self.shared.in_question.store(Arc::new(in_question));
+        let under_verification = self.coordinator.under_verification(now);
+        if **self.shared.under_verification.load() != under_verification {
+            self.shared
+                .under_verification
+                .store(Arc::new(under_verification));
         }
         let avoided = self.coordinator.avoided(now);
         if **self.shared.avoided.load() != avoided {
@@ -434,27 +445,27 @@
         }
     }
 
-    /// Tells peers which of the instances in question the traffic thread has seen alive.
-    fn object(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
-        let living = self.shared.living.load_full();
-        if living.is_empty() {
+    /// Reports instances under verification that the traffic thread has seen alive to peers.
+    fn report_alive(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
+        let alive = self.shared.alive.load_full();
+        if alive.is_empty() {
             return Vec::new();
         }
-        let (dropped, effects) = self.coordinator.report_alive(now, &living);
+        let (dropped, effects) = self.coordinator.report_alive(now, &alive);
         for cookie in dropped {
-            self.log_objection(now, cookie);
+            self.log_refutation(now, cookie);
         }
         effects
     }
 
-    /// Takes over what became of requests, and tells the traffic thread whose answers fail.
+    /// Records the request outcomes of the traffic thread and publishes the current outliers to it.
     fn review_outliers(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let table = self.shared.table.load_full();
         let tallies = self
             .shared
             .tallies
             .lock()
-            .map(|mut held| std::mem::take(&mut *held));
+            .map(|mut tallies| std::mem::take(&mut *tallies));
         let tallies = tallies.unwrap_or_default();
         self.count_answers(&tallies);
         self.coordinator.record_answers(now, &table, &tallies);
@@ -471,13 +482,13 @@
         effects
     }
 
-    /// Tells peers at once of a new suspicion, and the traffic thread of theirs.
+    /// Reports new suspicions to peers and publishes the suspicions of peers to the traffic thread.
     fn exchange_suspicions(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let mut effects = Vec::new();
         let failing = self.shared.failing.load_full();
-        if failing != self.told_failing {
+        if failing != self.reported_failing {
             effects = self.coordinator.set_failing(now, failing.to_vec());
-            self.told_failing = failing;
+            self.reported_failing = failing;
         }
         let suspected = self.coordinator.peer_suspicions();
         if **self.shared.peer_suspicions.load() != suspected {
--- a/crates/bellyoke-node/src/process/run.rs
+++ b/crates/bellyoke-node/src/process/run.rs
@@ -1,7 +1,7 @@
-//! From the command line to the end of the process.
+//! Runs the daemon, from parsing the command line until the process exits.
 
 use super::command_line::{USAGE, flag_list, parse_command_line};
-use super::control::{Control, TICK};
+use super::control::{Control, TICK_INTERVAL};
 use super::settings::{Settings, load_settings};
 use super::shared::Shared;
 use crate::connection::follow::follow;
@@ -38,20 +38,23 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Doubts of the traffic thread that wait for the control thread; further ones are dropped, and the
-/// next failure tells them again.
-const MAXIMUM_DOUBTS: usize = 64;
+/// Maximum number of lists of suspects queued for the control thread. Further lists are dropped;
+/// the next failure reports the instances again.
+const MAXIMUM_QUEUED_SUSPECT_LISTS: usize = 64;
 
-/// How often the settings file is compared with what is in force, since it may change without
-/// a signal.
-const SETTINGS_POLL: Duration = Duration::from_secs(2);
+/// Interval at which the settings are reloaded and compared with the current ones, because the
+/// file may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the process's clock shows at its start. Peers tell ages, of confirmations, claims and gone
-/// instances, and what is older than this process must not look younger.
-const CLOCK_START: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
+/// Time of the process clock at its start.
+///
+/// Peers report the ages of confirmations, claims and tombstones. Without this offset, anything
+/// older than this process would appear younger than it is.
+const CLOCK_ORIGIN: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
-/// Runs the daemon with an adapter's packet format and store. Returns the exit status: the
-/// group of the result code, or 0.
+/// Runs the daemon with the packet format and store of an adapter.
+///
+/// The exit status is 0, or the group of the result code on failure.
 pub fn run<Codec, S>(
     arguments: impl IntoIterator<Item = OsString>,
     codec: Codec,
@@ -80,11 +83,11 @@
             codec,
             store,
         ),
-        Err(problems) => refuse(&problems),
+        Err(problems) => report_problems(&problems),
     }
 }
 
-fn refuse(problems: &Problems) -> ExitCode {
+fn report_problems(problems: &Problems) -> ExitCode {
     eprintln!("error: {problems}");
     let code = problems.0.first().map(|problem| problem.code);
     ExitCode::from(code.unwrap_or(ResultCode::SettingsSyntax).exit_status())
@@ -97,14 +100,14 @@
 {
     let settings = match source.load() {
         Ok(settings) => settings,
-        Err(problems) => return refuse(&problems),
+        Err(problems) => return report_problems(&problems),
     };
     if check_only {
-        println!("the settings are usable");
+        println!("the settings are valid");
         return ExitCode::SUCCESS;
     }
     let _log = start_non_blocking_log(&settings.log);
-    let served = tokio::runtime::Builder::new_current_thread()
+    let result = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()
@@ -113,7 +116,7 @@
             let local = LocalSet::new();
             runtime.block_on(local.run_until(serve(source, settings, codec, store)))
         });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let code = ResultCode::AddressUnavailable;
@@ -124,7 +127,7 @@
     }
 }
 
-/// Where the settings come from, to read them again.
+/// The source of the settings, kept to reload them.
 struct SettingsSource {
     config: Option<PathBuf>,
     overrides: Vec<Override>,
@@ -136,7 +139,7 @@
     }
 }
 
-/// Serves until a signal ends the process.
+/// Runs the control thread until a signal stops the process.
 async fn serve<Codec, S>(
     source: SettingsSource,
     settings: Settings,
@@ -147,12 +150,12 @@
     Codec: PacketCodec,
     S: Store,
 {
-    let clock = MonotonicClock::start_at(CLOCK_START);
-    let mut signals = Signals::take()?;
+    let clock = MonotonicClock::start_at(CLOCK_ORIGIN);
+    let mut signals = Signals::register()?;
     let mut registry = Registry::with_prefix("bellyoke");
     let packets = PacketCounters::new(&mut registry);
-    let (doubts, doubted) = mpsc::channel(MAXIMUM_DOUBTS);
-    let shared = Arc::new(Shared::new(clock, packets, doubts));
+    let (suspects_sender, suspects) = mpsc::channel(MAXIMUM_QUEUED_SUSPECT_LISTS);
+    let shared = Arc::new(Shared::new(clock, packets, suspects_sender));
     let control = Control::new(&settings, Arc::clone(&shared), registry);
     let control = Rc::new(RefCell::new(control));
     let link = bind_all(&settings, &control).await?;
@@ -174,7 +177,7 @@
     )
     .context("start a traffic thread")?;
     follow_store(&link, &settings, &store);
-    spawn_local(probe_instances(link.clone(), doubted));
+    spawn_local(probe_instances(link.clone(), suspects));
     log_event(
         EventCode::ProcessStarted,
         format_args!(
@@ -187,25 +190,25 @@
         ),
     );
     let mut reloader = Reloader { source, settings };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut settings_polls = interval(SETTINGS_POLL);
+    let mut settings_polls = interval(SETTINGS_POLL_INTERVAL);
     settings_polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 let effects = control.borrow_mut().tick();
                 link.perform(effects);
-                if is_over(&control, clock) {
-                    log_event(EventCode::ProcessStopped, "grace time is over");
+                if may_stop(&control, clock) {
+                    log_event(EventCode::ProcessStopped, "the leave grace period has ended");
                     return Ok(());
                 }
             }
             _ = settings_polls.tick() => reloader.reload(&control, ReloadCause::Poll),
             _ = signals.hangup.recv() => reloader.reload(&control, ReloadCause::Signal),
             _ = signals.terminate.recv() => {
-                let again = control.borrow().stop_at().is_some();
-                if again {
+                let is_second = control.borrow().stop_at().is_some();
+                if is_second {
                     log_event(EventCode::StoppedAtOnce, "second signal");
                     return Ok(());
                 }
@@ -217,13 +220,13 @@
     }
 }
 
-fn is_over(control: &Rc<RefCell<Control>>, clock: MonotonicClock) -> bool {
+fn may_stop(control: &Rc<RefCell<Control>>, clock: MonotonicClock) -> bool {
     let stop_at = control.borrow().stop_at();
     stop_at.is_some_and(|stop_at| clock.now() >= stop_at)
 }
 
-/// Binds all sockets but that of the traffic, starts what serves them, and returns the way to
-/// peers.
+/// Binds all sockets except the data socket, spawns the tasks that serve them, and returns the
+/// link to the peers.
 async fn bind_all(settings: &Settings, control: &Rc<RefCell<Control>>) -> anyhow::Result<PeerLink> {
     let node = &settings.node;
     let ready = listen(node.ready_address, "node.ready_address").await?;
@@ -244,7 +247,8 @@
     Ok(link)
 }
 
-/// Metrics are not worth a node that doesn't start.
+/// Serves metrics at `address`. A failure to bind is only logged, because a node must start without
+/// metrics rather than not at all.
 async fn serve_metrics(control: &Rc<RefCell<Control>>, address: SocketAddrV4) {
     match listen(address, "node.metrics_address").await {
         Ok(listener) => {
@@ -275,14 +279,14 @@
         ObjectKind::Configuration,
         store.configurations(address),
         follower,
-        Control::configurations,
+        Control::apply_configurations,
     ));
     spawn_local(follow(
         link.clone(),
         ObjectKind::Instances,
         store.instances(address),
         follower,
-        Control::instances,
+        Control::apply_instances,
     ));
     if settings.timing.reads_zones() {
         spawn_local(follow(
@@ -290,7 +294,7 @@
             ObjectKind::Zones,
             store.zones(address),
             follower,
-            Control::zones,
+            Control::apply_zones,
         ));
     }
 }
@@ -301,10 +305,10 @@
 }
 
 impl Signals {
-    fn take() -> anyhow::Result<Self> {
+    fn register() -> anyhow::Result<Self> {
         Ok(Self {
-            terminate: signal(SignalKind::terminate()).context("take over SIGTERM")?,
-            hangup: signal(SignalKind::hangup()).context("take over SIGHUP")?,
+            terminate: signal(SignalKind::terminate()).context("install a handler for SIGTERM")?,
+            hangup: signal(SignalKind::hangup()).context("install a handler for SIGHUP")?,
         })
     }
 }
@@ -315,7 +319,7 @@
     Poll,
 }
 
-/// Reads the settings again and takes over what can change.
+/// Reloads the settings and applies those that can change at run time.
 struct Reloader {
     source: SettingsSource,
     settings: Settings,
--- a/crates/bellyoke-process/src/settings/check.rs
+++ b/crates/bellyoke-process/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks single values against their descriptors.
+//! Validates single values against their descriptors.
 
 use super::descriptor::{KeyDescriptor, ValueKind};
 use super::problem::Problem;
@@ -7,29 +7,35 @@
 use std::ops::RangeInclusive;
 use toml::Value;
 
-/// Ports below need privileges (RFC 6335, 6: system ports).
+/// Lower ports are system ports, which require privileges (RFC 6335, section 6).
 const FIRST_UNPRIVILEGED_PORT: u16 = 1024;
 
-/// Longest name of a zone, as for a DNS label (RFC 1035, 2.3.4).
-const LONGEST_NAME: usize = 63;
+/// Maximum length of a name, as for a DNS label (RFC 1035, section 2.3.4).
+const MAXIMUM_NAME_BYTES: usize = 63;
 
-/// Appends to `problems` what is wrong with `value`.
+/// Validates `value` and appends all problems found to `problems`.
 pub fn check_value(descriptor: &KeyDescriptor, value: &Value, problems: &mut Vec<Problem>) {
     let outcome = match descriptor.kind {
-        ValueKind::Integer { least, greatest } => check_integer(value, least, greatest),
-        ValueKind::Number { least, greatest } => check_number(value, least, greatest),
-        ValueKind::Switch => check_type(value.is_bool()),
-        ValueKind::Choice(words) => check_text(value, |text| check_range(words.contains(&text))),
+        ValueKind::Integer { minimum, maximum } => check_integer(value, minimum, maximum),
+        ValueKind::Number { minimum, maximum } => check_number(value, minimum, maximum),
+        ValueKind::Boolean => check_type(value.is_bool()),
+        ValueKind::Choice(choices) => {
+            check_text(value, |text| check_range(choices.contains(&text)))
+        }
         ValueKind::Name => check_text(value, |text| check_range(is_name(text))),
         ValueKind::Address => check_text(value, check_address),
         ValueKind::Url => check_text(value, check_url),
-        ValueKind::AddressList { most } => {
-            check_list(descriptor, value, 0..=most, check_address, problems)
-        }
-        ValueKind::PathList { most } => check_list(
+        ValueKind::AddressList { maximum_items } => check_list(
+            descriptor,
+            value,
+            0..=maximum_items,
+            check_address,
+            problems,
+        ),
+        ValueKind::PathList { maximum_items } => check_list(
             descriptor,
             value,
-            1..=most,
+            1..=maximum_items,
             |path| check_range(!path.is_empty()),
             problems,
         ),
@@ -48,14 +54,14 @@
     }
 }
 
-fn check_integer(value: &Value, least: i64, greatest: i64) -> Result<(), ResultCode> {
+fn check_integer(value: &Value, minimum: i64, maximum: i64) -> Result<(), ResultCode> {
     let number = value.as_integer().ok_or(ResultCode::WrongType)?;
-    check_range((least..=greatest).contains(&number))
+    check_range((minimum..=maximum).contains(&number))
 }
 
-fn check_number(value: &Value, least: i64, greatest: i64) -> Result<(), ResultCode> {
+fn check_number(value: &Value, minimum: i64, maximum: i64) -> Result<(), ResultCode> {
     #[expect(clippy::cast_precision_loss)]
-    let range = least as f64..=greatest as f64;
+    let range = minimum as f64..=maximum as f64;
     let number = match value {
         Value::Float(number) => *number,
         #[expect(clippy::cast_precision_loss)]
@@ -80,7 +86,8 @@
     check(value.as_str().ok_or(ResultCode::WrongType)?)
 }
 
-/// Checks each item of a list; problems of items are pushed, one of the list is returned.
+/// Validates a list. Appends the problems of its items to `problems` and returns an error if the
+/// list itself is invalid.
 fn check_list(
     descriptor: &KeyDescriptor,
     value: &Value,
@@ -105,7 +112,7 @@
 
 fn is_name(text: &str) -> bool {
     let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.chars().all(allowed)
+    !text.is_empty() && text.len() <= MAXIMUM_NAME_BYTES && text.chars().all(allowed)
 }
 
 fn check_address(text: &str) -> Result<(), ResultCode> {
@@ -119,7 +126,7 @@
     Ok(())
 }
 
-/// Whether others can send to the address.
+/// Returns whether other hosts can send packets to the address.
 fn is_reachable(address: IpAddr) -> bool {
     let broadcast = matches!(address, IpAddr::V4(address) if address.is_broadcast());
     !address.is_unspecified() && !address.is_multicast() && !broadcast
