--- a/crates/bellyoke-node/src/connection/follow.rs
+++ b/crates/bellyoke-node/src/connection/follow.rs
@@ -36,15 +36,15 @@
             let control = link.control.borrow();
             follower.enter_era(control.era());
             follower.skip_to(control.known_up_to(kind));
-            let action = follower.next(clock.now(), control.watch_plan(kind));
+            let action = follower.next_action(clock.now(), control.watch_plan(kind));
             (action, control.may_call_store(kind))
         };
         let read = match action {
-            Next::WaitUntil(time) => {
+            NextAction::WaitUntil(time) => {
                 tokio::time::sleep(idle_time(clock.now(), time)).await;
                 continue;
             }
-            Next::Call(_) if !may_call => {
+            NextAction::Call(_) if !may_call => {
                 tokio::time::sleep(CALL_CHECK_INTERVAL).await;
                 continue;
             }
@@ -55,9 +55,9 @@
             .borrow_mut()
             .record_store_call(kind, read.freshness());
         let context = link.control.borrow().call_context();
-        follower.asked(called_at, &read);
+        follower.start_call(called_at, &read);
         let hedge = || link.control.borrow().is_bootstrap_reader();
-        let is_redundant = || follower.is_needless(link.control.borrow().known_up_to(kind));
+        let is_redundant = || follower.is_list_redundant(link.control.borrow().known_up_to(kind));
         let Some(reply) = cancel_if(is_redundant, reader.read(&read, context.era, hedge)).await
         else {
             continue;
@@ -65,7 +65,7 @@
         let elapsed = clock.now().since(called_at);
         let mut control = link.control.borrow_mut();
         let validity = control.classify_reply(kind, context, &read, &reply);
-        let answer = validity.counting(reply.answer);
+        let answer = validity.filter(reply.answer);
         count_call(control.metrics(), kind, &read, &answer, elapsed);
         let rejected = reader.rejected();
         control
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -146,7 +146,7 @@
 
     /// Returns the time of the next event that is not triggered by a packet, if there is one.
     fn next_event_at(&self) -> Option<Timestamp> {
-        let reset_at = self.forwarder.next_end_at();
+        let reset_at = self.forwarder.next_flow_reset_at();
         let send_at = self.sender.next_due_at();
         let has_waiting = self.has_waiting_clients();
         let review_at = has_waiting.then_some(self.next_urgent_review);
@@ -168,12 +168,12 @@
 
     /// Resets the idle flows that are due.
     fn reset_idle_flows(&mut self) {
-        if self.forwarder.next_end_at().is_none() {
+        if self.forwarder.next_flow_reset_at().is_none() {
             return;
         }
         let now = self.shared.clock.now();
         let table = self.shared.table.load_full();
-        while let Some(reset) = self.forwarder.next_end(now, &table) {
+        while let Some(reset) = self.forwarder.next_flow_reset(now, &table) {
             let datagram = self.codec.reset_flow(&reset.flow, reset.acknowledged);
             let client = SocketAddrV4::new(*reset.flow.client.ip(), self.client_port);
             self.shared.packets.count(PacketOutcome::ResetIdle);
@@ -199,7 +199,7 @@
     /// in the socket may be old.
     fn handle_packet(&mut self, datagram: &mut [u8], was_draining: bool) -> bool {
         let now = self.shared.clock.now();
-        let backlog = self.backlog_guard.packet(now, self.shared.ticks());
+        let backlog = self.backlog_guard.may_have_waited(now, self.shared.ticks());
         if backlog && !was_draining {
             self.forwarder.reset_after_stall();
         }
@@ -294,15 +294,15 @@
         self.next_urgent_review = now.after(URGENT_REVIEW_INTERVAL);
         self.update_link_state(now);
         let node_count = self.shared.node_count_upper_bound.load(Ordering::Relaxed);
-        self.forwarder.set_nodes(node_count as f64);
+        self.forwarder.set_minimum_node_count(node_count as f64);
         let estimated = self.shared.estimated_node_count.load(Ordering::Relaxed);
-        self.forwarder.set_estimated_nodes(estimated);
+        self.forwarder.set_estimated_node_count(estimated);
         let suspected = self.shared.peer_suspicions.load();
         self.forwarder.set_peer_suspicions(&suspected);
         self.log_health_changes(now, table);
         self.review_zones(now, table);
         self.exchange_reachability(now);
-        self.forwarder.review_ends(now, table);
+        self.forwarder.review_flow_resets(now, table);
         self.exchange_outliers();
         let failing: Vec<Cookie> = self.forwarder.failing_instances().collect();
         if **self.shared.failing.load() != failing {
@@ -314,13 +314,13 @@
     /// reachability. While this node's own link is paced because it loses data, suspects are not
     /// reported and unreachability is ignored, because the link may be the cause of the failures.
     fn exchange_reachability(&mut self, now: Timestamp) {
-        let suspects = self.forwarder.take_failed(now);
-        let healthy = self.forwarder.sound_instances(now);
+        let suspects = self.forwarder.take_suspects(now);
+        let healthy = self.forwarder.healthy_instances(now);
         if **self.shared.healthy.load() != healthy {
             self.shared.healthy.store(Arc::new(healthy));
         }
         let under_verification = self.shared.under_verification.load();
-        let alive = self.forwarder.living(now, &under_verification);
+        let alive = self.forwarder.alive_instances(now, &under_verification);
         if **self.shared.alive.load() != alive {
             self.shared.alive.store(Arc::new(alive));
         }
--- a/crates/bellyoke-node/src/packet/thread/report.rs
+++ b/crates/bellyoke-node/src/packet/thread/report.rs
@@ -147,7 +147,7 @@
         );
     }
 
-    pub(super) fn log_idle_flow_reset(&mut self, now: Timestamp, reset: &FlowEnd) {
+    pub(super) fn log_idle_flow_reset(&mut self, now: Timestamp, reset: &FlowReset) {
         self.limiter.log(
             EventCode::RestingFlowEnded,
             now,
--- a/crates/bellyoke-node/src/process/control.rs
+++ b/crates/bellyoke-node/src/process/control.rs
@@ -412,8 +412,9 @@
     /// Records changes and publishes the forwarding table once it is due, or immediately if the
     /// published table is still uninitialized.
     fn publish_table_changes(&mut self, now: Timestamp, change: StateChange) {
-        self.tables.changed(now, change);
-        let is_uninitialized = self.tables.is_behind() && !self.shared.table.load().is_informed();
+        self.tables.record_change(now, change);
+        let is_uninitialized =
+            self.tables.has_unpublished_changes() && !self.shared.table.load().is_initialized();
         if self.tables.is_due(now) || is_uninitialized {
             let table = self.coordinator.replica().table();
             self.shared.table.store(Arc::new(table));
--- a/crates/bellyoke-node/src/process/control/store.rs
+++ b/crates/bellyoke-node/src/process/control/store.rs
@@ -71,7 +71,7 @@
         let now = self.clock.now();
         let validity = self.coordinator.classify_reply(now, context, read, reply);
         self.record_era(Source::Store);
-        if validity == Standing::Outdated {
+        if validity == AnswerValidity::Outdated {
             self.log_outdated_reply(kind, context, reply.era);
         }
         validity
