--- a/crates/bellyoke-core/src/cookie/exchange/message.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/message.rs
@@ -5,11 +5,11 @@
 //! snapshots and deltas. Received bytes are untrusted: length, tag and archive are validated, and
 //! lists are bounded.
 
-use super::candidates::{WATCHERS, WatcherClaim};
 use super::findings::ReachabilityReport;
 use super::outliers::OutlierMessage;
 use super::packed::{PackedDelta, PackedSnapshot};
 use super::seal::{DecodeError, EncodeError, PeerKey, archived, decode, encode, validated};
+use super::watcher_claims::{WATCHERS, WatcherClaim};
 use crate::cookie::capacity::{NodePlace, ZoneKey};
 use crate::cookie::delta::StateDelta;
 use crate::cookie::replica::{Snapshot, Versions};
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -14,9 +14,7 @@
 //! Unlike [`crate::node::membership`], this protocol needs no agreed member list: no decision
 //! depends on the set of participants, and a sample of live peers is enough.
 
-mod asking;
-mod candidates;
-mod doubts;
+mod cluster_size;
 mod effect;
 mod fetches;
 mod findings;
@@ -27,11 +25,12 @@
 mod receivers;
 mod seal;
 mod settings;
-mod size;
-mod watching;
+mod store_calls;
+mod suspicions;
+mod watcher_claims;
+mod watchers;
 mod zone_sizes;
 
-pub use candidates::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 pub use effect::ExchangeEffect;
 pub use fetches::FETCH_STALL_TIMEOUT;
 pub use findings::{ReachabilityReport, ReportedFinding};
@@ -45,6 +44,7 @@
 pub use peers::PeerRecord;
 pub use seal::{DecodeError, EncodeError, PeerKey};
 pub use settings::ExchangeSettings;
+pub use watcher_claims::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 
 use crate::cookie::capacity::{NodePlace, ZoneKey};
 use crate::cookie::freshness::FreshnessClock;
@@ -52,16 +52,16 @@
 use crate::cookie::reachability::Finding;
 use crate::cookie::replica::Versions;
 use crate::time::Timestamp;
-use asking::StoreCallPacer;
-use candidates::{ClaimTable, rank_nodes};
+use cluster_size::ClusterSize;
 use fetches::{FetchPurpose, FetchTable};
 use peers::PeerTable;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use receivers::PUSH_SUGGESTIONS;
-use size::ClusterSize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
+use store_calls::StoreCallPacer;
+use watcher_claims::{ClaimTable, rank_nodes};
 use zone_sizes::ZoneSizes;
 
 /// Number of nodes that read the whole state from the store while no node has it.
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watchers.rs
@@ -1,6 +1,6 @@
 //! Which node watches the store, and how long the other nodes stay idle.
 
-use super::candidates::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
+use super::watcher_claims::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
 use super::{Exchange, ExchangeEffect, Heartbeat};
 use crate::cookie::follower::{Freshness, WatchPlan};
 use crate::cookie::freshness::ObjectKind;
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -1,8 +1,8 @@
 //! Decides where each packet goes.
 
-mod ending;
-mod following;
-mod placing;
+mod new_flows;
+mod open_flows;
+mod resets;
 
 use crate::cookie::admission::{AdmissionChange, AdmissionController, AdmissionSettings};
 use crate::cookie::answers::AnswerMonitor;
@@ -19,7 +19,7 @@
 use crate::cookie::placement::Suitability;
 use crate::cookie::table::ForwardingTable;
 use crate::time::Timestamp;
-use following::MINIMUM_RETRANSMISSION_INTERVAL;
+use open_flows::MINIMUM_RETRANSMISSION_INTERVAL;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
