--- a/crates/bellyoke-core/benches/control.rs
+++ b/crates/bellyoke-core/benches/control.rs
@@ -49,15 +49,11 @@
         black_box(node.tick(time_of(number)));
     });
     row("probe request of a peer", |node, number| {
-        let question = ProbeRequest {
+        let request = ProbeRequest {
             cookies: vec![cookie(number).bits()],
         };
         let peer = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7_000);
-        black_box(node.handle_datagram(
-            time_of(number),
-            peer,
-            PeerDatagram::ProbeRequest(question),
-        ));
+        black_box(node.handle_datagram(time_of(number), peer, PeerDatagram::ProbeRequest(request)));
     });
     row("suspicion and its probe", |node, number| {
         node.suspect(time_of(number), &[cookie(number)]);
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -52,7 +52,7 @@
 /// let exchange = Exchange::new(ExchangeSettings::default(), own_address, Vec::new(), 1);
 /// let replica = Replica::new(Duration::from_secs(70));
 /// let mut coordinator = Coordinator::new(replica, exchange);
-/// let empty = Update::Whole { at: Revision::new(3), items: Vec::new() };
+/// let empty = Update::List { at: Revision::new(3), items: Vec::new() };
 /// assert!(coordinator.apply_instances(Timestamp::ZERO, empty).change.directory);
 /// ```
 #[derive(Debug)]
@@ -270,8 +270,8 @@
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
             PeerDatagram::Delta(message) => self.handle_delta(now, from, message),
-            PeerDatagram::ProbeRequest(question) => self.handle_probe_request(now, &question),
-            PeerDatagram::Refutation(objection) => self.handle_refutation(now, &objection),
+            PeerDatagram::ProbeRequest(request) => self.handle_probe_request(now, &request),
+            PeerDatagram::Refutation(refutation) => self.handle_refutation(now, &refutation),
             PeerDatagram::Findings(report) => self.handle_findings(now, &report),
             PeerDatagram::Outliers(message) => self.handle_outlier_message(now, &message),
         }
@@ -369,12 +369,12 @@
     /// Returns the snapshot that answers a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
-        let gone_since = if request.wants_all_tombstones {
+        let removed_since = if request.wants_all_tombstones {
             Revision::default()
         } else {
             request.known.directory_as_of
         };
-        self.replica.snapshot_for(now, request.known, gone_since)
+        self.replica.snapshot_for(now, request.known, removed_since)
     }
 
     fn handle_heartbeat(
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -166,8 +166,8 @@
 
     /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
     /// new.
-    pub(super) fn handle_refutation(&mut self, now: Timestamp, objection: &Refutation) -> Outcome {
-        let alive = objection.cookies.iter();
+    pub(super) fn handle_refutation(&mut self, now: Timestamp, refutation: &Refutation) -> Outcome {
+        let alive = refutation.cookies.iter();
         let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
         let (_, effects) = self.report_alive(now, &alive);
         Outcome {
@@ -211,9 +211,9 @@
     pub(super) fn handle_probe_request(
         &mut self,
         now: Timestamp,
-        question: &ProbeRequest,
+        request: &ProbeRequest,
     ) -> Outcome {
-        let suspects = question.cookies.iter();
+        let suspects = request.cookies.iter();
         let suspects = suspects.filter_map(|bits| Cookie::from_bits(*bits));
         for cookie in suspects {
             if self.replica.directory().find(cookie).is_some() {
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -14,7 +14,7 @@
     /// The instance's cookie.
     pub cookie: u32,
     /// Number of requests with a known outcome.
-    pub asked: u16,
+    pub requests: u16,
     /// Number of requests that failed.
     pub failed: u16,
     /// Number of requests that were answered late.
@@ -39,7 +39,7 @@
     pub fn report(tallies: &[InstanceTally]) -> Self {
         let reported = tallies.iter().map(|tally| ReportedTally {
             cookie: tally.cookie.bits(),
-            asked: tally.requests,
+            requests: tally.requests,
             failed: tally.failed,
             slow: tally.slow,
         });
@@ -70,7 +70,7 @@
     let tallies = reported.iter().filter_map(|reported| {
         Some(InstanceTally {
             cookie: Cookie::from_bits(reported.cookie)?,
-            requests: reported.asked,
+            requests: reported.requests,
             failed: reported.failed,
             slow: reported.slow,
         })
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -126,7 +126,7 @@
 
 #[derive(Debug, Archive, Serialize, Deserialize)]
 enum PackedDirectory {
-    Whole {
+    Full {
         as_of: Revision,
         records: Vec<PackedRecord>,
     },
@@ -135,7 +135,7 @@
         as_of: Revision,
         gaps: Vec<RevisionGap>,
         records: Vec<PackedRecord>,
-        gone: Vec<PackedTombstone>,
+        tombstones: Vec<PackedTombstone>,
     },
 }
 
@@ -323,9 +323,9 @@
     directory: &DirectoryPart,
 ) -> Result<PackedDirectory, EncodeError> {
     Ok(match directory {
-        DirectoryPart::Full(whole) => PackedDirectory::Whole {
-            as_of: whole.as_of,
-            records: pack_records(names, &whole.records)?,
+        DirectoryPart::Full(full) => PackedDirectory::Full {
+            as_of: full.as_of,
+            records: pack_records(names, &full.records)?,
         },
         DirectoryPart::Changes(delta) => pack_changes(names, delta)?,
     })
@@ -340,7 +340,7 @@
         as_of: delta.as_of,
         gaps: delta.gaps.clone(),
         records: pack_records(names, &delta.records)?,
-        gone: pack_tombstones(names, &delta.tombstones)?,
+        tombstones: pack_tombstones(names, &delta.tombstones)?,
     })
 }
 
@@ -349,7 +349,7 @@
     packed: PackedDirectory,
 ) -> Result<DirectoryPart, DecodeError> {
     Ok(match packed {
-        PackedDirectory::Whole { as_of, records } => DirectoryPart::Full(DirectorySnapshot {
+        PackedDirectory::Full { as_of, records } => DirectoryPart::Full(DirectorySnapshot {
             as_of,
             records: unpack_records(names, records)?,
         }),
@@ -358,13 +358,13 @@
             as_of,
             gaps,
             records,
-            gone,
+            tombstones,
         } => DirectoryPart::Changes(DirectoryDelta {
             since,
             as_of,
             gaps,
             records: unpack_records(names, records)?,
-            tombstones: unpack_tombstones(names, gone)?,
+            tombstones: unpack_tombstones(names, tombstones)?,
         }),
     })
 }
--- a/crates/bellyoke-core/src/cookie/exchange/watchers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watchers.rs
@@ -65,8 +65,8 @@
     /// together would all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
-        let held_for = self.claimed_since.map(|since| now.since(since));
-        if held_for.is_some_and(|held_for| held_for >= CLAIM_SETTLING_PERIOD) {
+        let claimed_for = self.claimed_since.map(|since| now.since(since));
+        if claimed_for.is_some_and(|claimed_for| claimed_for >= CLAIM_SETTLING_PERIOD) {
             self.claims.duty(self.own_address)
         } else {
             StoreDuty::Listener
--- a/crates/bellyoke-core/src/cookie/forwarder/new_flows.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/new_flows.rs
@@ -129,8 +129,8 @@
         if is_cold && !self.cold.admits(now, candidate.id, share) {
             return None;
         }
-        if let Some(gone_at) = candidate.removed_at {
-            return (now.since(gone_at) < RECENTLY_GONE_PERIOD)
+        if let Some(removed_at) = candidate.removed_at {
+            return (now.since(removed_at) < RECENTLY_GONE_PERIOD)
                 .then_some(Suitability::RecentlyGone);
         }
         let cookie = candidate.cookie;
--- a/crates/bellyoke-core/src/cookie/forwarder/resets.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/resets.rs
@@ -26,7 +26,7 @@
 const MAXIMUM_RETRANSMITTING_FLOWS: usize = 256;
 
 impl Forwarder {
-    /// Sets the instances that are known to have ended, without objection from a peer: their flows
+    /// Sets the instances that are known to have ended, without a refutation by a peer: their flows
     /// are reset.
     pub fn set_ended(&mut self, ended: &BTreeSet<Cookie>) {
         if self.ended != *ended {
--- a/crates/bellyoke-core/src/cookie/replica.rs
+++ b/crates/bellyoke-core/src/cookie/replica.rs
@@ -361,7 +361,7 @@
         &self,
         now: Timestamp,
         versions: Versions,
-        gone_since: Revision,
+        removed_since: Revision,
     ) -> Snapshot {
         let current = self.configuration.as_ref();
         Snapshot {
@@ -370,7 +370,7 @@
                 .filter(|current| current.version > versions.configuration)
                 .cloned(),
             directory: self.directory_part(now, versions.directory_as_of),
-            tombstones: self.directory.tombstones_since(now, gone_since),
+            tombstones: self.directory.tombstones_since(now, removed_since),
             creations: self.directory.first_creations(),
             zones: self.zones_for(now, versions),
         }
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -109,7 +109,7 @@
     ) -> Self {
         let destinations = destinations(directory);
         let superseded_ids = directory.superseded();
-        let succeeded = directory.with_reused_address();
+        let with_reused_address = directory.with_reused_address();
         let superseded = destinations
             .iter()
             .filter(|(_, destination)| superseded_ids.contains(&destination.instance))
@@ -126,8 +126,13 @@
         routes.sort_unstable_by_key(|(address, _)| *address);
         routes.dedup_by_key(|(address, _)| *address);
         let zone_names = zone_names(directory);
-        let candidates =
-            services.candidates(directory, zones, &zone_names, &destinations, succeeded);
+        let candidates = services.candidates(
+            directory,
+            zones,
+            &zone_names,
+            &destinations,
+            with_reused_address,
+        );
         Self {
             routes,
             candidates,
@@ -292,14 +297,13 @@
 /// Returns when an instance's slow start ends. An instance whose zone was undrained after its record
 /// last changed may be cold although its record doesn't say so.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
-    let restoration = zones.last_undrain(&known.record.zone);
-    let restoration =
-        restoration.filter(|restoration| restoration.revision >= known.record.revision);
-    let Some((restoration, limits)) = restoration.zip(limits) else {
+    let undrain = zones.last_undrain(&known.record.zone);
+    let undrain = undrain.filter(|undrain| undrain.revision >= known.record.revision);
+    let Some((undrain, limits)) = undrain.zip(limits) else {
         return known.warm_at;
     };
     let cold = Duration::from_millis(u64::from(limits.cold_milliseconds));
-    known.warm_at.max(restoration.at.after(cold))
+    known.warm_at.max(undrain.at.after(cold))
 }
 
 /// Returns the sorted names of all zones that instances are in.
@@ -377,7 +381,7 @@
         zones: &ZoneDrains,
         zone_names: &[String],
         destinations: &[(Cookie, Destination)],
-        succeeded: &BTreeSet<InstanceId>,
+        with_reused_address: &BTreeSet<InstanceId>,
     ) -> Vec<Vec<Candidate>> {
         let mut candidates = vec![Vec::new(); self.indexes.len()];
         let cookies_are_unique = destinations.len() == directory.len();
@@ -395,7 +399,7 @@
                 continue;
             };
             let is_drained = record.state != InstanceState::Ready || zones.is_drained(&record.zone);
-            let takes_flows = owns_cookie(record.id) && !succeeded.contains(&record.id);
+            let takes_flows = owns_cookie(record.id) && !with_reused_address.contains(&record.id);
             if is_drained || !takes_flows || known.excluded_until.is_some() {
                 continue;
             }
--- a/crates/bellyoke-core/tests/cookie/cluster.rs
+++ b/crates/bellyoke-core/tests/cookie/cluster.rs
@@ -83,9 +83,9 @@
     let (kind, bytes) = match datagram {
         PeerDatagram::Heartbeat(heartbeat) => ("heartbeat", heartbeat.encode(&key)),
         PeerDatagram::Delta(message) => ("delta", message.encode(&key)),
-        PeerDatagram::ProbeRequest(question) => ("question", question.encode(&key)),
+        PeerDatagram::ProbeRequest(request) => ("question", request.encode(&key)),
         PeerDatagram::Findings(report) => ("findings", report.encode(&key)),
-        PeerDatagram::Refutation(objection) => ("objection", objection.encode(&key)),
+        PeerDatagram::Refutation(refutation) => ("objection", refutation.encode(&key)),
         PeerDatagram::Outliers(message) => ("outliers", message.encode(&key)),
     };
     (kind, bytes.unwrap().len())
--- a/crates/bellyoke-core/tests/cookie/directory.rs
+++ b/crates/bellyoke-core/tests/cookie/directory.rs
@@ -458,11 +458,11 @@
         let history = history(&steps);
         let mut directory = directory();
         let mut newest = Revision::new(0);
-        for (first, second, whole) in order {
+        for (first, second, is_list) in order {
             let to = first.index(history.len()).max(second.index(history.len()));
             let from = first.index(history.len()).min(second.index(history.len()));
             let (at_revision, _, state) = &history[to];
-            if whole {
+            if is_list {
                 directory.replace(at(0), *at_revision, state.clone());
                 newest = newest.max(*at_revision);
             } else if directory.as_of().is_some_and(|as_of| as_of >= Revision::new(from as u64)) {
--- a/crates/bellyoke-core/tests/cookie/findings.rs
+++ b/crates/bellyoke-core/tests/cookie/findings.rs
@@ -71,7 +71,7 @@
     assert_eq!(monitor.avoided(at(1_200)), all);
     assert!(
         monitor.ended(at(1_399)).is_empty(),
-        "within the objection period"
+        "within the refutation period"
     );
     assert_eq!(monitor.ended(at(1_400)), all);
     assert!(monitor.record_alive(at(1_500), cookie()));
@@ -79,9 +79,9 @@
     assert!(!monitor.record_finding(at(1_600), &finding(origin(4, 7), 1_450)));
 }
 
-/// Probe requests of an earlier fault must not shorten the objection period of the current one.
+/// Probe requests of an earlier fault must not shorten the refutation period of the current one.
 #[test]
-fn the_objection_period_restarts_with_each_fault() {
+fn the_refutation_period_restarts_with_each_fault() {
     let mut monitor = monitor();
     for found_at in [1_000, 60_000] {
         monitor.record_finding(at(found_at), &finding(origin(1, 5), found_at));
--- a/crates/bellyoke-core/tests/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -151,7 +151,10 @@
         decision == Decision::Reset(ResetReason::Unreachable)
     };
     let request = packet(3, Some(100), 7);
-    assert!(!decide(&mut forwarder, 5_000, request), "peers may object");
+    assert!(
+        !decide(&mut forwarder, 5_000, request),
+        "peers may refute it"
+    );
     forwarder.set_ended(&unreachable);
     assert!(decide(&mut forwarder, 5_100, packet(4, Some(100), 7)));
     assert!(
@@ -191,48 +194,48 @@
     assert!(resets.iter().all(|reset| reset.flow != flow(1)));
 }
 
-fn objection_milliseconds() -> u64 {
+fn refutation_milliseconds() -> u64 {
     u64::try_from(REFUTATION_PERIOD.as_millis()).unwrap()
 }
 
-fn unreachable(doubter: SuspicionSource) -> ReachabilityMonitor {
+fn unreachable(source: SuspicionSource) -> ReachabilityMonitor {
     let mut monitor = ReachabilityMonitor::new(Origin {
         node: address(1),
         zone: ZoneKey(0),
     });
-    monitor.suspect(at(1_000), cookie(1), doubter);
-    monitor.take_suspects(doubter);
+    monitor.suspect(at(1_000), cookie(1), source);
+    monitor.take_suspects(source);
     monitor.record_probe(at(1_300), cookie(1), ProbeOutcome::Unreachable);
     monitor
 }
 
 #[test]
-fn peers_have_time_to_object_before_idle_flows_are_reset() {
+fn peers_have_time_for_refutations_before_idle_flows_are_reset() {
     // Peers are asked when the instance is found unreachable, unless one of them has asked before.
-    for (doubter, asked_at) in [
+    for (source, asked_at) in [
         (SuspicionSource::OwnOpening, 1_300),
         (SuspicionSource::PeerRequest, 1_000),
     ] {
-        let monitor = unreachable(doubter);
-        let over = asked_at + objection_milliseconds();
+        let monitor = unreachable(source);
+        let over = asked_at + refutation_milliseconds();
         assert!(monitor.ended(at(over - 1)).is_empty());
         assert_eq!(monitor.ended(at(over)), BTreeSet::from([cookie(1)]));
     }
 }
 
 #[test]
-fn an_objection_clears_suspicion_and_unreachability() {
+fn a_refutation_clears_suspicion_and_unreachability() {
     let mut monitor = unreachable(SuspicionSource::OwnOpening);
     assert!(monitor.record_alive(at(1_400), cookie(1)));
     assert!(
         !monitor.record_alive(at(1_410), cookie(1)),
-        "an objection is forwarded once"
+        "a refutation is forwarded once"
     );
     assert!(monitor.unreachable(at(1_400)).is_empty());
     assert!(monitor.ended(at(9_000)).is_empty());
     assert!(!monitor.suspect(at(1_500), cookie(1), SuspicionSource::PeerRequest));
     assert!(monitor.suspect(at(3_000), cookie(1), SuspicionSource::OwnOpening));
-    // A probe that was under way at the time of the objection proves nothing.
+    // A probe that was under way at the time of the refutation proves nothing.
     monitor.take_suspects(SuspicionSource::OwnOpening);
     assert!(monitor.record_alive(at(3_100), cookie(1)));
     let change = monitor.record_probe(at(3_200), cookie(1), ProbeOutcome::Unreachable);
--- a/crates/bellyoke-core/tests/cookie/follower.rs
+++ b/crates/bellyoke-core/tests/cookie/follower.rs
@@ -71,11 +71,11 @@
     let mut harness = Harness::new();
     assert_eq!(harness.next(), list(None, Freshness::MayBeStale));
     let update = harness.answer(page(&[1, 2], None, 10));
-    let whole = Update::List {
+    let full_list = Update::List {
         at: Revision::new(10),
         items: vec![1, 2],
     };
-    assert_eq!(update, Some(whole));
+    assert_eq!(update, Some(full_list));
     assert_eq!(harness.next(), watch(10));
     let changes = Answer::Changes {
         events: vec![3],
@@ -92,11 +92,11 @@
     assert_eq!(harness.answer(page(&[1], Some("a"), 10)), None);
     assert_eq!(harness.next(), list(Some("a"), Freshness::MayBeStale));
     let update = harness.answer(page(&[2], None, 15));
-    let whole = Update::List {
+    let full_list = Update::List {
         at: Revision::new(10),
         items: vec![1, 2],
     };
-    assert_eq!(update, Some(whole));
+    assert_eq!(update, Some(full_list));
     assert_eq!(
         harness.next(),
         watch(10),
@@ -109,11 +109,11 @@
     let mut harness = Harness::new();
     harness.answer(page(&[1], Some("a"), 10));
     let update = harness.answer(page(&[2], None, 7));
-    let whole = Update::List {
+    let full_list = Update::List {
         at: Revision::new(7),
         items: vec![1, 2],
     };
-    assert_eq!(update, Some(whole));
+    assert_eq!(update, Some(full_list));
     assert_eq!(harness.next(), watch(7));
 }
 
--- a/crates/bellyoke-core/tests/cookie/forwarder.rs
+++ b/crates/bellyoke-core/tests/cookie/forwarder.rs
@@ -312,7 +312,7 @@
     for second in 0..40_u64 {
         if second % 3 == 0 && second < 21 {
             let replaced = usize::try_from(second / 3).unwrap();
-            let gone = Cookie::of(records[replaced].id);
+            let replaced_cookie = Cookie::of(records[replaced].id);
             records[replaced] = record(100 + second, 20 + second);
             replica.replace_instances(
                 at(second * 1_000),
@@ -322,7 +322,7 @@
             table = replica.table();
             for flow in flows
                 .iter_mut()
-                .filter(|flow| flow.is_some_and(|(_, at)| at == gone))
+                .filter(|flow| flow.is_some_and(|(_, at)| at == replaced_cookie))
             {
                 *flow = None;
             }
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -318,7 +318,7 @@
         started: Some(1_796_000_000_000 + number * 7_919),
         ..record(number * 0x9e37_79b1 % 0xffff_ffff, 40_000 + number)
     });
-    let gone = (15..30).map(|number| Tombstone {
+    let tombstones = (15..30).map(|number| Tombstone {
         record: record(number * 0x9e37_79b1 % 0xffff_ffff, 30_000 + number),
         age_milliseconds: 40,
         revision: Revision::new(40_020),
@@ -334,7 +334,7 @@
                     to: Revision::new(40_009),
                 }],
                 records: records.collect(),
-                tombstones: gone.collect(),
+                tombstones: tombstones.collect(),
             }),
             ..StateDelta::default()
         },
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -324,10 +324,10 @@
     assert_eq!(reported_instances(&effects), [vec![cookie(1).bits()]]);
 
     let mut other = coordinator();
-    let question = ProbeRequest {
+    let request = ProbeRequest {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
-    let request = PeerDatagram::ProbeRequest(question);
+    let request = PeerDatagram::ProbeRequest(request);
     let effects = other.handle_datagram(at(500), peer(), request).effects;
     assert_eq!(effects, [], "a request is not forwarded");
     // It probes the instance itself: a peer's request alone ends no flow.
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -299,11 +299,11 @@
     assert_eq!(update, None);
     assert!(lists(&follower));
     let update = follower.answer(at(2_000), page(after(28)), &mut random());
-    let whole = Update::List {
+    let full_list = Update::List {
         at: after(28),
         items: vec![1],
     };
-    assert_eq!(update, Some(whole));
+    assert_eq!(update, Some(full_list));
     let late = follower.answer(at(3_000), changes(before(27)), &mut random());
     assert_eq!(late, None);
     assert!(
