--- a/crates/bellyoke-core/src/cookie/exchange/findings.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/findings.rs
@@ -1,6 +1,6 @@
 //! Reports of probe findings between nodes.
 
-use super::message::{FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH};
+use super::message::{FINDINGS_KIND, MAXIMUM_DATAGRAM_BYTES};
 use super::milliseconds_since;
 use super::seal::{DecodeError, EncodeError, PeerKey, decode, encode};
 use crate::cookie::capacity::ZoneKey;
@@ -75,7 +75,7 @@
     ///
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens and decodes a report.
@@ -84,6 +84,6 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, FINDINGS_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/message.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/message.rs
@@ -43,20 +43,20 @@
 pub(super) const FINDINGS_KIND: u8 = 8;
 
 /// Maximum length of a heartbeat in bytes. It fits in one datagram on all common paths.
-pub const MAXIMUM_HEARTBEAT_LENGTH: usize = 640;
+pub const MAXIMUM_HEARTBEAT_BYTES: usize = 640;
 
 /// Maximum length of a datagram between peers in bytes. A longer delta is not sent; the receiver
 /// fetches a snapshot instead.
-pub const MAXIMUM_DATAGRAM_LENGTH: usize = 1_400;
+pub const MAXIMUM_DATAGRAM_BYTES: usize = 1_400;
 
 /// Maximum length of a decompressed delta in bytes: several hundred instance changes.
-const MAXIMUM_DELTA_LENGTH: usize = 16 * 1024;
+const MAXIMUM_DELTA_BYTES: usize = 16 * 1024;
 
 /// Maximum length of a fetch request in bytes.
-pub const MAXIMUM_FETCH_LENGTH: usize = 256;
+pub const MAXIMUM_FETCH_BYTES: usize = 256;
 
 /// Maximum length of a snapshot in bytes, both compressed and decompressed.
-pub const MAXIMUM_SNAPSHOT_LENGTH: usize = 16 * 1024 * 1024;
+pub const MAXIMUM_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
 /// A node's periodic report of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -193,7 +193,7 @@
     ///
     /// Returns [`EncodeError`] if the message exceeds the length that peers accept.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_LENGTH)
+        encode(self, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_BYTES)
     }
 
     /// Opens and decodes a heartbeat.
@@ -202,7 +202,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid heartbeat or a list exceeds its limit.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        let heartbeat: Self = decode(bytes, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_LENGTH)?;
+        let heartbeat: Self = decode(bytes, key, HEARTBEAT_KIND, MAXIMUM_HEARTBEAT_BYTES)?;
         if heartbeat.peers.len() > Self::MAXIMUM_PEERS
             || heartbeat.claims.len() > WATCHERS
             || heartbeat.zones.len() > Self::MAXIMUM_ZONES
@@ -224,8 +224,8 @@
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
         let packed = PackedDelta::pack(self)?;
-        let compressed = compressed(&archived(&packed)?, MAXIMUM_DELTA_LENGTH)?;
-        key.seal(DELTA_KIND, &compressed, MAXIMUM_DATAGRAM_LENGTH)
+        let compressed = compressed(&archived(&packed)?, MAXIMUM_DELTA_BYTES)?;
+        key.seal(DELTA_KIND, &compressed, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens, decompresses and unpacks a message.
@@ -234,8 +234,8 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        let sealed = key.open(DELTA_KIND, bytes, MAXIMUM_DATAGRAM_LENGTH)?;
-        let archive = decompressed(&sealed, MAXIMUM_DELTA_LENGTH)?;
+        let sealed = key.open(DELTA_KIND, bytes, MAXIMUM_DATAGRAM_BYTES)?;
+        let archive = decompressed(&sealed, MAXIMUM_DELTA_BYTES)?;
         let packed: PackedDelta = validated(&archive)?;
         packed.unpack()
     }
@@ -251,7 +251,7 @@
     ///
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens and decodes a request.
@@ -260,7 +260,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, PROBE_REQUEST_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 }
 
@@ -274,7 +274,7 @@
     ///
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens and decodes a refutation.
@@ -283,7 +283,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, REFUTATION_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 }
 
@@ -294,7 +294,7 @@
     ///
     /// Returns [`EncodeError`] if the serializer fails.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, FETCH_KIND, MAXIMUM_FETCH_LENGTH)
+        encode(self, key, FETCH_KIND, MAXIMUM_FETCH_BYTES)
     }
 
     /// Opens and decodes a request.
@@ -303,7 +303,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, FETCH_KIND, MAXIMUM_FETCH_LENGTH)
+        decode(bytes, key, FETCH_KIND, MAXIMUM_FETCH_BYTES)
     }
 }
 
@@ -314,8 +314,8 @@
 /// Returns [`EncodeError`] if the message exceeds the length that peers accept.
 pub fn encode_snapshot(snapshot: &Snapshot, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
     let packed = PackedSnapshot::pack(snapshot)?;
-    let compressed = compressed(&archived(&packed)?, MAXIMUM_SNAPSHOT_LENGTH)?;
-    key.seal(SNAPSHOT_KIND, &compressed, MAXIMUM_SNAPSHOT_LENGTH)
+    let compressed = compressed(&archived(&packed)?, MAXIMUM_SNAPSHOT_BYTES)?;
+    key.seal(SNAPSHOT_KIND, &compressed, MAXIMUM_SNAPSHOT_BYTES)
 }
 
 /// Opens, decompresses and unpacks a snapshot.
@@ -324,8 +324,8 @@
 ///
 /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
 pub fn decode_snapshot(bytes: &[u8], key: &PeerKey) -> Result<Snapshot, DecodeError> {
-    let sealed = key.open(SNAPSHOT_KIND, bytes, MAXIMUM_SNAPSHOT_LENGTH)?;
-    let archive = decompressed(&sealed, MAXIMUM_SNAPSHOT_LENGTH)?;
+    let sealed = key.open(SNAPSHOT_KIND, bytes, MAXIMUM_SNAPSHOT_BYTES)?;
+    let archive = decompressed(&sealed, MAXIMUM_SNAPSHOT_BYTES)?;
     let packed: PackedSnapshot = validated(&archive)?;
     packed.unpack()
 }
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -35,8 +35,8 @@
 pub use fetches::FETCH_STALL_TIMEOUT;
 pub use findings::{ReachabilityReport, ReportedFinding};
 pub use message::{
-    DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerDatagram, PeerSuggestion, ProbeRequest,
+    DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_BYTES, MAXIMUM_FETCH_BYTES,
+    MAXIMUM_HEARTBEAT_BYTES, MAXIMUM_SNAPSHOT_BYTES, PeerDatagram, PeerSuggestion, ProbeRequest,
     Refutation, ZoneSize, decode_snapshot, encode_snapshot,
 };
 pub(crate) use outliers::tallies_of;
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -1,6 +1,6 @@
 //! Messages about instances whose answers fail.
 
-use super::message::{MAXIMUM_DATAGRAM_LENGTH, OUTLIER_KIND};
+use super::message::{MAXIMUM_DATAGRAM_BYTES, OUTLIER_KIND};
 use super::seal::{DecodeError, EncodeError, PeerKey, decode, encode};
 use super::{Exchange, ExchangeEffect};
 use crate::cookie::instance::Cookie;
@@ -52,7 +52,7 @@
     ///
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens and decodes a message.
@@ -61,7 +61,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 }
 
--- a/crates/bellyoke-core/src/cookie/packet.rs
+++ b/crates/bellyoke-core/src/cookie/packet.rs
@@ -87,7 +87,7 @@
 /// Reads and writes packets of one format. Implementations only translate and make no decisions.
 pub trait PacketCodec: Clone + Send + 'static {
     /// Bytes of the encapsulation in front of a packet that is sent to a backend.
-    const ENCAPSULATION_LENGTH: usize;
+    const ENCAPSULATION_BYTES: usize;
 
     /// Parses a client's packet.
     ///
@@ -96,7 +96,7 @@
     /// Returns [`PacketError`] if the bytes are no client packet.
     fn parse(&self, packet: &[u8]) -> Result<FlowPacket, PacketError>;
 
-    /// Writes the encapsulation into the first [`Self::ENCAPSULATION_LENGTH`] bytes of
+    /// Writes the encapsulation into the first [`Self::ENCAPSULATION_BYTES`] bytes of
     /// `datagram`, and the cookie into the packet that follows them.
     fn encapsulate(&self, datagram: &mut [u8], destination: &Destination);
 
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -5,8 +5,8 @@
 use bellyoke_core::cookie::delta::{DirectoryDelta, RevisionGap, StateDelta};
 use bellyoke_core::cookie::directory::Tombstone;
 use bellyoke_core::cookie::exchange::{
-    DecodeError, DeltaMessage, EncodeError, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, PeerDatagram, PeerKey, PeerSuggestion, ProbeRequest,
+    DecodeError, DeltaMessage, EncodeError, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_BYTES,
+    MAXIMUM_HEARTBEAT_BYTES, PeerDatagram, PeerKey, PeerSuggestion, ProbeRequest,
     ReachabilityReport, Refutation, ReportedFinding, WatcherClaim, ZoneSize, decode_snapshot,
     encode_snapshot,
 };
@@ -64,7 +64,7 @@
 fn heartbeat_round_trip() {
     for key in [PeerKey::default(), PeerKey::new([7; 32])] {
         let bytes = heartbeat(6).encode(&key).unwrap();
-        assert!(bytes.len() <= MAXIMUM_HEARTBEAT_LENGTH);
+        assert!(bytes.len() <= MAXIMUM_HEARTBEAT_BYTES);
         assert_eq!(Heartbeat::decode(&bytes, &key), Ok(heartbeat(6)));
     }
 }
@@ -223,7 +223,7 @@
     let key = PeerKey::new([7; 32]);
     let message = delta_message(8);
     let bytes = message.encode(&key).unwrap();
-    assert!(bytes.len() <= MAXIMUM_DATAGRAM_LENGTH);
+    assert!(bytes.len() <= MAXIMUM_DATAGRAM_BYTES);
     let decoded = PeerDatagram::decode(&bytes, &key);
     assert_eq!(decoded, Ok(PeerDatagram::Delta(message)));
     let decoded = PeerDatagram::decode(&heartbeat(2).encode(&key).unwrap(), &key);
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -6,8 +6,8 @@
 use bellyoke_api::event_code::EventCode;
 use bellyoke_core::cookie::exchange::{
     DecodeError, EncodeError, ExchangeEffect, FETCH_STALL_TIMEOUT, FetchRequest, Heartbeat,
-    MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerKey,
-    decode_snapshot, encode_snapshot,
+    MAXIMUM_DATAGRAM_BYTES, MAXIMUM_FETCH_BYTES, MAXIMUM_SNAPSHOT_BYTES, PeerKey, decode_snapshot,
+    encode_snapshot,
 };
 use bellyoke_core::cookie::replica::{Snapshot, Versions};
 use bellyoke_process::log::log_event;
@@ -52,7 +52,7 @@
 
 /// Hands datagrams to the control state for the life of the process.
 pub async fn receive_datagrams(link: PeerLink) {
-    let mut buffer = [0; MAXIMUM_DATAGRAM_LENGTH + 1];
+    let mut buffer = [0; MAXIMUM_DATAGRAM_BYTES + 1];
     loop {
         let Ok((length, SocketAddr::V4(from))) = link.socket.recv_from(&mut buffer).await else {
             continue;
@@ -177,7 +177,7 @@
     write_patiently(&mut stream, &request.encode(key)?, FETCH_STALL_TIMEOUT).await?;
     let bytes = read_patiently(
         stream,
-        MAXIMUM_SNAPSHOT_LENGTH,
+        MAXIMUM_SNAPSHOT_BYTES,
         FETCH_STALL_TIMEOUT,
         progressed,
     )
@@ -209,7 +209,7 @@
     control: Rc<RefCell<Control>>,
     mut stream: TcpStream,
 ) -> Result<(), FetchError> {
-    let asked = read_patiently(&mut stream, MAXIMUM_FETCH_LENGTH, SERVE_PATIENCE, || {}).await?;
+    let asked = read_patiently(&mut stream, MAXIMUM_FETCH_BYTES, SERVE_PATIENCE, || {}).await?;
     let bytes = {
         let control = control.borrow();
         let request = FetchRequest::decode(&asked, control.peer_key())?;
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -98,7 +98,7 @@
     }
 
     fn run(mut self) {
-        let mut buffer = vec![0; Codec::ENCAPSULATION_LENGTH + MAXIMUM_PACKET_LENGTH];
+        let mut buffer = vec![0; Codec::ENCAPSULATION_BYTES + MAXIMUM_PACKET_LENGTH];
         let mut drain = false;
         loop {
             self.send_due();
@@ -110,10 +110,10 @@
             } else {
                 MsgFlags::empty()
             };
-            let packet = &mut buffer[Codec::ENCAPSULATION_LENGTH..];
+            let packet = &mut buffer[Codec::ENCAPSULATION_BYTES..];
             match recv(self.sender.as_fd().as_raw_fd(), packet, flags) {
                 Ok(length) => {
-                    let datagram = &mut buffer[..Codec::ENCAPSULATION_LENGTH + length];
+                    let datagram = &mut buffer[..Codec::ENCAPSULATION_BYTES + length];
                     drain = self.handle(datagram, drain);
                 }
                 Err(Errno::EAGAIN) => {
@@ -201,7 +201,7 @@
         if backlog && !was_draining {
             self.forwarder.reset_after_stall();
         }
-        match self.codec.parse(&datagram[Codec::ENCAPSULATION_LENGTH..]) {
+        match self.codec.parse(&datagram[Codec::ENCAPSULATION_BYTES..]) {
             Ok(packet) => self.forward(now, datagram, &packet, backlog),
             Err(_) => self.shared.packets.count(PacketOutcome::Malformed),
         }
@@ -271,7 +271,7 @@
     }
 
     fn send_reset(&self, datagram: &[u8], packet: &FlowPacket) -> io::Result<SendOutcome> {
-        let reset = self.codec.reset(&datagram[Codec::ENCAPSULATION_LENGTH..]);
+        let reset = self.codec.reset(&datagram[Codec::ENCAPSULATION_BYTES..]);
         let client = SocketAddrV4::new(*packet.flow.client.ip(), self.client_port);
         self.sender.send(&reset, client)?;
         Ok(SendOutcome::Sent)
