--- a/crates/bellyoke-core/benches/cookie.rs
+++ b/crates/bellyoke-core/benches/cookie.rs
@@ -22,7 +22,7 @@
 /// Number of instances, and of services that they are spread over.
 const SIZES: [(u32, u32); 2] = [(300, 20), (5_700, 380)];
 /// Packets in a run, which are timed together.
-const RUN: u32 = 1_000;
+const PACKETS_PER_RUN: u32 = 1_000;
 /// Number of runs, of which the median is printed.
 const RUNS: u32 = 300;
 
@@ -64,14 +64,14 @@
     let mut runs: Vec<Duration> = (0..RUNS)
         .map(|run| {
             let start = Instant::now();
-            for index in 0..RUN {
-                packet(run * RUN + index);
+            for index in 0..PACKETS_PER_RUN {
+                packet(run * PACKETS_PER_RUN + index);
             }
             start.elapsed()
         })
         .collect();
     runs.sort_unstable();
-    runs[runs.len() / 2].as_secs_f64() * 1e9 / f64::from(RUN)
+    runs[runs.len() / 2].as_secs_f64() * 1e9 / f64::from(PACKETS_PER_RUN)
 }
 
 /// One millisecond per packet, so that openings under way expire as on a node.
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 /// Maximum relative decrease of the budget in one adjustment.
-const MAXIMUM_SHRINK: f32 = 0.2;
+const MAXIMUM_RELATIVE_DECREASE: f32 = 0.2;
 
 /// Delay until answers reflect a decrease of the budget: a full queue drains in about 170 ms, and
 /// an answer takes as long again. Answers can't be attributed to the time of their requests,
 /// because rejections come back sooner than answers.
-const SETTLE_TIME: Duration = Duration::from_millis(350);
+const SETTLING_PERIOD: Duration = Duration::from_millis(350);
 
 /// Maximum relative increase of the budget in one adjustment, reached if no request was queued.
-const MAXIMUM_GROWTH: f32 = 0.3;
+const MAXIMUM_RELATIVE_INCREASE: f32 = 0.3;
 
 /// Number of consecutive windows whose offered rate fits the budget after which overload is over.
 const FITTING_WINDOWS_TO_END: u32 = 2;
@@ -64,7 +64,7 @@
         match *fate {
             AnswerOutcome::Unanswered { waited } => now.before(waited) >= self.shrunk_at,
             AnswerOutcome::Answered { .. } | AnswerOutcome::Short { .. } => {
-                now.since(self.shrunk_at) >= SETTLE_TIME
+                now.since(self.shrunk_at) >= SETTLING_PERIOD
             }
         }
     }
@@ -73,10 +73,10 @@
     /// it in proportion to the share of requests that were not queued.
     pub fn adjust(&mut self, now: Timestamp, excess: f32, queued_share: f32) {
         if excess > 0.0 {
-            self.per_second *= 1.0 - excess.min(MAXIMUM_SHRINK);
+            self.per_second *= 1.0 - excess.min(MAXIMUM_RELATIVE_DECREASE);
             self.shrunk_at = now;
         } else {
-            self.per_second *= 1.0 + MAXIMUM_GROWTH * (1.0 - queued_share);
+            self.per_second *= 1.0 + MAXIMUM_RELATIVE_INCREASE * (1.0 - queued_share);
         }
     }
 
--- a/crates/bellyoke-core/src/cookie/admission/queueing.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -9,10 +9,10 @@
 const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
 
 /// Maximum number of instances whose last sample is stored, 40 bytes each.
-const MAXIMUM_SAMPLED: usize = 128;
+const MAXIMUM_SAMPLED_INSTANCES: usize = 128;
 
 /// Number of sampled instances below which no conclusion is drawn for the service.
-const MINIMUM_SAMPLED: usize = 10;
+const MINIMUM_SAMPLED_INSTANCES: usize = 10;
 
 /// Share of sampled instances that must queue for a service to become overloaded. In overload 90 %
 /// of them queue; at 70 % of capacity with a fifth of the instances slow, half of them do.
@@ -74,7 +74,8 @@
         } else {
             OVERLOADED_SHARE_THRESHOLD
         };
-        self.sampled >= MINIMUM_SAMPLED && self.queueing as f32 >= self.sampled as f32 * threshold
+        self.sampled >= MINIMUM_SAMPLED_INSTANCES
+            && self.queueing as f32 >= self.sampled as f32 * threshold
     }
 }
 
@@ -108,7 +109,7 @@
             queues,
             queued_at: queues.then_some(now),
         };
-        let has_room = self.sampled.len() < MAXIMUM_SAMPLED;
+        let has_room = self.sampled.len() < MAXIMUM_SAMPLED_INSTANCES;
         let known = self.sampled.iter_mut().find(|known| known.cookie == cookie);
         match known {
             Some(known) => {
--- a/crates/bellyoke-core/src/cookie/answers/baseline.rs
+++ b/crates/bellyoke-core/src/cookie/answers/baseline.rs
@@ -4,14 +4,14 @@
 
 /// Answers remembered: enough for a rank near the lowest, few enough to adapt to a changed route
 /// within seconds. 8 bytes each.
-const HISTORY_LENGTH: usize = 64;
+const HISTORY_ANSWERS: usize = 64;
 
 /// Answers that are needed before any is classified. Few, since a burst may arrive when a node has
 /// seen little of a rarely used route.
 const MINIMUM_ANSWERS: usize = 4;
 
 /// Number of answers up to which the thresholds are updated with each answer.
-const EVERY_ANSWER_UNTIL: usize = 16;
+const FREQUENT_UPDATE_ANSWERS: usize = 16;
 
 /// Answers between two updates of the thresholds afterwards.
 const REFRESH_INTERVAL_ANSWERS: usize = 8;
@@ -159,16 +159,17 @@
 
 impl RecentValues {
     fn push(&mut self, value: u32) {
-        if self.values.len() < HISTORY_LENGTH {
+        if self.values.len() < HISTORY_ANSWERS {
             self.values.push(value);
         } else {
-            self.values[self.pushed % HISTORY_LENGTH] = value;
+            self.values[self.pushed % HISTORY_ANSWERS] = value;
         }
         self.pushed = self.pushed.wrapping_add(1);
     }
 
     const fn is_refresh_due(&self) -> bool {
-        self.pushed <= EVERY_ANSWER_UNTIL || self.pushed.is_multiple_of(REFRESH_INTERVAL_ANSWERS)
+        self.pushed <= FREQUENT_UPDATE_ANSWERS
+            || self.pushed.is_multiple_of(REFRESH_INTERVAL_ANSWERS)
     }
 
     fn sorted(&self) -> Vec<u32> {
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -293,7 +293,7 @@
 
     /// Records that a fetch from a peer has received data but is not complete.
     pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
-        self.exchange.fetch_progressed(now, from);
+        self.exchange.record_fetch_progress(now, from);
     }
 
     /// Records that a fetch from a peer has failed.
@@ -450,7 +450,7 @@
     /// of date.
     fn detect_stall(&mut self, now: Timestamp) {
         if self.stall.is_overdue(now) {
-            self.exchange.stalled(now);
+            self.exchange.reset_after_stall(now);
         }
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/cluster_size.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/cluster_size.rs
@@ -7,7 +7,7 @@
 const ESTIMATE_LIFETIME: Duration = Duration::from_secs(60);
 
 /// Time after the start in which a node has too few peers for an estimate.
-const WARM_UP: Duration = Duration::from_secs(5);
+const WARM_UP_PERIOD: Duration = Duration::from_secs(5);
 
 /// Number of nodes assumed until then: the largest cluster that the project is designed for.
 const LARGEST_CLUSTER_NODES: f64 = 620.0;
@@ -38,7 +38,7 @@
         let largest = self.largest[0].max(self.largest[1]);
         let warmed_up = self
             .first_recorded_at
-            .is_some_and(|first| now.since(first) >= WARM_UP);
+            .is_some_and(|first| now.since(first) >= WARM_UP_PERIOD);
         if warmed_up {
             largest
         } else {
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -77,7 +77,12 @@
     }
 
     /// Records that the fetch from a peer has received data.
-    pub(super) fn progressed(&mut self, now: Timestamp, from: SocketAddrV4, interval: Duration) {
+    pub(super) fn record_progress(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        interval: Duration,
+    ) {
         let fetch = self.running.iter_mut().find(|fetch| fetch.from == from);
         if let Some(fetch) = fetch {
             fetch.progressed_at = now;
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -108,7 +108,7 @@
     /// Probe findings that are not yet reported, and the earliest time of the next report.
     pending_findings: Vec<Finding>,
     next_findings_report: Timestamp,
-    size: ClusterSize,
+    cluster_size: ClusterSize,
 }
 
 impl Exchange {
@@ -147,7 +147,7 @@
             failing: Vec::new(),
             pending_findings: Vec::new(),
             next_findings_report: Timestamp::ZERO,
-            size: ClusterSize::default(),
+            cluster_size: ClusterSize::default(),
         };
         exchange.set_seeds(seeds);
         exchange
@@ -327,7 +327,7 @@
     /// Returns an estimate of the number of nodes that errs on the high side.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
-        self.size.upper_bound(now)
+        self.cluster_size.upper_bound(now)
     }
 
     /// Returns whether this node started recently and may lack tombstones of deleted instances.
@@ -337,9 +337,9 @@
     }
 
     /// Records that the fetch from a peer has received data but is not complete.
-    pub fn fetch_progressed(&mut self, now: Timestamp, from: SocketAddrV4) {
+    pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
         let interval = self.settings.fetch_interval;
-        self.fetches.progressed(now, from, interval);
+        self.fetches.record_progress(now, from, interval);
     }
 
     /// Records that a snapshot with these versions was fetched from a peer and merged.
@@ -401,7 +401,7 @@
         let nodes = self.own_zone_nodes.round().min(f64::from(u16::MAX)) as u16;
         self.zone_sizes.record(self.own_zone(), nodes, now);
         let nodes = self.estimated_nodes();
-        self.size.record(now, nodes);
+        self.cluster_size.record(now, nodes);
     }
 
     fn heartbeat_for(
--- a/crates/bellyoke-core/src/cookie/exchange/seal.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/seal.rs
@@ -9,8 +9,8 @@
 /// Version of the peer protocol of nodes that forward by cookie.
 const PROTOCOL_VERSION: u8 = 8;
 
-const TAG_LENGTH: usize = blake3::OUT_LEN;
-const HEADER_LENGTH: usize = 2 + TAG_LENGTH;
+const TAG_BYTES: usize = blake3::OUT_LEN;
+const HEADER_BYTES: usize = 2 + TAG_BYTES;
 
 /// Error of decoding a peer message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -90,7 +90,7 @@
         archive: &[u8],
         longest: usize,
     ) -> Result<Vec<u8>, EncodeError> {
-        let length = HEADER_LENGTH + archive.len();
+        let length = HEADER_BYTES + archive.len();
         if length > longest {
             return Err(EncodeError::TooLong { length });
         }
@@ -108,7 +108,7 @@
         longest: usize,
     ) -> Result<AlignedVec, DecodeError> {
         let length = bytes.len();
-        if !(HEADER_LENGTH..=longest).contains(&length) {
+        if !(HEADER_BYTES..=longest).contains(&length) {
             return Err(DecodeError::Length { length });
         }
         if bytes[0] != PROTOCOL_VERSION || bytes[1] != kind {
@@ -117,9 +117,9 @@
                 kind: bytes[1],
             });
         }
-        let archive = &bytes[HEADER_LENGTH..];
+        let archive = &bytes[HEADER_BYTES..];
         // Hashes compare in constant time.
-        let tag = blake3::Hash::from_slice(&bytes[2..HEADER_LENGTH]);
+        let tag = blake3::Hash::from_slice(&bytes[2..HEADER_BYTES]);
         if tag.ok() != Some(self.tag(kind, archive)) {
             return Err(DecodeError::Tag);
         }
--- a/crates/bellyoke-core/src/cookie/exchange/watchers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watchers.rs
@@ -47,7 +47,7 @@
     }
 
     /// Handles a stall of the process: discards confirmations, which may be old.
-    pub fn stalled(&mut self, now: Timestamp) {
+    pub fn reset_after_stall(&mut self, now: Timestamp) {
         self.clock.clear();
         self.pacer.forget_peer_confirmations();
         self.ignore_confirmations_until = now.after(POST_STALL_IGNORE_PERIOD);
--- a/crates/bellyoke-core/src/cookie/link/rate.rs
+++ b/crates/bellyoke-core/src/cookie/link/rate.rs
@@ -44,7 +44,7 @@
 const LOSS_FREE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Maximum number of steps that are made up for after a pause.
-const MAXIMUM_STEPS: u32 = 50;
+const MAXIMUM_CATCH_UP_STEPS: u32 = 50;
 
 /// Lower bound of the rate.
 const MINIMUM_BYTES_PER_SECOND: f32 = 60_000.0;
@@ -62,7 +62,7 @@
 const RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Maximum number of doublings of [`RETRY_DELAY`].
-const MAXIMUM_DOUBLINGS: u32 = 3;
+const MAXIMUM_RETRY_DELAY_DOUBLINGS: u32 = 3;
 
 /// Losses per new packet, weighted towards recent ones. Retransmissions aren't counted, because
 /// one loss causes many of them.
@@ -179,7 +179,7 @@
 
     /// Ends pacing that hasn't reduced losses, which therefore aren't caused by the link.
     fn abandon_pacing(&mut self, now: Timestamp) {
-        let doublings = self.failed_trials.min(MAXIMUM_DOUBLINGS);
+        let doublings = self.failed_trials.min(MAXIMUM_RETRY_DELAY_DOUBLINGS);
         self.retry_at = now.after(RETRY_DELAY * (1 << doublings));
         self.failed_trials += 1;
         self.end_pacing();
@@ -219,8 +219,8 @@
 fn elapsed_steps(elapsed: Duration) -> i32 {
     let steps = elapsed.as_millis() / INCREASE_INTERVAL.as_millis();
     let steps = u32::try_from(steps)
-        .unwrap_or(MAXIMUM_STEPS)
-        .min(MAXIMUM_STEPS);
+        .unwrap_or(MAXIMUM_CATCH_UP_STEPS)
+        .min(MAXIMUM_CATCH_UP_STEPS);
     i32::try_from(steps).unwrap_or_default()
 }
 
--- a/crates/bellyoke-core/src/cookie/load.rs
+++ b/crates/bellyoke-core/src/cookie/load.rs
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 
 /// Entries of the table, 16 bytes each; cookies beyond that share entries. A power of two.
-const ENTRIES: usize = 1_024;
+const LOAD_TABLE_SIZE: usize = 1_024;
 
 /// Time in which a count halves, seconds. Long flows send a few packets a second.
 const HALF_LIFE_SECONDS: f32 = 2.0;
@@ -54,7 +54,7 @@
 impl Default for LoadMeter {
     fn default() -> Self {
         Self {
-            entries: vec![DecayingCount::default(); ENTRIES],
+            entries: vec![DecayingCount::default(); LOAD_TABLE_SIZE],
         }
     }
 }
@@ -83,5 +83,5 @@
 fn index_of(cookie: Cookie) -> usize {
     let bits = cookie.bits();
     let folded = bits ^ (bits >> 10) ^ (bits >> 20);
-    usize::try_from(folded).unwrap_or_default() & (ENTRIES - 1)
+    usize::try_from(folded).unwrap_or_default() & (LOAD_TABLE_SIZE - 1)
 }
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -31,12 +31,12 @@
 
 /// Relative steps per window of the baseline towards a shorter and towards a longer response time.
 /// With so small a rise, a queue that lasts for minutes doesn't become the baseline.
-const BASELINE_FALL: f32 = 0.05;
-const BASELINE_RISE: f32 = 0.0005;
+const BASELINE_FALL_FRACTION: f32 = 0.05;
+const BASELINE_RISE_FRACTION: f32 = 0.0005;
 
 /// Number (decayed) and share of requests without an answer below which they are ignored. Fewer are
 /// caused by single instances that are full or failing.
-const MINIMUM_FAILED: f32 = 3.0;
+const MINIMUM_FAILED_REQUESTS: f32 = 3.0;
 const NOTABLE_FAILED_SHARE: f32 = 0.1;
 
 /// Exponentially decaying mean of durations.
@@ -117,8 +117,8 @@
 impl AnswerStatistics {
     /// Records an outcome. `maximum_delay` bounds the response time that is counted: lost packets don't
     /// indicate a queue.
-    fn add(&mut self, now: Timestamp, fate: &AnswerOutcome, maximum_delay: Duration) {
-        match fate {
+    fn add(&mut self, now: Timestamp, outcome: &AnswerOutcome, maximum_delay: Duration) {
+        match outcome {
             AnswerOutcome::Answered { after, .. } => {
                 self.delay.add(now, (*after).min(maximum_delay))
             }
@@ -138,7 +138,7 @@
     fn failed_share(&self, now: Timestamp) -> Option<f32> {
         let failed = self.failed * remaining(now, self.failed_at);
         let share = failed / (failed + self.delay.weight_at(now));
-        (failed >= MINIMUM_FAILED && share >= NOTABLE_FAILED_SHARE).then_some(share)
+        (failed >= MINIMUM_FAILED_REQUESTS && share >= NOTABLE_FAILED_SHARE).then_some(share)
     }
 }
 
@@ -218,9 +218,9 @@
         let as_others = as_others.map(|(others, crossing)| others.saturating_sub(crossing));
         let observed = own.min(as_others.unwrap_or(own)).as_secs_f32();
         let step = if observed < *baseline {
-            BASELINE_FALL
+            BASELINE_FALL_FRACTION
         } else {
-            BASELINE_RISE
+            BASELINE_RISE_FRACTION
         };
         *baseline += (observed - *baseline) * step;
     }
--- a/crates/bellyoke-core/src/cookie/locality/outcomes.rs
+++ b/crates/bellyoke-core/src/cookie/locality/outcomes.rs
@@ -11,13 +11,13 @@
 
 /// Number of consecutive overdue openings from which a zone is failing. If a fifth of the instances
 /// is dead, this occurs by chance in 1 % of the cases.
-const FAILING_RUN: usize = 3;
+const FAILING_OVERDUE_OPENINGS: usize = 3;
 
 /// How long an incomplete opening counts against its zone. After that the zone is tried again.
 const PENDING_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Maximum number of incomplete openings that are stored.
-const MAXIMUM_PENDING: usize = 64;
+const MAXIMUM_PENDING_OPENINGS: usize = 64;
 
 /// Multiple of the typical opening time of a zone after which an opening is overdue.
 const OVERDUE_FACTOR: u32 = 4;
@@ -58,7 +58,7 @@
 
     /// Records that an opening is sent to a zone.
     pub(super) fn record_opening(&mut self, now: Timestamp, flow_hash: u64, zone: ZoneNumber) {
-        if self.pending.len() >= MAXIMUM_PENDING {
+        if self.pending.len() >= MAXIMUM_PENDING_OPENINGS {
             self.pending.pop_front();
         }
         self.pending.push_back(PendingOpening {
@@ -111,7 +111,7 @@
                     && opening.sent_at > outcome.completed_sent_at
                     && now.since(opening.sent_at) >= timeout
             });
-            outcome.is_failing = overdue.count() >= FAILING_RUN;
+            outcome.is_failing = overdue.count() >= FAILING_OVERDUE_OPENINGS;
         }
     }
 }
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -31,7 +31,7 @@
 const INCREASE_PAUSE: Duration = Duration::from_secs(4);
 
 /// Change since the last reported share from which a share is reported again.
-const NOTABLE_CHANGE: f32 = 0.1;
+const REPORTED_SHARE_CHANGE: f32 = 0.1;
 
 /// Shares of openings that are sent to other zones, by cause. The largest one applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -125,7 +125,7 @@
     pub(super) fn take_notable_change(&mut self) -> bool {
         let share = self.shares.largest();
         let has_ended = share == 0.0 && self.reported != 0.0;
-        let is_notable = has_ended || (share - self.reported).abs() >= NOTABLE_CHANGE;
+        let is_notable = has_ended || (share - self.reported).abs() >= REPORTED_SHARE_CHANGE;
         if is_notable {
             self.reported = share;
         }
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -12,7 +12,7 @@
 
 /// Copies of an opening that get instances of their own; later copies go where the last of these
 /// goes.
-const COPIES: usize = 2;
+const DISTINCT_COPIES: usize = 2;
 
 /// Most instances among which the least loaded is chosen. With fewer, long flows stay concentrated
 /// on the instances that remained while others were replaced. With all, an instance that has just
@@ -20,7 +20,7 @@
 pub const LEAST_LOADED_CANDIDATES: usize = 5;
 
 /// Ranks that are computed: the choices of an opening, and one for each copy.
-const RANKS: usize = LEAST_LOADED_CANDIDATES + COPIES;
+const COMPUTED_RANKS: usize = LEAST_LOADED_CANDIDATES + DISTINCT_COPIES;
 
 /// How suitable an instance is for new flows, in ascending order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -94,7 +94,7 @@
     zone_rank: impl Fn(&Candidate) -> ZoneRank,
     load: impl Fn(&Candidate) -> f32,
 ) -> Option<&Candidate> {
-    let mut ranked: [Option<Ranked<'_>>; RANKS] = [None; RANKS];
+    let mut ranked: [Option<Ranked<'_>>; COMPUTED_RANKS] = [None; COMPUTED_RANKS];
     let mut fallback: Option<Ranked<'_>> = None;
     for candidate in candidates {
         let Some(suitability) = suitability(candidate) else {
@@ -126,7 +126,7 @@
 /// is in the preferred zone, the first copy goes to another zone and the second one to that
 /// instance.
 fn copy_target<'table>(
-    ranked: &[Option<Ranked<'table>>; RANKS],
+    ranked: &[Option<Ranked<'table>>; COMPUTED_RANKS],
     choices: usize,
     copy: usize,
     other_zone: Option<Ranked<'table>>,
@@ -141,13 +141,13 @@
 
 /// Returns how many of the first ranks are equivalent: an opening goes to the least loaded of them.
 /// Leaves enough instances for the copies, unless there are too few.
-fn choices(ranked: &[Option<Ranked<'_>>; RANKS], best: &Ranked<'_>) -> usize {
+fn choices(ranked: &[Option<Ranked<'_>>; COMPUTED_RANKS], best: &Ranked<'_>) -> usize {
     let suitable = ranked.iter().flatten();
     let suitable = suitable.filter(|other| other.suitability == best.suitability);
     let in_zone = suitable
         .clone()
         .filter(|other| other.zone_rank == best.zone_rank);
-    let beside_copies = suitable.count().saturating_sub(COPIES);
+    let beside_copies = suitable.count().saturating_sub(DISTINCT_COPIES);
     in_zone
         .count()
         .min(beside_copies)
@@ -156,7 +156,9 @@
 
 /// Later copies go where the last one goes.
 fn copies_before(attempt: u32) -> usize {
-    usize::try_from(attempt).unwrap_or(COPIES).min(COPIES)
+    usize::try_from(attempt)
+        .unwrap_or(DISTINCT_COPIES)
+        .min(DISTINCT_COPIES)
 }
 
 /// Returns the least loaded of several; the first of equals.
@@ -184,7 +186,7 @@
 }
 
 /// Inserts a candidate into the best ones, in descending order.
-fn insert<'table>(ranked: &mut [Option<Ranked<'table>>; RANKS], new: Ranked<'table>) {
+fn insert<'table>(ranked: &mut [Option<Ranked<'table>>; COMPUTED_RANKS], new: Ranked<'table>) {
     let mut carried = new;
     for place in ranked {
         match place {
--- a/crates/bellyoke-core/tests/cookie/admission.rs
+++ b/crates/bellyoke-core/tests/cookie/admission.rs
@@ -28,7 +28,7 @@
 const SLOTS: usize = 2;
 const QUEUE_CAPACITY: usize = 8;
 /// Requests per second that all targets can serve: two of nine take 52 ms, the others 40 ms.
-const CAPACITY: f64 = TARGETS as f64 * SLOTS as f64 / 0.0427;
+const CAPACITY_PER_SECOND: f64 = TARGETS as f64 * SLOTS as f64 / 0.0427;
 const LATENCY_TARGET_MICROSECONDS: u64 = 500_000;
 const TRIES: u32 = 3;
 
@@ -237,7 +237,7 @@
             tries: 0,
         };
         self.open(now, request);
-        let rate = CAPACITY * (self.scenario.load)(now);
+        let rate = CAPACITY_PER_SECOND * (self.scenario.load)(now);
         let pause = -self.random.random::<f64>().max(1e-9).ln() / rate * 1e6;
         if now < self.scenario.until {
             self.schedule(now + pause as u64, Event::Arrival);
--- a/crates/bellyoke-core/tests/cookie/exchange.rs
+++ b/crates/bellyoke-core/tests/cookie/exchange.rs
@@ -541,16 +541,16 @@
 /// old confirmation look fresh or renew the claim of a dead node.
 #[test]
 fn ages_larger_than_the_uptime_are_preserved() {
-    const START: u64 = 100_000;
+    const START_MS: u64 = 100_000;
     let exchange = Exchange::new(ExchangeSettings::default(), address(9), Vec::new(), 1);
     let mut new_node = Coordinator::new(Replica::new(TOMBSTONE_LIFETIME), exchange);
-    new_node.tick(at(START));
+    new_node.tick(at(START_MS));
     let peer = watching_cluster(3)
         .nodes
         .remove(&address(0))
         .unwrap()
         .coordinator;
-    new_node.apply_snapshot(at(START), address(0), peer.replica().snapshot(at(0)));
+    new_node.apply_snapshot(at(START_MS), address(0), peer.replica().snapshot(at(0)));
     let heartbeat = Heartbeat {
         versions: peer.replica().versions(),
         leaving: false,
@@ -568,18 +568,18 @@
         failing: Vec::new(),
     };
     let datagram = PeerDatagram::Heartbeat(heartbeat);
-    new_node.handle_datagram(at(START + 50), address(0), datagram);
-    let plan = new_node.watch_plan(at(START + 60), ObjectKind::Instances);
+    new_node.handle_datagram(at(START_MS + 50), address(0), datagram);
+    let plan = new_node.watch_plan(at(START_MS + 60), ObjectKind::Instances);
     assert_eq!(
         plan,
         WatchPlan::Confirm,
         "an old confirmation does not keep it idle"
     );
-    let (outcome, _) = new_node.tick(at(START + 200));
+    let (outcome, _) = new_node.tick(at(START_MS + 200));
     let sent = outcome
         .effects
         .into_iter()
-        .chain(new_node.leave(at(START + 210)));
+        .chain(new_node.leave(at(START_MS + 210)));
     let claims = sent.filter_map(|effect| match effect {
         ExchangeEffect::SendHeartbeat { heartbeat, .. } => Some(heartbeat.claims),
         _ => None,
--- a/crates/bellyoke-core/tests/cookie/link.rs
+++ b/crates/bellyoke-core/tests/cookie/link.rs
@@ -11,12 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const PACKET_BYTES: usize = 1_239;
-const WINDOW: u32 = 16;
-const INITIAL_TIMEOUT: u64 = 200;
-const MAXIMUM_TIMEOUT: u64 = 1_600;
+const WINDOW_PACKETS: u32 = 16;
+const INITIAL_TIMEOUT_MS: u64 = 200;
+const MAXIMUM_TIMEOUT_MS: u64 = 1_600;
 
 /// Packets of an upload of 80 kB.
-const PACKETS: u32 = 67;
+const UPLOAD_PACKETS: u32 = 67;
 
 fn bulk(flow: u64, sequence: u32) -> OutgoingPacket {
     OutgoingPacket {
@@ -76,24 +76,24 @@
             next: 0,
             acknowledged: 0,
             received: BTreeSet::new(),
-            timeout: INITIAL_TIMEOUT,
-            expires: started + INITIAL_TIMEOUT,
+            timeout: INITIAL_TIMEOUT_MS,
+            expires: started + INITIAL_TIMEOUT_MS,
         }
     }
 
     /// Returns the packets that are sent at `now`.
     fn packets_to_send(&mut self, now: u64) -> Vec<u32> {
         if now >= self.expires {
-            self.timeout = (self.timeout * 2).min(MAXIMUM_TIMEOUT);
+            self.timeout = (self.timeout * 2).min(MAXIMUM_TIMEOUT_MS);
             self.expires = now + self.timeout;
             self.next = self.acknowledged + 1;
             return vec![self.acknowledged];
         }
         // After a timeout only the first packet is sent until it is acknowledged.
-        if self.timeout > INITIAL_TIMEOUT {
+        if self.timeout > INITIAL_TIMEOUT_MS {
             return Vec::new();
         }
-        let end = (self.acknowledged + WINDOW).min(PACKETS);
+        let end = (self.acknowledged + WINDOW_PACKETS).min(UPLOAD_PACKETS);
         let sent = (self.next..end).collect();
         self.next = self.next.max(end);
         sent
@@ -106,12 +106,12 @@
             self.acknowledged += 1;
         }
         if self.acknowledged > before {
-            if self.timeout > INITIAL_TIMEOUT {
+            if self.timeout > INITIAL_TIMEOUT_MS {
                 self.next = self.acknowledged;
             }
             self.next = self.next.max(self.acknowledged);
-            self.timeout = INITIAL_TIMEOUT;
-            self.expires = now + INITIAL_TIMEOUT;
+            self.timeout = INITIAL_TIMEOUT_MS;
+            self.expires = now + INITIAL_TIMEOUT_MS;
         }
     }
 }
@@ -149,7 +149,7 @@
         for (flow, sequence) in arrivals.remove(&now).unwrap_or_default() {
             if let Some(upload) = uploads.get_mut(&flow) {
                 upload.receive(now, sequence);
-                if upload.acknowledged == PACKETS {
+                if upload.acknowledged == UPLOAD_PACKETS {
                     outcome.times.push(now - upload.started);
                     uploads.remove(&flow);
                 }
@@ -276,13 +276,13 @@
 }
 
 fn active_pacer() -> LinkPacer<u32> {
-    pacer_after_losses(WINDOW)
+    pacer_after_losses(WINDOW_PACKETS)
 }
 
 /// Offers a window and queues the packets that aren't sent at once.
 fn offer_window(pacer: &mut LinkPacer<u32>, now: Timestamp, flow: u64) -> usize {
     let mut queued = 0;
-    for sequence in 100..100 + WINDOW {
+    for sequence in 100..100 + WINDOW_PACKETS {
         let packet = bulk(flow, sequence);
         if pacer.offer(now, &packet) == SendDecision::Enqueue {
             pacer.enqueue(packet, sequence);
@@ -324,7 +324,7 @@
 fn queued_data_is_not_queued_twice() {
     let mut pacer = active_pacer();
     offer_window(&mut pacer, at(810), 1);
-    let last = bulk(1, 100 + WINDOW - 1);
+    let last = bulk(1, 100 + WINDOW_PACKETS - 1);
     assert_eq!(pacer.offer(at(1_020), &last), SendDecision::Duplicate);
 }
 
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -19,7 +19,7 @@
 
 const ZONES: [&str; 3] = ["cork", "kerry", "limerick"];
 /// One-way delay between clients and nodes or instances, microseconds.
-const CLIENT_DELAY: u64 = 1_000;
+const CLIENT_DELAY_MICROSECONDS: u64 = 1_000;
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 const SLOTS: usize = 2;
 const QUEUE_CAPACITY: usize = 8;
@@ -206,8 +206,11 @@
         let number = self.callers.len() - 1;
         for (attempt, after) in [(0, 0), (1, 200_000), (2, 600_000)] {
             let opening = Step::Open { attempt };
-            self.steps
-                .push(Reverse((now + CLIENT_DELAY + after, number, opening)));
+            self.steps.push(Reverse((
+                now + CLIENT_DELAY_MICROSECONDS + after,
+                number,
+                opening,
+            )));
         }
     }
 
@@ -253,7 +256,7 @@
         } else {
             100
         };
-        (crossing_delay, crossing_delay + CLIENT_DELAY)
+        (crossing_delay, crossing_delay + CLIENT_DELAY_MICROSECONDS)
     }
 
     fn opened(&mut self, now: u64, number: usize, cookie: Cookie) {
@@ -270,7 +273,7 @@
         let request = Step::Request {
             cookie: cookie.bits(),
         };
-        let request_at = now + to_instance + to_client + CLIENT_DELAY;
+        let request_at = now + to_instance + to_client + CLIENT_DELAY_MICROSECONDS;
         self.steps.push(Reverse((request_at, number, request)));
     }
 
@@ -300,7 +303,7 @@
         let acknowledgement = Step::Acknowledge {
             cookie: cookie.bits(),
         };
-        let acknowledged_at = answered + CLIENT_DELAY;
+        let acknowledged_at = answered + CLIENT_DELAY_MICROSECONDS;
         self.steps
             .push(Reverse((acknowledged_at, number, acknowledgement)));
     }
