--- a/crates/bellyoke-core/src/cookie/admission.rs
+++ b/crates/bellyoke-core/src/cookie/admission.rs
@@ -41,9 +41,9 @@
 pub struct AdmissionSettings {
     /// Whether openings are refused because of overload.
     pub enabled: bool,
-    /// Share of requests that may be lost before the admitted rate shrinks. At zero, instances would
-    /// be idle between requests. If each of three tries is rejected with a probability of 0.16, one
-    /// request in 250 fails.
+    /// Share of requests that may be lost before the admitted rate shrinks. At zero, instances
+    /// would be idle between requests. If each of three tries is rejected with a probability of
+    /// 0.16, one request in 250 fails.
     pub lost_share: f32,
 }
 
@@ -73,7 +73,7 @@
 pub struct RequestClass {
     /// Priority of the requests; 0 is the highest.
     pub priority: u8,
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may have run may be retried.
     pub may_retry: bool,
 }
 
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Returns whether to admit an opening of a flow of `service`. `attempt` is the number of copies
-    /// that the client sent before this one.
+    /// Returns whether to admit an opening of a flow of `service`. `attempt` is the number of
+    /// copies that the client sent before this one.
     pub fn admits(
         &mut self,
         now: Timestamp,
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Records that openings sent to the instances in `failed` were still incomplete after `waited`.
+    /// Records that openings sent to the instances in `failed` were still incomplete after
+    /// `waited`.
     pub fn record_failed_openings(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/admission/budget.rs
+++ b/crates/bellyoke-core/src/cookie/admission/budget.rs
@@ -58,7 +58,8 @@
     }
 
     /// Returns whether the outcome of a request reflects the current budget. Answers do once queues
-    /// had time to drain after the last decrease; an unanswered request does if it was sent after it.
+    /// had time to drain after the last decrease; an unanswered request does if it was sent after
+    /// it.
     #[must_use]
     pub fn is_reflected_in(&self, now: Timestamp, fate: &AnswerOutcome) -> bool {
         match *fate {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Decreases the budget by the share of lost requests above the allowance (`excess`), or increases
-    /// it in proportion to the share of requests that were not queued.
+    /// Decreases the budget by the share of lost requests above the allowance (`excess`), or
+    /// increases it in proportion to the share of requests that were not queued.
     pub fn adjust(&mut self, now: Timestamp, excess: f32, queued_share: f32) {
         if excess > 0.0 {
             self.per_second *= 1.0 - excess.min(MAXIMUM_RELATIVE_DECREASE);
--- a/crates/bellyoke-core/src/cookie/admission/queueing.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -127,8 +127,8 @@
         self.sampled.retain(is_recent);
     }
 
-    /// Returns whether the instance queued recently, in which case a fast short answer is a rejection
-    /// rather than an error.
+    /// Returns whether the instance queued recently, in which case a fast short answer is a
+    /// rejection rather than an error.
     #[must_use]
     pub fn has_queued(&self, now: Timestamp, cookie: Cookie) -> bool {
         let mut queued = self.sampled.iter().filter(|sample| sample.cookie == cookie);
@@ -165,8 +165,8 @@
         baseline.is_some_and(|baseline| after.as_secs_f32() > baseline.seconds * QUEUED_FACTOR)
     }
 
-    /// Moves the baseline of a priority towards the median of its response times. Response times that
-    /// indicate a queue have half the weight.
+    /// Moves the baseline of a priority towards the median of its response times. Response times
+    /// that indicate a queue have half the weight.
     pub fn learn_baseline(&mut self, priority: u8, after: Duration) {
         let is_queued = self.indicates_queue(priority, after);
         let seconds = after.as_secs_f32();
--- a/crates/bellyoke-core/src/cookie/admission/service.rs
+++ b/crates/bellyoke-core/src/cookie/admission/service.rs
@@ -133,8 +133,8 @@
                 }
                 Some(queues)
             }
-            // An instance that rejects requests because its queue is full also has slow answers. A fast
-            // short answer of another instance is an error and no sign of load.
+            // An instance that rejects requests because its queue is full also has slow answers. A
+            // fast short answer of another instance is an error and no sign of load.
             AnswerOutcome::Short { after } => {
                 let queues = self.queue_detector.indicates_queue(sample.priority, after);
                 if !queues && !self.queue_detector.has_queued(now, sample.cookie) {
@@ -142,8 +142,8 @@
                 }
                 queues.then_some(true)
             }
-            // A request that waits for long at an instance with a queue waits in that queue. An instance
-            // without a queue may have died.
+            // A request that waits for long at an instance with a queue waits in that queue. An
+            // instance without a queue may have died.
             AnswerOutcome::Unanswered { .. }
                 if self.queue_detector.has_queued(now, sample.cookie) =>
             {
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Distributes the budget over the classes in order. If everything offered in the last window fits
-    /// the budget, nothing is refused in the next one.
+    /// Distributes the budget over the classes in order. If everything offered in the last window
+    /// fits the budget, nothing is refused in the next one.
     fn distribute_budget(&mut self) {
         let budget = self.budget.as_ref().map(OpeningBudget::per_second);
         let budget = budget.filter(|budget| self.offered_last > *budget);
--- a/crates/bellyoke-core/src/cookie/answers/baseline.rs
+++ b/crates/bellyoke-core/src/cookie/answers/baseline.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// Answers remembered: enough for a rank near the lowest, few enough to adapt to a changed route
-/// within seconds. 8 bytes each.
+/// Number of answers stored: enough for a rank near the lowest, few enough to adapt to a changed
+/// route within seconds. 8 bytes each.
 const HISTORY_ANSWERS: usize = 64;
 
-/// Answers that are needed before any is classified. Few, since a burst may arrive when a node has
-/// seen little of a rarely used route.
+/// Number of answers that are needed before any is classified. It is small because a burst may
+/// arrive when a node has seen little of a rarely used route.
 const MINIMUM_ANSWERS: usize = 4;
 
 /// Number of answers up to which the thresholds are updated with each answer.
 const FREQUENT_UPDATE_ANSWERS: usize = 16;
 
-/// Answers between two updates of the thresholds afterwards.
+/// Number of answers between two updates of the thresholds after that.
 const REFRESH_INTERVAL_ANSWERS: usize = 8;
 
 /// Rank, from below, of the length that counts as the shortest normal one; the shortest of all may
@@ -39,7 +39,8 @@
 /// A request that waits this many times the median is overdue.
 const OVERDUE_FACTOR: u32 = 6;
 
-/// A request is never overdue sooner: one whose packet was lost is sent again after 200 ms.
+/// Minimum time before a request is overdue. A request whose packet was lost is retransmitted after
+/// 200 ms.
 const MINIMUM_OVERDUE_TIME: Duration = Duration::from_millis(300);
 
 /// Time after which a request is overdue while nothing is known about its route.
--- a/crates/bellyoke-core/src/cookie/answers/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/answers/monitor.rs
@@ -11,16 +11,17 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most baselines that are stored, about 700 bytes each; requests on further routes get no samples.
+/// Maximum number of stored baselines, about 700 bytes each. Requests on further routes yield no
+/// samples.
 const MAXIMUM_ROUTES: usize = 256;
 
-/// Most flows that are watched for overdue requests at the same time. For others only a packet that
-/// ends the request yields a sample.
+/// Maximum number of flows that are monitored for overdue requests at the same time. For others,
+/// only a packet that ends the request yields a sample.
 const MAXIMUM_WATCHED_FLOWS: usize = 1_024;
 
 /// Time without further packets after which an answer is complete. Packets of one answer follow
-/// each other within milliseconds; lost ones arrive 200 ms later, so that rarely an incomplete
-/// answer counts as short.
+/// each other within milliseconds; lost ones arrive 200 ms later, so an incomplete answer rarely
+/// counts as short.
 const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Number of flows that move here from other nodes within [`REDISTRIBUTION_WINDOW`] that shows that
@@ -28,8 +29,8 @@
 /// by other nodes.
 const REDISTRIBUTED_FLOWS_THRESHOLD: usize = 3;
 
-/// Window of [`REDISTRIBUTED_FLOWS_THRESHOLD`]. Idle flows that were forgotten appear one at a
-/// time.
+/// Window of [`REDISTRIBUTED_FLOWS_THRESHOLD`]. Idle flows whose records were dropped appear one at
+/// a time.
 const REDISTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 
 /// How an answer compares with the normal ones of its route.
--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -85,7 +85,7 @@
         finished
     }
 
-    /// Returns the status of the request under way; none if there is none.
+    /// Returns the status of the request under way; `None` if there is none.
     #[must_use]
     pub fn status(&self, now: Timestamp) -> Option<RequestStatus> {
         let sent_at = self.sent_at?;
--- a/crates/bellyoke-core/src/cookie/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/capacity.rs
@@ -1,8 +1,7 @@
 //! Capacity of a node's machine, as one of a few classes, and the zone of a node.
 //!
 //! Duties for the whole cluster are assigned to the largest machines first. Nodes announce a class
-//! rather than exact figures, so that duties are distributed at random among machines of similar
-//! size.
+//! rather than exact figures; duties are then distributed at random among machines of similar size.
 
 use crate::cookie::stall::STALL_THRESHOLD;
 use crate::time::Timestamp;
@@ -33,8 +32,8 @@
 /// single late tick is insignificant.
 const BUSY_LATE_TICKS: u32 = 3;
 
-/// Time without late ticks after which a node isn't busy any more. Equals the lifetime of a claim,
-/// so that a duty doesn't alternate between nodes.
+/// Time without late ticks after which a node isn't busy any more. It equals the lifetime of a
+/// claim; otherwise a duty would alternate between nodes.
 const BUSY_PERIOD: Duration = Duration::from_secs(5);
 
 /// Resources of a machine, as far as known.
@@ -75,7 +74,8 @@
     }
 }
 
-/// Returns the level of an amount: zero below `unit`, one from `unit` on, and one more per doubling.
+/// Returns the level of an amount: zero below `unit`, one from `unit` on, and one more per
+/// doubling.
 fn level(amount: Option<f64>, unit: f64) -> u8 {
     let mut level = 0;
     let mut threshold = unit;
--- a/crates/bellyoke-core/src/cookie/cold.rs
+++ b/crates/bellyoke-core/src/cookie/cold.rs
@@ -37,8 +37,8 @@
 }
 
 impl ColdAllowance {
-    /// Returns the most flows that all nodes together may open in any second at a cold instance
-    /// that can take `flows_per_minute`.
+    /// Returns the maximum number of flows that all nodes together may open in any second at a cold
+    /// instance that can take `flows_per_minute`.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn limit(&self, flows_per_minute: u32) -> u32 {
@@ -124,7 +124,7 @@
 /// Enforces a node's share in one traffic thread.
 #[derive(Debug)]
 pub struct ColdLimiter {
-    /// None if cold instances are not limited.
+    /// `None` if cold instances are not limited.
     allowance: Option<ColdAllowance>,
     nodes: f64,
     /// Seed of this node's draws, which makes them independent of other nodes.
@@ -158,7 +158,7 @@
     }
 
     /// Returns this node's share of the flows to cold instances that can take `flows_per_minute`;
-    /// none if they are not limited, or if that number is unknown (zero).
+    /// `None` if they are not limited, or if that number is unknown (zero).
     pub fn share(&mut self, flows_per_minute: u32) -> Option<ColdShare> {
         if flows_per_minute == 0 {
             return None;
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -1,4 +1,4 @@
-//! The control state of one node: what it knows, and what it exchanges with its peers.
+//! Control state of one node: its replica of the stored objects and its exchange with peers.
 //!
 //! A host passes in the replies of the store and the messages of peers, performs the returned
 //! effects, and publishes the forwarding table after each change.
@@ -30,9 +30,9 @@
 /// The result of applying an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// What changed in the node's state.
+    /// The changes in the node's state.
     pub change: StateChange,
-    /// What the host has to do.
+    /// The effects that the host has to perform.
     pub effects: Vec<ExchangeEffect>,
 }
 
@@ -108,7 +108,7 @@
         self.exchange.set_seeds(seeds);
     }
 
-    /// Sets whether the node paces what it sends because the capacity of its link is reached.
+    /// Sets whether the node paces its packets because the capacity of its link is reached.
     pub const fn set_link_paced(&mut self, paced: bool) {
         self.link_is_paced = paced;
     }
@@ -120,7 +120,7 @@
         self.replica.versions().is_empty() && self.exchange.ranks_among_first()
     }
 
-    /// Returns which part the node takes in reading the store.
+    /// Returns the node's duty in reading the store.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
         self.exchange.duty(now)
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Returns whether the node may call the store now. While the store answers nobody, each node
+    /// Returns whether the node may call the store now. While the store answers no node, each node
     /// waits for its slot.
     #[must_use]
     pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind) -> bool {
@@ -200,7 +200,7 @@
             .set_store_usable(self.store_usable == [true; ObjectKind::COUNT]);
     }
 
-    /// Applies what the store returned for instances.
+    /// Applies an update of the instances from the store.
     pub fn apply_instances(
         &mut self,
         now: Timestamp,
@@ -218,7 +218,7 @@
         self.finish_store_update(now, ObjectKind::Instances, before, change)
     }
 
-    /// Applies what the store returned for the configuration.
+    /// Applies an update of the configuration from the store.
     pub fn apply_configurations(
         &mut self,
         now: Timestamp,
@@ -241,7 +241,7 @@
         self.finish_store_update(now, ObjectKind::Configuration, before, change)
     }
 
-    /// Applies what the store returned for drained zones.
+    /// Applies an update of the drained zones from the store.
     pub fn apply_zones(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/outlier_detection.rs
@@ -59,7 +59,7 @@
 }
 
 impl OutlierState {
-    /// Removes what was reported about an instance that has restarted.
+    /// Removes the reports about an instance that has restarted.
     pub(super) fn forget(&mut self, cookie: Cookie) {
         self.detector.forget(cookie);
     }
@@ -102,7 +102,7 @@
         self.outlier_state.unreported.add(&reported);
     }
 
-    /// Reports what this node saw and, on a collector, compares the instances. Returns the changes
+    /// Reports this node's tallies and, on a collector, compares the instances. Returns the changes
     /// and the messages to peers.
     pub fn review_outliers(
         &mut self,
@@ -167,8 +167,8 @@
         self.exchange.report_tallies(now, &tallies)
     }
 
-    /// Announces the verdicts when they changed, repeats them while there are any, and announces
-    /// once when there are none left.
+    /// Announces the verdicts when they changed, again at intervals while there are any, and once
+    /// more when none are left.
     fn announce(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let outliers = self.outlier_state.detector.outliers();
         let changed = outliers != self.outlier_state.announced;
--- a/crates/bellyoke-core/src/cookie/coordinator/probing.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator/probing.rs
@@ -91,8 +91,8 @@
         (changes, effects)
     }
 
-    /// Asks a peer of another zone to probe what this node could not reach, and another one if it
-    /// does not confirm the finding.
+    /// Asks a peer of another zone to probe the instances that this node could not reach, and
+    /// another peer if that one does not confirm the finding.
     pub(super) fn request_confirmation(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         if self.reachability.is_empty() {
             return Vec::new();
@@ -143,7 +143,7 @@
         self.reachability.ended(now)
     }
 
-    /// Returns the instances for which a sign of life would matter.
+    /// Returns the instances under verification: activity of their flows would clear the suspicion.
     #[must_use]
     pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
         self.reachability.under_verification(now)
@@ -164,8 +164,8 @@
         (refuted, effects)
     }
 
-    /// Handles a peer's refutation, which says that some instances are alive, and forwards what is
-    /// new.
+    /// Handles a peer's refutation, which reports that some instances are alive, and forwards the
+    /// part that is new to this node.
     pub(super) fn handle_refutation(&mut self, now: Timestamp, refutation: &Refutation) -> Outcome {
         let alive = refutation.cookies.iter();
         let alive: Vec<Cookie> = alive.filter_map(|bits| Cookie::from_bits(*bits)).collect();
--- a/crates/bellyoke-core/src/cookie/delta.rs
+++ b/crates/bellyoke-core/src/cookie/delta.rs
@@ -1,8 +1,9 @@
 //! Changes between two revisions, small enough to be pushed to peers in a datagram.
 //!
-//! A delta is exact: a node that knows all changes up to its first revision knows all changes up to its last one after
-//! applying it. A node that knows less must ignore the delta and fetch a snapshot. A node that already knows a part of the
-//! changes can still apply it, since each record carries its revision.
+//! A delta is exact: a node that knows all changes up to its first revision knows all changes up to
+//! its last one after applying it. A node that knows less must ignore the delta and fetch a
+//! snapshot. A node that already knows a part of the changes can still apply it, since each record
+//! carries its revision.
 
 use crate::cookie::directory::Tombstone;
 use crate::cookie::instance::InstanceRecord;
@@ -24,13 +25,14 @@
     pub gaps: Vec<RevisionGap>,
     /// New or changed records.
     pub records: Vec<InstanceRecord>,
-    /// Instances whose records were removed.
+    /// Instances whose records were deleted.
     pub tombstones: Vec<Tombstone>,
 }
 
-/// A span of revisions for which the store's history is lost, so instances that were added and removed within it are
-/// unknown. A node that knows everything up to the start of the gap is complete at its end with the list read there. A node
-/// whose known revision lies within the gap may have an instance that is in no list.
+/// A span of revisions for which the store's history is lost, so instances that were added and
+/// removed within it are unknown. A node that knows everything up to the start of the gap is
+/// complete at its end with the list read there. A node whose known revision lies within the gap
+/// may have an instance that is in no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RevisionGap {
     /// The last revision before the gap.
@@ -76,8 +78,8 @@
 }
 
 impl ConfigurationDelta {
-    /// Computes the delta from `old` to `new`. Returns `None` if two routes of either configuration share an address, since
-    /// the address identifies a route.
+    /// Computes the delta from `old` to `new`. Returns `None` if two routes of either configuration
+    /// share an address, since the address identifies a route.
     ///
     /// ```
     /// use bellyoke_core::cookie::delta::ConfigurationDelta;
@@ -116,8 +118,9 @@
         })
     }
 
-    /// Returns the configuration that results from `old`, with its routes sorted by address. Returns `None` if the delta
-    /// doesn't apply to `old`, or if two of its routes share an address.
+    /// Returns the configuration that results from `old`, with its routes sorted by address.
+    /// Returns `None` if the delta doesn't apply to `old`, or if two of its routes share an
+    /// address.
     #[must_use]
     pub fn apply(&self, old: &Configuration) -> Option<Configuration> {
         if old.version != self.since {
--- a/crates/bellyoke-core/src/cookie/directory.rs
+++ b/crates/bellyoke-core/src/cookie/directory.rs
@@ -1,8 +1,9 @@
-//! Directory of all backend instances, including those whose records were removed.
+//! Directory of all backend instances, including those whose records were deleted.
 //!
-//! The removal of a record doesn't prove that its instance has ended: some instances keep serving without renewing
-//! their records, and an outage of the store removes records of healthy instances. The directory therefore keeps a
-//! removed instance as a tombstone for the maximum lifetime of a flow, and its existing flows continue.
+//! The deletion of a record doesn't prove that its instance has ended: some instances keep serving
+//! without renewing their records, and after an outage of the store records of healthy instances
+//! are deleted. The directory therefore keeps an instance whose record was deleted (a removed
+//! instance) as a tombstone for the maximum lifetime of a flow, and its existing flows continue.
 
 mod address_reuse;
 mod restoration;
@@ -19,29 +20,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Maximum number of tombstones; the oldest are dropped first. It is 64 times the number of instances of the users'
-/// largest service.
+/// Maximum number of tombstones; the oldest are dropped first. It is 64 times the number of
+/// instances of the largest known service.
 pub const MAXIMUM_TOMBSTONES: usize = 65_536;
 
-/// Maximum number of revision gaps. Each gap adds 16 bytes to every delta that spans it. A store that discards its history
-/// does so every few seconds in the worst case, and peers are at most seconds behind.
+/// Maximum number of revision gaps. Each gap adds 16 bytes to every delta that spans it. A store
+/// that discards its history does so every few seconds in the worst case, and peers are at most
+/// seconds behind.
 const MAXIMUM_GAPS: usize = 8;
 
 /// An instance, present or removed, and the node's own data about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownInstance {
-    /// The record as last read. Its `created` is the earliest known creation, also after the record has expired and was
-    /// created again.
+    /// The record as last read. Its `created` is the earliest known creation, also after the record
+    /// has expired and was created again.
     pub record: InstanceRecord,
     /// When its slow start (the time in which it is cold) ends.
     pub warm_at: Timestamp,
-    /// When its record was removed, if it was.
+    /// When its record was deleted, if it was.
     pub removed_at: Option<Timestamp>,
-    /// A revision at which its record was known to be removed; the removal may be slightly earlier. Zero if it is present.
+    /// A revision at which its record was known to be deleted; the deletion may be slightly
+    /// earlier. Zero if the instance is present.
     pub removed_revision: Revision,
     /// Whether this node knew an earlier run of the instance.
     pub restarted: bool,
-    /// When its exclusion from new flows ends. It is excluded if it may have ended before the store was restored.
+    /// When its exclusion from new flows ends. It is excluded if it may have ended before the store
+    /// was restored.
     pub excluded_until: Option<Timestamp>,
 }
 
@@ -50,9 +54,9 @@
 pub struct Tombstone {
     /// The record as last read.
     pub record: InstanceRecord,
-    /// Time since its record was removed, in milliseconds.
+    /// Time since its record was deleted, in milliseconds.
     pub age_milliseconds: u32,
-    /// A revision at which the record was known to be removed.
+    /// A revision at which the record was known to be deleted.
     pub revision: Revision,
 }
 
@@ -63,14 +67,15 @@
     known: BTreeMap<InstanceId, KnownInstance>,
     as_of: Option<Revision>,
     changed_at: Revision,
-    /// Tombstones are complete after this revision, except for instances that were added and removed within a gap.
+    /// Tombstones are complete after this revision, except for instances that were added and
+    /// removed within a gap.
     complete_since: Revision,
     /// The most recent revision gaps, the oldest first.
     gaps: Vec<RevisionGap>,
     /// Lower bound of the removal times of all tombstones, if there are any.
     oldest_removed_at: Option<Timestamp>,
-    /// Cached result of [`Self::with_reused_address`], which scans all instances and is called for each table and each
-    /// suspicion. Cleared by changes.
+    /// Cached result of [`Self::with_reused_address`], which scans all instances and is called for
+    /// each table and each suspicion. Cleared by changes.
     with_reused_address: OnceCell<BTreeSet<InstanceId>>,
     /// Instances that have restarted since the last call of [`Self::take_restarted`].
     restarted: Vec<InstanceId>,
@@ -96,7 +101,8 @@
         }
     }
 
-    /// Returns the revision up to which all changes are known, or `None` before the first full list.
+    /// Returns the revision up to which all changes are known, or `None` before the first full
+    /// list.
     #[must_use]
     pub const fn as_of(&self) -> Option<Revision> {
         self.as_of
@@ -125,8 +131,9 @@
         self.known.is_empty()
     }
 
-    /// Returns the instance that a cookie identifies. If several instances have the same cookie, returns the one whose id
-    /// fits 32 bits and therefore equals the cookie, or else the first by id.
+    /// Returns the instance that a cookie identifies. If several instances have the same cookie,
+    /// returns the one whose id fits 32 bits and therefore equals the cookie, or else the first by
+    /// id.
     #[must_use]
     pub fn find(&self, cookie: Cookie) -> Option<&KnownInstance> {
         let own = self.known.get(&InstanceId(u64::from(cookie.bits())));
@@ -138,8 +145,8 @@
         })
     }
 
-    /// Replaces the directory with a full list as of revision `at`, from the store or a peer. Returns whether anything
-    /// changed. A list older than the known state updates only creations.
+    /// Replaces the directory with a full list as of revision `at`, from the store or a peer.
+    /// Returns whether anything changed. A list older than the known state updates only creations.
     pub fn replace(&mut self, now: Timestamp, at: Revision, records: Vec<InstanceRecord>) -> bool {
         let learned = self.merge_creations(records.iter().filter_map(FirstCreation::of));
         if self.as_of.is_some_and(|known| at < known) {
@@ -148,7 +155,8 @@
         let mut changed = self.as_of.is_none();
         match self.as_of {
             None => self.complete_since = at,
-            // A peer at a revision in between can be neither updated by a delta nor confirmed as unchanged.
+            // A peer at a revision in between can be neither updated by a delta nor confirmed as
+            // unchanged.
             Some(from) if from < at => self.record_gap(RevisionGap { from, to: at }),
             Some(_) => {}
         }
@@ -191,8 +199,9 @@
         self.advance(at, changed)
     }
 
-    /// Returns the changes after a revision, for a peer that knows everything up to it. Returns `None` if this node knows
-    /// nothing newer, if required tombstones have expired, or if the revision lies within a gap.
+    /// Returns the changes after a revision, for a peer that knows everything up to it. Returns
+    /// `None` if this node knows nothing newer, if required tombstones have expired, or if the
+    /// revision lies within a gap.
     #[must_use]
     pub fn delta_since(&self, now: Timestamp, since: Revision) -> Option<DirectoryDelta> {
         let as_of = self.as_of?;
@@ -214,9 +223,9 @@
         })
     }
 
-    /// Applies a delta from a peer. Returns whether anything changed. A delta that starts after the known revision changes
-    /// nothing, nor does one with a gap around the known revision. One that ends at or before it updates only creations
-    /// and tombstones.
+    /// Applies a delta from a peer. Returns whether anything changed. A delta that starts after the
+    /// known revision changes nothing, nor does one with a gap around the known revision. One that
+    /// ends at or before it updates only creations and tombstones.
     pub fn apply_delta(&mut self, now: Timestamp, delta: DirectoryDelta) -> bool {
         let Some(as_of) = self.as_of.filter(|as_of| *as_of >= delta.since) else {
             return false;
@@ -235,7 +244,8 @@
         self.merge_tombstones(now, delta.tombstones) || changed || learned
     }
 
-    /// Records a revision gap. If there are too many, drops the oldest gap and treats all history before its end as unknown.
+    /// Records a revision gap. If there are too many, drops the oldest gap and treats all history
+    /// before its end as unknown.
     fn record_gap(&mut self, gap: RevisionGap) {
         if self.gaps.contains(&gap) {
             return;
@@ -253,8 +263,8 @@
         gaps.copied().collect()
     }
 
-    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It has no effect if this node
-    /// doesn't know everything up to `changed_at`.
+    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It
+    /// has no effect if this node doesn't know everything up to `changed_at`.
     pub fn confirm(&mut self, changed_at: Revision, as_of: Revision) {
         if let Some(known) = &mut self.as_of
             && changed_at <= *known
@@ -263,8 +273,8 @@
         }
     }
 
-    /// Adds tombstones of instances unknown to this node, which keeps their flows working here too, and earlier creations
-    /// of known instances. Returns whether anything was new.
+    /// Adds tombstones of instances unknown to this node, which keeps their flows working here too,
+    /// and earlier creations of known instances. Returns whether anything was new.
     pub fn merge_tombstones(&mut self, now: Timestamp, tombstones: Vec<Tombstone>) -> bool {
         let records = tombstones.iter().map(|tombstone| &tombstone.record);
         let mut changed = self.merge_creations(records.filter_map(FirstCreation::of));
@@ -291,7 +301,8 @@
         changed
     }
 
-    /// Drops tombstones that are too old to have flows, and ends exclusions that are over. Returns whether there were any.
+    /// Drops tombstones that are too old to have flows, and ends exclusions that are over. Returns
+    /// whether there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let exclusions_ended = self.end_exclusions(now);
         self.expire_tombstones(now) || exclusions_ended
@@ -381,7 +392,8 @@
         changed
     }
 
-    /// Returns the instances that have restarted since the last call. State about their earlier runs no longer applies.
+    /// Returns the instances that have restarted since the last call. State about their earlier
+    /// runs no longer applies.
     pub fn take_restarted(&mut self) -> Vec<InstanceId> {
         std::mem::take(&mut self.restarted)
     }
@@ -418,9 +430,9 @@
         true
     }
 
-    /// Turns an instance into a tombstone. `record` is its last record within the same answer, if there is one: an
-    /// instance that was added and removed within one answer needs a tombstone too, since a peer that read the store in
-    /// between may know it as present.
+    /// Turns an instance into a tombstone. `record` is its last record within the same answer, if
+    /// there is one: an instance that was added and removed within one answer needs a tombstone
+    /// too, since a peer that read the store in between may know it as present.
     fn remove(
         &mut self,
         now: Timestamp,
@@ -500,8 +512,8 @@
     record: Option<InstanceRecord>,
 }
 
-/// Returns the last event of each instance. Earlier ones may be older than the known state: an instance that was removed
-/// and added again before the known revision must not be removed again.
+/// Returns the last event of each instance. Earlier ones may be older than the known state: an
+/// instance that was removed and added again before the known revision must not be removed again.
 fn last_events(events: Vec<InstanceEvent>) -> Vec<LastEvent> {
     let mut last: BTreeMap<InstanceId, LastEvent> = BTreeMap::new();
     for event in events {
@@ -515,8 +527,8 @@
     last.into_values().collect()
 }
 
-/// Returns whether a record belongs to an earlier run of its instance than another one. A delayed write of the earlier run
-/// may reach the store after those of the later run.
+/// Returns whether a record belongs to an earlier run of its instance than another one. A delayed
+/// write of the earlier run may reach the store after those of the later run.
 fn is_of_earlier_run(record: &InstanceRecord, other: &InstanceRecord) -> bool {
     let runs = record.started.zip(other.started);
     runs.is_some_and(|(started, other_started)| started < other_started)
--- a/crates/bellyoke-core/src/cookie/directory/address_reuse.rs
+++ b/crates/bellyoke-core/src/cookie/directory/address_reuse.rs
@@ -1,8 +1,8 @@
 //! Order of instances that use the same address.
 //!
-//! The order follows the revisions at which the store created the records, which are the same for all nodes. A record that
-//! expires is created again, and a restored store assigns revisions anew, so the earliest known creation of an instance
-//! determines its position.
+//! The order follows the revisions at which the store created the records, which are the same for
+//! all nodes. A record that expires is created again, and a restored store assigns revisions again,
+//! so the earliest known creation of an instance determines its position.
 
 use super::Directory;
 use crate::cookie::instance::{InstanceId, InstanceRecord};
@@ -23,9 +23,9 @@
 }
 
 impl Directory {
-    /// Returns the instances whose address a later present instance uses. The later one answers at the address, so the
-    /// earlier ones must get no new flows. The order is that of the creations in the store; instances whose creation is
-    /// unknown are ignored.
+    /// Returns the instances whose address a later present instance uses. The later one answers at
+    /// the address, so the earlier ones must get no new flows. The order is that of the creations
+    /// in the store; instances whose creation is unknown are ignored.
     #[must_use]
     pub fn with_reused_address(&self) -> &BTreeSet<InstanceId> {
         self.with_reused_address
@@ -54,8 +54,8 @@
         reused.map(|record| record.id).collect()
     }
 
-    /// Returns the instances that have ended: their records were removed, and a later instance is present at their address.
-    /// Two running instances never share an address.
+    /// Returns the instances that have ended: their records were deleted, and a later instance is
+    /// present at their address. Two running instances never share an address.
     #[must_use]
     pub fn superseded(&self) -> BTreeSet<InstanceId> {
         let mut ended = self.with_reused_address().clone();
@@ -68,8 +68,9 @@
         ended
     }
 
-    /// Returns the first creations of present instances that share their address with another one. A peer that learned of
-    /// them only after their records were created again would otherwise order them as the later ones.
+    /// Returns the first creations of present instances that share their address with another one.
+    /// A peer that learned of them only after their records were created again would otherwise
+    /// order them as the later ones.
     #[must_use]
     pub fn first_creations(&self) -> Vec<FirstCreation> {
         let mut instance_counts: HashMap<SocketAddrV4, usize> =
@@ -93,7 +94,8 @@
         creations.collect()
     }
 
-    /// Merges creations and keeps the earliest one of each run of an instance. Returns whether anything changed.
+    /// Merges creations and keeps the earliest one of each run of an instance. Returns whether
+    /// anything changed.
     pub fn merge_creations(&mut self, creations: impl IntoIterator<Item = FirstCreation>) -> bool {
         let mut changed = false;
         for FirstCreation {
--- a/crates/bellyoke-core/src/cookie/directory/restoration.rs
+++ b/crates/bellyoke-core/src/cookie/directory/restoration.rs
@@ -1,8 +1,8 @@
 //! Merging of records from a store that was restored from an older copy.
 //!
-//! The copy may contain states that instances have left since. A run of an instance is identified by its id and start time.
-//! A run that is draining or whose record was removed doesn't get new flows because of a record in the copy, and its slow
-//! start doesn't begin again.
+//! The copy may contain states that instances have left since. A run of an instance is identified
+//! by its id and start time. A run that is draining or whose record was deleted doesn't get new
+//! flows because of a record in the copy, and its slow start doesn't begin again.
 
 use super::address_reuse::earlier;
 use super::{Directory, KnownInstance};
@@ -11,8 +11,8 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long a removed instance gets no new flows after its record reappears in a restored store. The record may be
-/// outdated, in which case the store removes it again after some missed heartbeats.
+/// How long a removed instance gets no new flows after its record reappears in a restored store.
+/// The record may be outdated, in which case it is deleted again after some missed heartbeats.
 const REAPPEARANCE_EXCLUSION: Duration = Duration::from_secs(5);
 
 impl Directory {
@@ -29,8 +29,9 @@
         true
     }
 
-    /// Merges a record of a run that is known from another era of the store. Returns whether anything changed. The record
-    /// may be outdated: a draining instance stays draining, and the slow start doesn't begin again.
+    /// Merges a record of a run that is known from another era of the store. Returns whether
+    /// anything changed. The record may be outdated: a draining instance stays draining, and the
+    /// slow start doesn't begin again.
     pub(super) fn put_across_eras(&mut self, now: Timestamp, record: InstanceRecord) -> bool {
         let Some(known) = self.known.get_mut(&record.id) else {
             return false;
--- a/crates/bellyoke-core/src/cookie/era.rs
+++ b/crates/bellyoke-core/src/cookie/era.rs
@@ -1,15 +1,17 @@
 //! Eras of the store and the validity of its answers.
 //!
-//! A store that was restored from an older copy has lost changes and assigns their revisions again. Most stores report
-//! their era with each answer. For a store that doesn't, the node infers a restoration from a list: if the list must show
-//! the newest state and has a lower revision number than was known when the call was made, the store was restored.
+//! A store that was restored from an older copy has lost changes and assigns their revisions again.
+//! Most stores report their era with each answer. For a store that doesn't, the node infers a
+//! restoration from a list: if the list must show the newest state and has a lower revision number
+//! than was known when the call was made, the store was restored.
 
 use crate::cookie::follower::{Answer, Freshness, Read, Reply};
 use crate::cookie::revision::{Revision, StoreEra};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long stale reads are avoided after a restoration. They may be seconds old and show the state before it.
+/// How long stale reads are avoided after a restoration. They may be seconds old and show the state
+/// before it.
 const STALE_READ_EXCLUSION: Duration = Duration::from_secs(10);
 
 /// The state known to a node when it started a call.
@@ -33,7 +35,8 @@
 }
 
 impl AnswerValidity {
-    /// Returns the answer if it is valid, and otherwise one that makes the follower retry, or list again after a restoration.
+    /// Returns the answer if it is valid, and otherwise one that makes the follower retry, or list
+    /// again after a restoration.
     #[must_use]
     pub fn filter<Item, Event>(self, answer: Answer<Item, Event>) -> Answer<Item, Event> {
         match self {
@@ -70,7 +73,8 @@
     is_known: bool,
     /// Whether the store reports its era.
     reports_era: bool,
-    /// When the node learned of the current era; `None` if that is the first era that it learned of.
+    /// When the node learned of the current era; `None` if that is the first era that it learned
+    /// of.
     restored_at: Option<Timestamp>,
 }
 
@@ -112,7 +116,8 @@
             .is_some_and(|restored_at| now.since(restored_at) < STALE_READ_EXCLUSION)
     }
 
-    /// Determines the validity of the reply to a call made in `context`, and records the era that it shows.
+    /// Determines the validity of the reply to a call made in `context`, and records the era that
+    /// it shows.
     pub fn classify<Item, Event>(
         &mut self,
         now: Timestamp,
@@ -144,7 +149,8 @@
     }
 }
 
-/// Returns whether the answer shows that the store has lost changes that were known when the call was made.
+/// Returns whether the answer shows that the store has lost changes that were known when the call
+/// was made.
 fn reveals_restoration<Item, Event>(
     context: CallContext,
     read: &Read,
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -11,8 +11,8 @@
 //! spread the same way, and the other nodes stay idle while these confirmations are fresh. A node
 //! that receives none for [`ExchangeSettings::freshness_bound`] calls the store itself.
 //!
-//! Unlike [`crate::node::membership`], this protocol needs no agreed member list: no decision
-//! depends on the set of participants, and a sample of live peers is enough.
+//! Unlike the membership protocol of [`crate::node`], this protocol needs no agreed member list: no
+//! decision depends on the set of participants, and a sample of live peers is enough.
 
 mod cluster_size;
 mod effect;
@@ -102,7 +102,7 @@
     pushed_confirmation: Timestamp,
     ignore_confirmations_until: Timestamp,
     startup_fetches_left: u32,
-    /// Set once a peer that another node suggested as a source turned out to have no state.
+    /// Set once a suggested fetch source had no state.
     ignore_suggested_versions: bool,
     failing: Vec<Cookie>,
     /// Probe findings that are not yet reported, and the earliest time of the next report.
@@ -444,7 +444,7 @@
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-        // A delta cannot supply a whole kind of objects. The node needs peers to fetch from.
+        // A delta cannot supply all objects of a kind. The node needs peers to fetch from.
         let needs_snapshot = known.is_empty() && !own.is_empty();
         if needs_snapshot {
             self.suggest_sources(now, to, &mut heartbeat);
--- a/crates/bellyoke-core/src/cookie/exchange/packed.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/packed.rs
@@ -31,8 +31,8 @@
     zones: Option<ZoneSnapshot>,
 }
 
-/// A delta in compact form. During the replacement of a service, a datagram holds some forty
-/// instances instead of five.
+/// A delta in compact form. During the replacement of a service, some forty instances fit in a
+/// datagram instead of five.
 #[derive(Debug, Archive, Serialize, Deserialize)]
 pub(super) struct PackedDelta {
     versions: Versions,
--- a/crates/bellyoke-core/src/cookie/exchange/receivers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/receivers.rs
@@ -3,8 +3,7 @@
 //! Traffic between zones is expensive, and each zone needs each update only once from outside.
 //! Therefore each node sends to peers of its own zone, and at random to one of another zone: the
 //! expected number of a zone's nodes that send to another zone is fixed, whatever the zone's size.
-//! No node is designated for this; the death of a single node does not cut a zone off, and no node
-//! needs to know about a special role.
+//! No node is designated for this, so the death of a single node does not cut a zone off.
 
 use super::peers::PeerRecord;
 use super::{Exchange, Heartbeat};
@@ -139,8 +138,8 @@
         Some(self.seeds[index])
     }
 
-    /// Adds fetch sources to the reply to a node that lacks a whole kind of objects and contacted
-    /// this node for want of other addresses.
+    /// Adds fetch sources to the reply to a node that lacks all objects of some kind and contacted
+    /// this node because it knows few other addresses.
     pub(super) fn suggest_sources(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/exchange/watcher_claims.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watcher_claims.rs
@@ -36,7 +36,7 @@
     pub age_milliseconds: u32,
 }
 
-/// What a node reads from the store.
+/// A node's duty in reading the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreDuty {
     /// The node watches the newest state.
--- a/crates/bellyoke-core/src/cookie/exchange/watchers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watchers.rs
@@ -60,9 +60,9 @@
         self.clock.age(now)
     }
 
-    /// Returns what this node reads from the store. A claim takes effect only after
-    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers
-    /// together would all watch at once.
+    /// Returns this node's duty in reading the store. A claim takes effect only after
+    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers together
+    /// would all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
         let claimed_for = self.claimed_since.map(|since| now.since(since));
@@ -131,8 +131,8 @@
         Some(now.before(Duration::from_millis(u64::from(age))))
     }
 
-    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that rest on
-    /// stale reads are ignored once the newest state was read.
+    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that are based
+    /// on stale reads are ignored once the newest state was read.
     pub(super) fn adopt_confirmation(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -146,7 +146,7 @@
         None
     }
 
-    /// Returns when [`Self::next`] has a flow to reset; none if the queue is empty.
+    /// Returns when [`Self::next`] has a flow to reset; `None` if the queue is empty.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
         let is_paced = self.sent_in_interval >= RESETS_PER_INTERVAL;
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -61,7 +61,7 @@
 /// ```
 #[derive(Debug)]
 pub struct FlowTable {
-    /// Most records of one generation.
+    /// Maximum number of records of one generation.
     capacity: usize,
     /// Longest duration of a generation: a flow that is idle for longer may be dropped.
     generation_duration: Duration,
@@ -114,14 +114,14 @@
         record
     }
 
-    /// Returns the record of a flow; none if it is unknown.
+    /// Returns the record of a flow; `None` if it is unknown.
     #[must_use]
     pub fn get(&self, flow_hash: u64) -> Option<&FlowRecord> {
         let young = self.young.get(&flow_hash);
         young.or_else(|| self.old.get(&flow_hash))
     }
 
-    /// Returns the mutable record of a flow; none if it is unknown.
+    /// Returns the mutable record of a flow; `None` if it is unknown.
     pub fn get_mut(&mut self, flow_hash: u64) -> Option<&mut FlowRecord> {
         let young = self.young.get_mut(&flow_hash);
         young.or_else(|| self.old.get_mut(&flow_hash))
--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -1,10 +1,11 @@
 //! Reads one kind of object from the store: a list, then watches from the revision of the list.
 //!
-//! The follower decides which call to make and processes the answers; the host implements the store's protocol. Reads that
-//! may return an older state (*stale reads*) are cheap and don't count towards the store's rate limit. Lists are stale
-//! reads, and so are the watches of all nodes but one. Answers are ordered by revision, so an old answer never overrides a
-//! newer one. Only a few nodes watch all the time ([`crate::cookie::exchange::StoreDuty`]); the others are idle while they
-//! get sufficient updates from these nodes.
+//! The follower decides which call to make and processes the answers; the host implements the
+//! store's protocol. Reads that may return an older state (*stale reads*) are cheap and don't count
+//! towards the store's rate limit. Lists are stale reads, and so are the watches of all nodes but
+//! one. Answers are ordered by revision, so an old answer never overrides a newer one. Only a few
+//! nodes watch all the time ([`crate::cookie::exchange::StoreDuty`]); the others are idle while
+//! they get sufficient updates from these nodes.
 
 mod call;
 
@@ -18,11 +19,12 @@
 /// Timing of a follower's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowerSettings {
-    /// Maximum time that the store keeps a stale watch open. A connection without an answer for longer is considered dead,
-    /// so this bounds the time to detect a broken connection.
+    /// Maximum time that the store keeps a stale watch open. A connection without an answer for
+    /// longer is considered dead, so this bounds the time to detect a broken connection.
     pub watch_wait: Duration,
-    /// The same for a watch of the newest state, which is more expensive. Its answer is the next confirmation for idle
-    /// nodes, so the sum with [`Self::reader_watch_pause`] must be shorter than the time that they stay idle after one.
+    /// The same for a watch of the newest state, which is more expensive. Its answer is the next
+    /// confirmation for idle nodes, so the sum with [`Self::reader_watch_pause`] must be shorter
+    /// than the time that they stay idle after one.
     pub reader_watch_wait: Duration,
     /// Pause of a stale watch after changes. It batches changes in quick succession into one call.
     pub watch_pause: Duration,
@@ -32,27 +34,31 @@
     pub initial_backoff: Duration,
     /// Maximum pause after failures.
     pub maximum_backoff: Duration,
-    /// Capacity of this machine relative to the smallest machine class. It divides the delay before the second page of a
-    /// long list.
+    /// Capacity of this machine relative to the smallest machine class. It divides the delay before
+    /// the second page of a long list.
     pub relative_capacity: f64,
 }
 
-/// Maximum delay before the second page of the first list, as a multiple of the time that the first page took; the actual
-/// delay is a random part of it. The delay is long when many nodes list at once: a few of them then read the full list and
-/// the others get it from these. 986 nodes that all read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for
-/// 20 s (calculated); one page for each node takes 1 s.
+/// Maximum delay before the second page of the first list, as a multiple of the time that the first
+/// page took; the actual delay is a random part of it. The delay is long when many nodes list at
+/// once: a few of them then read the full list and the others get it from these. 986 nodes that all
+/// read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for 20 s (calculated); one
+/// page for each node takes 1 s.
 const LIST_SPREAD_FACTOR: f64 = 10.0;
 
-/// Maximum delay before a new list after a stale read has found that the store's history is gone. The update of a node that
-/// reads the newest state arrives within tens of milliseconds and makes the list redundant. The delay is short compared to
-/// the time within which a change must take effect.
+/// Maximum delay before a new list after a stale read has found that the store has discarded the
+/// required history. The update of a node that reads the newest state arrives within tens of
+/// milliseconds and makes the list redundant. The delay is short compared to the time within which
+/// a change must take effect.
 const RELIST_DELAY_AFTER_STALE_READ: Duration = Duration::from_millis(300);
 
-/// Upper bound of the delay before the second page. It lets a single node with a slow store continue. If 1,000 nodes have
-/// waited 1 s for the first page, about 12 of them continue per 100 ms.
+/// Upper bound of the delay before the second page. It lets a single node with a slow store
+/// continue. If 1,000 nodes have waited 1 s for the first page, about 12 of them continue per 100
+/// ms.
 const MAXIMUM_LIST_DELAY: Duration = Duration::from_secs(8);
 
-/// Maximum time that the store keeps a confirming watch open. It is short because the answer is needed at once.
+/// Maximum time that the store keeps a confirming watch open. It is short because the answer is
+/// needed at once.
 const CONFIRM_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 impl Default for FollowerSettings {
@@ -69,7 +75,7 @@
     }
 }
 
-/// What the follower is reading.
+/// The current phase of the follower's reading.
 #[derive(Debug)]
 enum Phase<Item> {
     Listing {
@@ -77,7 +83,8 @@
         items: Vec<Item>,
         after: Option<String>,
         freshness: Freshness,
-        /// The revision up to which the state was known before the list, or zero. A watch can't continue from it.
+        /// The revision up to which the state was known before the list, or zero. A watch can't
+        /// continue from it.
         known_up_to: Revision,
     },
     Watching {
@@ -109,10 +116,12 @@
     changed_at: Option<Timestamp>,
     /// When the last call started.
     call_started_at: Option<Timestamp>,
-    /// Whether the last call was a stale watch. If its history is gone, the answer may come from a lagging replica of the
-    /// store, and a list each time would cost the store 2.5 MB with 10,000 instances although peers send the changes.
+    /// Whether the last call was a stale watch. If the required history was discarded, the answer
+    /// may come from a lagging replica of the store, and a list each time would cost the store 2.5
+    /// MB with 10,000 instances although peers send the changes.
     last_call_may_be_stale: bool,
-    /// Whether the store throttled the last call. It may still answer stale reads, which are cheaper.
+    /// Whether the store throttled the last call. It may still answer stale reads, which are
+    /// cheaper.
     throttled: bool,
     /// The store's era. Revisions of an earlier era are not valid starting points.
     era: StoreEra,
@@ -135,7 +144,8 @@
         }
     }
 
-    /// Records the store's era if it is newer than the known one, and restarts a list that began in an earlier era.
+    /// Records the store's era if it is newer than the known one, and restarts a list that began in
+    /// an earlier era.
     pub fn enter_era(&mut self, era: StoreEra) {
         self.era = era.max(self.era);
         if let Phase::Listing {
@@ -164,7 +174,7 @@
         );
     }
 
-    /// Returns what to do now. `plan` applies after the first list.
+    /// Returns the next action. `plan` applies after the first list.
     #[must_use]
     pub fn next_action(&self, now: Timestamp, plan: WatchPlan) -> NextAction {
         if now < self.not_before {
@@ -181,8 +191,8 @@
         }
     }
 
-    /// Records that the node has learned the state up to a revision from elsewhere. The next watch starts there, and an
-    /// unfinished list that is redundant is abandoned.
+    /// Records that the node has learned the state up to a revision from elsewhere. The next watch
+    /// starts there, and an unfinished list that is redundant is abandoned.
     pub fn skip_to(&mut self, at: Revision) {
         match &mut self.phase {
             Phase::Watching { from } => *from = at.max(*from),
@@ -193,8 +203,8 @@
         }
     }
 
-    /// Returns whether the follower is reading a list that is redundant because the node has learned the state up to `at`
-    /// from elsewhere.
+    /// Returns whether the follower is reading a list that is redundant because the node has
+    /// learned the state up to `at` from elsewhere.
     #[must_use]
     pub fn is_list_redundant(&self, at: Revision) -> bool {
         matches!(&self.phase, Phase::Listing { known_up_to, .. } if at > *known_up_to)
@@ -359,8 +369,8 @@
         else {
             return None;
         };
-        // The list counts as of the revision of its oldest page, usually the first one. The watch from there returns the
-        // changes made until the other pages were read.
+        // The list counts as of the revision of its oldest page, usually the first one. The watch
+        // from there returns the changes made until the other pages were read.
         let list_at = oldest_at.map_or(at, |oldest| oldest.min(at));
         *oldest_at = Some(list_at);
         items.extend(page);
@@ -382,7 +392,8 @@
         Some(Update::Changes { at, events })
     }
 
-    /// Waits with exponential backoff. A random factor avoids retries at the same time by nodes that failed together.
+    /// Waits with exponential backoff. A random factor avoids retries at the same time by nodes
+    /// that failed together.
     fn back_off(&mut self, now: Timestamp, random: &mut impl Rng) {
         let doublings = self.failures.min(16);
         let doubled = self.settings.initial_backoff.saturating_mul(1 << doublings);
--- a/crates/bellyoke-core/src/cookie/follower/call.rs
+++ b/crates/bellyoke-core/src/cookie/follower/call.rs
@@ -18,7 +18,8 @@
 pub enum WatchPlan {
     /// Watches.
     Watch(Freshness),
-    /// Checks whether there is anything newer, without waiting for a change. Other nodes can become idle after the answer.
+    /// Checks whether there is anything newer, without waiting for a change. Other nodes can become
+    /// idle after the answer.
     Confirm,
     /// Makes no calls until then.
     IdleUntil(Timestamp),
@@ -55,7 +56,7 @@
     }
 }
 
-/// What a follower does next.
+/// The next action of a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextAction {
     /// Make this call and pass on its answer.
@@ -87,16 +88,17 @@
     HistoryGone,
     /// The store rejected the call because of its rate limit.
     Throttled,
-    /// There is no usable answer. The call may be repeated, since reads have no side effects.
+    /// There is no usable answer. The call may be retried, since reads have no side effects.
     Failed,
 }
 
 /// An answer and the era of the store that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<Item, Event> {
-    /// The store's era, also if the answer is unusable otherwise; `None` if the store didn't report it or didn't answer.
+    /// The store's era, also if the answer is unusable otherwise; `None` if the store didn't report
+    /// it or didn't answer.
     pub era: Option<StoreEra>,
-    /// What came of the call.
+    /// The outcome of the call.
     pub answer: Answer<Item, Event>,
 }
 
--- a/crates/bellyoke-core/src/cookie/forwarder.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder.rs
@@ -1,4 +1,4 @@
-//! Decides where each packet goes.
+//! Decides to which instance each packet is forwarded.
 
 mod new_flows;
 mod open_flows;
@@ -35,16 +35,16 @@
 /// Capacity of the flow table unless the settings configure another one.
 const DEFAULT_FLOW_CAPACITY: usize = 8_192;
 
-/// How long an idle flow is remembered: the users count no flow that has been idle for longer.
+/// How long an idle flow is tracked. Operators don't count flows that have been idle for longer.
 const FLOW_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Instances whose last activity is remembered, 16 bytes each.
+/// Number of instances whose last activity is tracked, 16 bytes each.
 const ALIVE_TABLE_CAPACITY: usize = 1_024;
 
 /// How long a completed opening counts as evidence that the instance is healthy.
 const HEALTHY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Most healthy instances that are returned: a few are enough as controls for probes.
+/// Maximum number of healthy instances that are returned. A few are enough as controls for probes.
 const MAXIMUM_HEALTHY_CONTROLS: usize = 8;
 
 /// What to do with a packet.
@@ -179,7 +179,7 @@
         Self { cold, ..self }
     }
 
-    /// Sets how many flows are remembered at most, and whether idle flows of instances that have
+    /// Sets the maximum number of tracked flows, and whether idle flows of instances that have
     /// ended are reset.
     #[must_use]
     pub fn with_flows(self, capacity: usize, resets_idle_flows: bool) -> Self {
--- a/crates/bellyoke-core/src/cookie/forwarder/new_flows.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/new_flows.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the instance for copy `attempt` of an opening, and its suitability; none if no
+    /// Returns the instance for copy `attempt` of an opening, and its suitability; `None` if no
     /// candidate may get the flow.
     fn choose<'table>(
         &mut self,
@@ -117,8 +117,8 @@
         Some((chosen, suitability))
     }
 
-    /// Returns the suitability of a candidate at `now`; none if it must not get a flow. `share` is
-    /// this node's share of the flows to cold instances.
+    /// Returns the suitability of a candidate at `now`; `None` if it must not get a flow. `share`
+    /// is this node's share of the flows to cold instances.
     fn suitability(
         &self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/forwarder/resets.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/resets.rs
@@ -21,8 +21,8 @@
 /// Time within which a client that has retransmitted data retransmits it again, if it still waits.
 const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(500);
 
-/// Most flows whose retransmissions are tracked. Flows beyond that are detected by their next
-/// retransmission.
+/// Maximum number of flows whose retransmissions are tracked. Further flows are detected by their
+/// next retransmission.
 const MAXIMUM_RETRANSMITTING_FLOWS: usize = 256;
 
 impl Forwarder {
@@ -43,7 +43,7 @@
             .collect()
     }
 
-    /// Returns the next flow to reset now; none if none is due.
+    /// Returns the next flow to reset now; `None` if none is due.
     pub fn next_flow_reset(
         &mut self,
         now: Timestamp,
@@ -61,13 +61,13 @@
         reset
     }
 
-    /// Returns when [`Self::next_flow_reset`] has a flow to reset; none if no reset is queued.
+    /// Returns when [`Self::next_flow_reset`] has a flow to reset; `None` if no reset is queued.
     #[must_use]
     pub fn next_flow_reset_at(&self) -> Option<Timestamp> {
         self.resets.next_at()
     }
 
-    /// Returns the number of flows remembered.
+    /// Returns the number of tracked flows.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns why a flow of an instance is reset; none if it must not be.
+    /// Returns why a flow of an instance is reset; `None` if it must not be.
     fn reset_reason(
         &self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/freshness.rs
+++ b/crates/bellyoke-core/src/cookie/freshness.rs
@@ -1,7 +1,8 @@
 //! Age of the last confirmation that a node's state is up to date.
 //!
-//! A node that is idle, because others read the store, must detect that they have stopped doing so. Every confirmation
-//! therefore carries its age, and the node reads the store itself once the confirmation is too old.
+//! A node that is idle, because others read the store, must detect that they have stopped doing so.
+//! Every confirmation therefore carries its age, and the node reads the store itself once the
+//! confirmation is too old.
 
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -24,7 +25,8 @@
     /// Number of kinds.
     pub const COUNT: usize = 3;
 
-    /// Returns the kinds that a node reads. Drained zones are read only in clusters whose operators may drain zones.
+    /// Returns the kinds that a node reads. Drained zones are read only in clusters whose operators
+    /// may drain zones.
     #[must_use]
     pub const fn read(reads_zones: bool) -> &'static [Self] {
         const WITHOUT_ZONES: [ObjectKind; 2] = [ObjectKind::Instances, ObjectKind::Configuration];
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Records that the state of a kind was up to date at a time. A time before the known one has no effect.
+    /// Records that the state of a kind was up to date at a time. A time before the known one has
+    /// no effect.
     pub fn confirm(&mut self, kind: ObjectKind, at: Timestamp) {
         let latest = &mut self.confirmed_at[kind as usize];
         *latest = Some(latest.map_or(at, |latest| latest.max(at)));
@@ -97,7 +100,8 @@
         self.confirmed_at[kind as usize]
     }
 
-    /// Returns the age of the oldest confirmation among all kinds, or `None` if a kind was never confirmed.
+    /// Returns the age of the oldest confirmation among all kinds, or `None` if a kind was never
+    /// confirmed.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let mut oldest = now;
@@ -107,7 +111,8 @@
         Some(now.since(oldest))
     }
 
-    /// Drops all confirmations, as after a stall, when messages of peers received meanwhile are outdated.
+    /// Drops all confirmations, as after a stall, when messages of peers received meanwhile are
+    /// outdated.
     pub const fn clear(&mut self) {
         self.confirmed_at = [None; ObjectKind::COUNT];
     }
--- a/crates/bellyoke-core/src/cookie/health.rs
+++ b/crates/bellyoke-core/src/cookie/health.rs
@@ -17,11 +17,11 @@
     /// An opening that no later packet follows within this time has failed. Shorter than the time
     /// after which clients send a copy.
     pub opening_timeout: Duration,
-    /// Failures in a row after which an instance is no longer preferred for being idle, because a
-    /// dead instance looks idle too. With zero, no instance is preferred for being idle, and flows
-    /// are placed by hash alone.
+    /// Consecutive failures after which an instance is no longer preferred for being idle, because
+    /// a dead instance looks idle too. With zero, no instance is preferred for being idle, and
+    /// flows are placed by hash alone.
     pub idle_preference_threshold: u32,
-    /// Failures in a row after which an instance is suspected.
+    /// Consecutive failures after which an instance is suspected.
     pub failure_threshold: u32,
     /// How long other instances are preferred before the suspected one is tried again; doubles with
     /// each failed trial.
--- a/crates/bellyoke-core/src/cookie/instance.rs
+++ b/crates/bellyoke-core/src/cookie/instance.rs
@@ -76,12 +76,12 @@
     /// Remaining time of its slow start when the record was read, milliseconds.
     pub cold_remaining_milliseconds: u32,
     /// Revision at which the record was created; the same on all nodes. A record that lapsed and
-    /// was written again was created again. None if the store doesn't provide it.
+    /// was written again was created again. `None` if the store doesn't provide it.
     pub created: Option<Revision>,
     /// Requests that it processes concurrently; zero if unknown.
     pub slots: u32,
-    /// When this run of the instance started, milliseconds of the Unix epoch by its own clock; none
-    /// if unknown. A later run has no state of an earlier one.
+    /// When this run of the instance started, milliseconds of the Unix epoch by its own clock;
+    /// `None` if unknown. A later run has no state of an earlier one.
     pub started: Option<u64>,
 }
 
--- a/crates/bellyoke-core/src/cookie/link/losses.rs
+++ b/crates/bellyoke-core/src/cookie/link/losses.rs
@@ -1,9 +1,9 @@
 //! Detection of lost data from retransmissions.
 //!
-//! A sender that misses an acknowledgement stops sending, because its window is full, and retransmits
-//! the oldest data after its retransmission timeout. Once that is acknowledged, it retransmits the rest
-//! of the window, most of which had arrived. Therefore only data that is retransmitted *after a pause of
-//! its flow* counts as lost.
+//! A sender that misses an acknowledgement stops sending, because its window is full, and
+//! retransmits the oldest data after its retransmission timeout. Once that is acknowledged, it
+//! retransmits the rest of the window, most of which had arrived. Therefore only data that is
+//! retransmitted *after a pause of its flow* counts as lost.
 
 use super::OutgoingPacket;
 use crate::cookie::last_seen::{LastSeenTable, data_key};
@@ -40,8 +40,8 @@
 }
 
 impl LossDetector {
-    /// Records a data packet that was received from its sender. Returns whether it retransmits data that
-    /// was lost after it had been sent.
+    /// Records a data packet that was received from its sender. Returns whether it retransmits data
+    /// that was lost after it had been sent.
     pub fn record_received(&mut self, now: Timestamp, packet: &OutgoingPacket) -> bool {
         let flow = packet.flow_hash | 1;
         let last_received_at = self.flows.seen_at(flow);
--- a/crates/bellyoke-core/src/cookie/link/mod.rs
+++ b/crates/bellyoke-core/src/cookie/link/mod.rs
@@ -1,9 +1,9 @@
 //! Pacing of bulk data on the node's own link.
 //!
 //! Senders of bulk data send a whole window at once. A node on a low-bandwidth link would forward
-//! it as fast, and the link drops what exceeds its short queue. The sender then waits for its
-//! retransmission timeout and sends the window again, most of which is dropped again. A node
-//! isn't configured with the rate of its link, but data that arrives a second time was lost:
+//! it as fast, and the link drops the packets that exceed its short queue. The sender then waits
+//! for its retransmission timeout and sends the window again, most of which is dropped again. A
+//! node isn't configured with the rate of its link, but data that arrives a second time was lost:
 //! [`losses`] detects such losses, [`rate`] estimates the link rate from them, and [`LinkPacer`]
 //! spreads bulk data over time at this rate, with a bounded queue. Nothing is paced before losses
 //! occur. Short packets (openings, acknowledgements, short requests) are never delayed.
@@ -24,8 +24,8 @@
 /// Data that may be sent at once after a pause, bytes: a few full packets.
 const BURST_ALLOWANCE_BYTES: f32 = 5_000.0;
 
-/// Capacity of the queue. Each sender has up to a window of packets in flight, so the queue holds
-/// a few windows.
+/// Capacity of the queue. Each sender has up to a window of packets in flight, so a few windows fit
+/// in the queue.
 pub const MAXIMUM_QUEUED_PACKETS: usize = 256;
 
 /// A packet to be sent.
@@ -64,7 +64,8 @@
     payload: Payload,
 }
 
-/// Paces the packets of one sender. `Payload` is what the caller needs to send a queued packet.
+/// Paces the packets of one sender. `Payload` is the data that the caller needs to send a queued
+/// packet.
 ///
 /// ```
 /// use bellyoke_core::cookie::link::{LinkPacer, OutgoingPacket, SendDecision};
--- a/crates/bellyoke-core/src/cookie/link/rate.rs
+++ b/crates/bellyoke-core/src/cookie/link/rate.rs
@@ -6,8 +6,8 @@
 //! delayed because of it, or after a long time without losses.
 //!
 //! Losses may have causes other than the link: a network may drop packets at random regardless of
-//! the rate. Pacing is therefore on trial. If it doesn't reduce the losses, it ends and isn't tried
-//! again for a while.
+//! the rate. Pacing is therefore provisional. If it doesn't reduce the losses, it ends and isn't
+//! tried again for a while.
 
 use crate::time::Timestamp;
 use std::time::Duration;
--- a/crates/bellyoke-core/src/cookie/load.rs
+++ b/crates/bellyoke-core/src/cookie/load.rs
@@ -8,13 +8,13 @@
 use crate::cookie::instance::Cookie;
 use crate::time::Timestamp;
 
-/// Entries of the table, 16 bytes each; cookies beyond that share entries. A power of two.
+/// Number of entries of the table, 16 bytes each; further cookies share entries. A power of two.
 const LOAD_TABLE_SIZE: usize = 1_024;
 
 /// Time in which a count halves, seconds. Long flows send a few packets a second.
 const HALF_LIFE_SECONDS: f32 = 2.0;
 
-/// Load that an opening counts for, in packets: about what a short flow sends.
+/// Load that an opening counts for, in packets: about as many as a short flow sends.
 pub const OPENING_WEIGHT: f32 = 4.0;
 
 /// Load that a later packet counts for.
--- a/crates/bellyoke-core/src/cookie/locality.rs
+++ b/crates/bellyoke-core/src/cookie/locality.rs
@@ -3,8 +3,8 @@
 //! Flows that stay in their node's own zone are answered sooner, and their traffic costs less. The
 //! own zone is therefore preferred, and a share of the openings spills to other zones: if the own
 //! zone has a smaller part of the capacity than of the traffic, and, in steps, while its instances
-//! answer later than a flow to another zone would be answered. Shares change in small steps, so
-//! that nodes that decide independently don't oscillate together.
+//! answer later than a flow to another zone would be answered. Shares change in small steps;
+//! otherwise nodes that decide independently would oscillate together.
 //!
 //! All inputs are observed by the node: the time from an opening to the next packet of its flow
 //! gives the delay to a zone, the time from a request to its first acknowledgement gives processing
@@ -31,8 +31,8 @@
 use share::{ServiceSpill, ZoneView};
 use utilization::TrafficEstimate;
 
-/// Interval between two adjustments of a share. A node of a busy service sees a few dozen answers in
-/// it, and it is short compared with the seconds that a surge lasts.
+/// Interval between two adjustments of a share. A node of a busy service sees a few dozen answers
+/// in it, and it is short compared with the seconds that a surge lasts.
 pub const ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Rank of a zone for one opening, in ascending order of preference.
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Adopts the zone and service numbers of a table. Statistics of services that it still contains
-    /// are kept, and those of zones unless the list of zones has changed.
+    /// Adopts the zone and service numbers of a table. Statistics of services that it still
+    /// contains are kept, and those of zones unless the list of zones has changed.
     pub fn adopt(&mut self, table: &ForwardingTable) {
         let revisions = (table.configuration_revision(), table.directory_revision());
         if self.own_name.is_empty() || self.adopted == Some(revisions) {
@@ -175,8 +175,8 @@
         self.own
     }
 
-    /// Returns the ranks of the zones for an opening of a service. They are the same for all copies of
-    /// an opening.
+    /// Returns the ranks of the zones for an opening of a service. They are the same for all copies
+    /// of an opening.
     #[must_use]
     pub fn ranks(&self, service: ServiceNumber, flow_hash: u64) -> ZoneRanks<'_> {
         ZoneRanks {
@@ -198,8 +198,8 @@
         service.map_or_else(SpillShares::default, ServiceSpill::shares)
     }
 
-    /// Records that an opening of a service is sent to a zone. `capacity` counts the instances that it
-    /// could have been sent to.
+    /// Records that an opening of a service is sent to a zone. `capacity` counts the instances that
+    /// it could have been sent to.
     pub fn record_placement(
         &mut self,
         now: Timestamp,
@@ -272,8 +272,8 @@
         changes
     }
 
-    /// Determines which zones are failing. Called before each opening, because all openings to a failed
-    /// zone are lost.
+    /// Determines which zones are failing. Called before each opening, because all openings to a
+    /// failed zone are lost.
     pub fn review_failing_zones(&mut self, now: Timestamp) {
         let opening_delays = &self.opening_delays;
         let typical_delay =
@@ -281,7 +281,8 @@
         self.outcomes.review(now, typical_delay);
     }
 
-    /// Discards pending openings after the process was stalled: they are no evidence against a zone.
+    /// Discards pending openings after the process was stalled: they are no evidence against a
+    /// zone.
     pub fn reset_after_stall(&mut self) {
         self.outcomes.reset_after_stall();
     }
@@ -296,8 +297,8 @@
         }
     }
 
-    /// Returns how much longer flows take to open in other zones than in the own one, which is about
-    /// twice the one-way delay. Known once some have opened there.
+    /// Returns how much longer flows take to open in other zones than in the own one, which is
+    /// about twice the one-way delay. Known once some have opened there.
     fn crossing_delay(
         &self,
         own: ZoneNumber,
--- a/crates/bellyoke-core/src/cookie/locality/capacity.rs
+++ b/crates/bellyoke-core/src/cookie/locality/capacity.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the share of openings that must spill so that the own zone's instances get at most
-    /// [`OVERPROVISIONING_FACTOR`] times the traffic of others, if all `zones` have equal traffic.
+    /// `OVERPROVISIONING_FACTOR` times the traffic of others, if all `zones` have equal traffic.
     #[must_use]
     pub fn spill_share(&self, zones: usize) -> f32 {
         if self.all <= 0.0 {
--- a/crates/bellyoke-core/src/cookie/locality/delays.rs
+++ b/crates/bellyoke-core/src/cookie/locality/delays.rs
@@ -1,4 +1,5 @@
-//! Response times and failed requests in the own zone and in others, as observed from client packets.
+//! Response times and failed requests in the own zone and in others, as observed from client
+//! packets.
 
 use crate::cookie::answers::AnswerOutcome;
 use crate::time::Timestamp;
@@ -14,7 +15,7 @@
 const MINIMUM_RECENT_OPENINGS: f32 = 25.0;
 
 /// Number of samples (decayed) from which a mean is used. Processing times vary by half of their
-/// mean, so that the mean of eight samples is accurate to a sixth.
+/// mean, so the mean of eight samples is accurate to a sixth.
 const MINIMUM_MEAN_WEIGHT: f32 = 8.0;
 
 /// Multiple of the baseline from which the response time in the own zone shows a queue worth
@@ -115,8 +116,8 @@
 }
 
 impl AnswerStatistics {
-    /// Records an outcome. `maximum_delay` bounds the response time that is counted: lost packets don't
-    /// indicate a queue.
+    /// Records an outcome. `maximum_delay` bounds the response time that is counted: lost packets
+    /// don't indicate a queue.
     fn add(&mut self, now: Timestamp, outcome: &AnswerOutcome, maximum_delay: Duration) {
         match outcome {
             AnswerOutcome::Answered { after, .. } => {
@@ -167,12 +168,14 @@
         answers.add(now, outcome, maximum_delay);
     }
 
-    /// Returns the mean time from request to answer in the own zone, if there are enough recent samples.
+    /// Returns the mean time from request to answer in the own zone, if there are enough recent
+    /// samples.
     pub(super) fn own(&self, now: Timestamp) -> Option<Duration> {
         self.own.delay.recent(now)
     }
 
-    /// Returns the mean time from request to answer in other zones, if there are enough recent samples.
+    /// Returns the mean time from request to answer in other zones, if there are enough recent
+    /// samples.
     pub(super) fn others(&self, now: Timestamp) -> Option<Duration> {
         self.others.delay.recent(now)
     }
@@ -188,8 +191,8 @@
         self.recent_openings.count(now, SHORT_HALF_LIFE_SECONDS);
     }
 
-    /// Returns the requests per second to all zones, as the larger of two estimates: answers lag behind
-    /// while queues grow, and openings are fewer than requests if flows are long.
+    /// Returns the requests per second to all zones, as the larger of two estimates: answers lag
+    /// behind while queues grow, and openings are fewer than requests if flows are long.
     pub(super) fn request_rate(&self, now: Timestamp) -> f32 {
         let answers = self.own.weight_at(now) + self.others.weight_at(now);
         let answers = answers * std::f32::consts::LN_2 / HALF_LIFE_SECONDS;
@@ -206,9 +209,9 @@
         both.is_some_and(|(own, baseline)| own > baseline * DETECTABLE_QUEUE_FACTOR)
     }
 
-    /// Updates the baseline of the own zone once per window. The baseline doesn't exceed the response
-    /// time of other zones less the crossing delay: a zone that has been full from the start would
-    /// otherwise take its queueing for normal.
+    /// Updates the baseline of the own zone once per window. The baseline doesn't exceed the
+    /// response time of other zones less the crossing delay: a zone that has been full from the
+    /// start would otherwise treat its queueing as normal.
     pub(super) fn learn_baseline(&mut self, now: Timestamp, crossing: Option<Duration>) {
         let Some(own) = self.own(now) else {
             return;
@@ -225,7 +228,8 @@
         *baseline += (observed - *baseline) * step;
     }
 
-    /// Returns by how much the response time of the own zone exceeds the baseline, if that is notable.
+    /// Returns by how much the response time of the own zone exceeds the baseline, if that is
+    /// notable.
     pub(super) fn own_queueing_delay(&self, now: Timestamp) -> Option<Duration> {
         let own = self.own(now)?.as_secs_f32();
         let baseline = self.baseline?;
@@ -237,7 +241,8 @@
         self.own.failed_share(now)
     }
 
-    /// Returns whether other zones perform no better than the own one, so that spilling is of no use.
+    /// Returns whether other zones perform no better than the own one, in which case spilling is of
+    /// no use.
     pub(super) fn others_are_no_better(&self, now: Timestamp) -> bool {
         let failed = self.others.failed_share(now);
         if failed.is_some() || self.own_failed_share(now).is_some() {
--- a/crates/bellyoke-core/src/cookie/locality/outcomes.rs
+++ b/crates/bellyoke-core/src/cookie/locality/outcomes.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Discards pending openings after the process was stalled: they are no evidence against a zone.
+    /// Discards pending openings after the process was stalled: they are no evidence against a
+    /// zone.
     pub(super) fn reset_after_stall(&mut self) {
         self.pending.clear();
     }
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -21,7 +21,7 @@
 /// Share below which nothing spills: it would be less than one flow per window.
 const MINIMUM_SHARE: f32 = 0.02;
 
-/// Maximum share for load and queues. The rest of the flows shows when the queue has gone.
+/// Maximum share for load and queues. The rest of the flows shows when the queue has drained.
 const MAXIMUM_SHARE: f32 = 0.9;
 
 /// Maximum share for load and queues while the crossing delay is unknown.
@@ -64,8 +64,8 @@
 }
 
 impl ZoneView {
-    /// Returns the maximum share for load and queues. While the crossing delay is unknown, a small share
-    /// is enough to measure it.
+    /// Returns the maximum share for load and queues. While the crossing delay is unknown, a small
+    /// share is enough to measure it.
     fn maximum_share(&self) -> f32 {
         if self.crossing_delay.is_some() {
             MAXIMUM_SHARE
@@ -120,8 +120,8 @@
         traffic.learn(self.shares.for_load > 0.0, self.delays.is_queueing(now));
     }
 
-    /// Returns whether the share has changed notably since it was last reported, and if so records it as
-    /// reported.
+    /// Returns whether the share has changed notably since it was last reported, and if so records
+    /// it as reported.
     pub(super) fn take_notable_change(&mut self) -> bool {
         let share = self.shares.largest();
         let has_ended = share == 0.0 && self.reported != 0.0;
--- a/crates/bellyoke-core/src/cookie/locality/utilization.rs
+++ b/crates/bellyoke-core/src/cookie/locality/utilization.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-/// Utilization up to which the own zone is filled before openings spill to other zones. At 0.7, with
-/// two slots per instance, requests queue for as long as they take to be processed.
+/// Utilization up to which the own zone is filled before openings spill to other zones. At 0.7,
+/// with two slots per instance, requests queue for as long as they take to be processed.
 const MINIMUM_TARGET_UTILIZATION: f32 = 0.7;
 
 /// Target utilization if other zones are very far.
@@ -58,8 +58,8 @@
         self.nodes_per_zone = is_known.then(|| nodes / zones as f32);
     }
 
-    /// Returns the share of openings that must spill so that requests in the own zone don't queue for
-    /// longer than the crossing delay.
+    /// Returns the share of openings that must spill so that requests in the own zone don't queue
+    /// for longer than the crossing delay.
     pub(super) fn spill_share(&self, demand: &Demand, crossing_delay: Option<Duration>) -> f32 {
         let Some(nodes_per_zone) = self.nodes_per_zone else {
             return 0.0;
@@ -73,8 +73,8 @@
         (1.0 - target / utilization.max(target)).max(0.0)
     }
 
-    /// Updates the correction after a window of one service: whether openings spilled because of load,
-    /// and whether requests queued.
+    /// Updates the correction after a window of one service: whether openings spilled because of
+    /// load, and whether requests queued.
     pub(super) fn learn(&mut self, spilled: bool, queued: bool) {
         let (minimum, maximum) = CORRECTION_BOUNDS;
         let factor = match (spilled, queued) {
--- a/crates/bellyoke-core/src/cookie/mod.rs
+++ b/crates/bellyoke-core/src/cookie/mod.rs
@@ -7,15 +7,16 @@
 //! change of the configuration can move an open flow. Packet formats without such a field use
 //! [`crate::flow`] and [`crate::generation`] instead.
 //!
-//! Like the rest of the crate, nothing here has a socket, clock or thread:
+//! Like the rest of the crate, this module uses no socket, clock or thread. Its parts are:
 //!
-//! * one packet: [`packet`] and [`forwarder`], with recently seen [`flows`] and the [`answers`] to
-//!   their requests, [`ends`] of flows whose instances have ended, [`admission`] and [`placement`]
-//!   of new flows, [`locality`] that prefers the own zone, the limit for [`cold`] instances (slow
-//!   start), [`load`] and [`health`] of instances from the progress of openings, [`outliers`] by
-//!   their answers, [`reachability`] of suspected instances by probes;
-//! * one version: [`route`], [`instance`] and the immutable [`table`] that traffic threads read;
-//! * the process: [`directory`] and [`replica`] (the state of the node), [`zones`] (drained zones),
+//! * per packet: [`packet`] and [`forwarder`], with recently seen [`flows`] and the [`answers`] to
+//!   their requests, [`flow_resets`] of flows whose instances have ended, [`admission`] and
+//!   [`placement`] of new flows, [`locality`] that prefers the own zone, the limit for [`cold`]
+//!   instances (slow start), [`load`] and [`health`] of instances from the progress of openings,
+//!   [`outliers`] by their answers, [`reachability`] of suspected instances by probes;
+//! * per version of the state: [`route`], [`instance`] and the immutable [`table`] that traffic
+//!   threads read;
+//! * per process: [`directory`] and [`replica`] (the state of the node), [`zones`] (drained zones),
 //!   [`delta`] (changes between versions), [`freshness`] (the age of the state), [`follower`]
 //!   (reading the store), [`era`] (detecting a restored store), [`exchange`] (messages between
 //!   peers), [`capacity`] (of a machine), [`coordinator`] (combines these), [`stall`] and
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -13,8 +13,8 @@
 /// Counts of bad requests at or below this value are treated as zero.
 const NEGLIGIBLE_REQUESTS: f64 = 0.05;
 
-/// Good requests in a row after which an outlier is reinstated. An instance that fails half of its
-/// requests reaches this number by chance once in 256 times.
+/// Consecutive good requests after which an outlier is reinstated. An instance that fails half of
+/// its requests reaches this number by chance once in 256 times.
 const REINSTATEMENT_GOOD_REQUESTS: u32 = 8;
 
 /// How often the evidence timeout of an ejected instance may double.
@@ -132,7 +132,7 @@
         self.evidence.clear();
     }
 
-    /// Removes what was reported about an instance.
+    /// Removes the reports about an instance.
     pub fn forget(&mut self, cookie: Cookie) {
         self.evidence.remove(&cookie);
     }
--- a/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/verdict_cache.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long verdicts are valid unless they are repeated. Longer than two announcement intervals, so
-/// a lost datagram has no effect; short enough that instances are soon reinstated after their
-/// collector has failed.
+/// How long verdicts are valid unless they are announced again. Longer than two announcement
+/// intervals, so a lost datagram has no effect; short enough that instances are soon reinstated
+/// after their collector has failed.
 const VERDICT_LIFETIME: Duration = Duration::from_millis(2_500);
 
 /// Maximum number of collectors whose verdicts are stored.
@@ -48,7 +48,7 @@
         true
     }
 
-    /// Removes verdicts that were not repeated in time.
+    /// Removes verdicts that were not announced again in time.
     pub fn expire(&mut self, now: Timestamp) {
         self.by_collector
             .retain(|_, (received_at, _)| now.since(*received_at) < VERDICT_LIFETIME);
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -10,16 +10,16 @@
 use crate::cookie::locality::ZoneRank;
 use crate::cookie::table::{Candidate, RouteService};
 
-/// Copies of an opening that get instances of their own; later copies go where the last of these
-/// goes.
+/// Number of copies of an opening that are sent to distinct instances; later copies are sent to the
+/// instance of the last of these.
 const DISTINCT_COPIES: usize = 2;
 
-/// Most instances among which the least loaded is chosen. With fewer, long flows stay concentrated
-/// on the instances that remained while others were replaced. With all, an instance that has just
-/// started would get every new flow.
+/// Number of instances among which the least loaded is chosen. With fewer, long flows stay
+/// concentrated on the instances that remained while others were replaced. With all, an instance
+/// that has just started would get every new flow.
 pub const LEAST_LOADED_CANDIDATES: usize = 5;
 
-/// Ranks that are computed: the choices of an opening, and one for each copy.
+/// Number of ranks that are computed: the choices of an opening, and one for each copy.
 const COMPUTED_RANKS: usize = LEAST_LOADED_CANDIDATES + DISTINCT_COPIES;
 
 /// How suitable an instance is for new flows, in ascending order of preference.
@@ -38,7 +38,7 @@
     Full,
 }
 
-/// Returns the service that the flow belongs to; none if all weights are zero.
+/// Returns the service that the flow belongs to; `None` if all weights are zero.
 #[must_use]
 pub fn choose_service(services: &[RouteService], flow_hash: u64) -> Option<&RouteService> {
     /// Makes the choice of the service independent of the choice of the instance.
@@ -154,7 +154,7 @@
         .clamp(1, LEAST_LOADED_CANDIDATES)
 }
 
-/// Later copies go where the last one goes.
+/// Later copies are sent to the instance of the last one.
 fn copies_before(attempt: u32) -> usize {
     usize::try_from(attempt)
         .unwrap_or(DISTINCT_COPIES)
--- a/crates/bellyoke-core/src/cookie/publication.rs
+++ b/crates/bellyoke-core/src/cookie/publication.rs
@@ -1,8 +1,9 @@
 //! Pacing of forwarding table builds.
 //!
-//! A table is built from all instances, so its cost grows with their number, and a rolling replacement of a service causes
-//! about 20 changes per second. Builds are therefore spaced in proportion to their cost, and changes in between are
-//! included in the next table. With few instances a build takes less than 0.1 ms, and each change is published at once.
+//! A table is built from all instances, so its cost grows with their number, and a rolling
+//! replacement of a service causes about 20 changes per second. Builds are therefore spaced in
+//! proportion to their cost, and changes in between are included in the next table. With few
+//! instances a build takes less than 0.1 ms, and each change is published at once.
 
 use crate::cookie::replica::StateChange;
 use crate::time::Timestamp;
@@ -11,12 +12,13 @@
 /// Minimum interval between two tables.
 const MINIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Maximum interval between two tables. It is 1/15 of the shortest time within which a change of instances must take
-/// effect.
+/// Maximum interval between two tables. It is 1/15 of the shortest time within which a change of
+/// instances must take effect.
 const MAXIMUM_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Interval between two tables as a multiple of the wall-clock time of the last build. It limits builds to 1/20 of the
-/// thread's share of its processor, and to 1/10 if a build takes 20 ms (10,000 instances on 1/8 of a core).
+/// Interval between two tables as a multiple of the wall-clock time of the last build. It limits
+/// builds to 1/20 of the thread's share of its processor, and to 1/10 if a build takes 20 ms
+/// (10,000 instances on 1/8 of a core).
 const BUILD_TIME_MULTIPLE: u32 = 20;
 
 /// Decides when a node builds its next forwarding table.
--- a/crates/bellyoke-core/src/cookie/reachability.rs
+++ b/crates/bellyoke-core/src/cookie/reachability.rs
@@ -56,14 +56,14 @@
 /// Maximum number of instances probed at once; further ones wait for the next probe.
 pub const MAXIMUM_SUSPECTS_PER_PROBE: usize = 64;
 
-/// How long a verdict is valid. Users blame the balancer for an ended flow if the paths to the
-/// instance had been intact for 4 s, so a verdict must not outlive a network partition by that
+/// How long a verdict is valid. Operators attribute an ended flow to the balancer if the paths to
+/// the instance had been intact for 4 s, so a verdict must not outlive a network partition by that
 /// long.
 pub const VERDICT_LIFETIME: Duration = Duration::from_millis(3_000);
 
 /// Time after which an unreachable instance is probed again, which renews or ends the verdict. Two
 /// nodes do so until its record is deleted. Without the recheck, a dead instance whose record
-/// stays, as during an outage of the store, would be detected anew by failing openings every seven
+/// stays, as during an outage of the store, would be detected again by failing openings every seven
 /// seconds.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2_000);
 
@@ -78,7 +78,8 @@
 /// the instance is alive.
 const AVOIDANCE_DURATION: Duration = Duration::from_secs(10);
 
-/// An instance is not suspected again within this time after a probe or a sign of life.
+/// An instance is not suspected again within this time after a probe or after activity of its
+/// flows.
 const SUSPICION_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How long a peer has to confirm a finding before another one is asked. A probe of two attempts
@@ -90,6 +91,6 @@
 const MAXIMUM_CONFIRMATION_REQUESTS: u32 = 3;
 
 /// How long peers have to refute a suspicion before the idle flows of an instance are ended. A peer
-/// that sees a few requests a second there detects a sign of life within 300 ms; its message takes
-/// some milliseconds, plus 100 ms wherever a control thread waits for its tick.
+/// that sees a few requests a second there detects activity within 300 ms. Its message takes some
+/// milliseconds, plus 100 ms at each control thread that waits for its tick.
 pub const REFUTATION_PERIOD: Duration = Duration::from_millis(400);
--- a/crates/bellyoke-core/src/cookie/reachability/monitor.rs
+++ b/crates/bellyoke-core/src/cookie/reachability/monitor.rs
@@ -300,8 +300,8 @@
         ended.map(|(cookie, _)| *cookie).collect()
     }
 
-    /// Returns the instances for which a sign of life would matter: those that are suspected or
-    /// considered unreachable, and have not ended.
+    /// Returns the instances under verification: those that are suspected or considered
+    /// unreachable, and have not ended. Activity of their flows clears the suspicion.
     #[must_use]
     pub fn under_verification(&self, now: Timestamp) -> BTreeSet<Cookie> {
         let states = self.states.iter();
--- a/crates/bellyoke-core/src/cookie/replica.rs
+++ b/crates/bellyoke-core/src/cookie/replica.rs
@@ -1,7 +1,8 @@
-//! The state of one node: the configuration, the instances and the drained zones, each as of a revision of the store.
+//! The state of one node: the configuration, the instances and the drained zones, each as of a
+//! revision of the store.
 //!
-//! Updates come from the store and from peers. The newer revision wins regardless of its source, and the state never goes
-//! back to an older one within the lifetime of a process.
+//! Updates come from the store and from peers. The newer revision wins regardless of its source,
+//! and the state never goes back to an older one within the lifetime of a process.
 
 use crate::cookie::delta::{ConfigurationDelta, DirectoryDelta, StateDelta};
 use crate::cookie::directory::{Directory, FirstCreation, Tombstone};
@@ -18,7 +19,8 @@
 /// Maximum number of configuration deltas kept for peers that have missed some.
 const MAXIMUM_RECENT_DELTAS: usize = 8;
 
-/// Maximum number of new or changed routes in a configuration delta that is kept. Larger deltas don't fit a datagram.
+/// Maximum number of new or changed routes in a configuration delta that is kept. Larger deltas
+/// don't fit a datagram.
 const MAXIMUM_DELTA_ROUTES: usize = 16;
 
 /// Where an update came from.
@@ -79,8 +81,8 @@
 /// Versions of a node's state. Nodes exchange them to find out which one is outdated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Versions {
-    /// Version of the configuration, assigned by the operators; zero if there is none. It increases with each configuration,
-    /// also across restorations of the store.
+    /// Version of the configuration, assigned by the operators; zero if there is none. It increases
+    /// with each configuration, also across restorations of the store.
     pub configuration: u64,
     /// Revision up to which there is no newer configuration.
     pub configuration_as_of: Revision,
@@ -120,7 +122,7 @@
     }
 }
 
-/// What changed in a node's state.
+/// The changes in a node's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateChange {
     /// The configuration was replaced.
@@ -151,7 +153,8 @@
 }
 
 impl Replica {
-    /// Creates an empty state that keeps tombstones for `tombstone_lifetime`, for a cluster whose operators drain no zones.
+    /// Creates an empty state that keeps tombstones for `tombstone_lifetime`, for a cluster whose
+    /// operators drain no zones.
     #[must_use]
     pub const fn new(tombstone_lifetime: Duration) -> Self {
         Self {
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Creates an empty state for a cluster whose operators may drain zones. The node has to learn first which zones are
-    /// drained.
+    /// Creates an empty state for a cluster whose operators may drain zones. The node has to learn
+    /// first which zones are drained.
     #[must_use]
     pub fn reading_zones(tombstone_lifetime: Duration) -> Self {
         Self {
@@ -204,9 +207,9 @@
         }
     }
 
-    /// Returns whether a peer with `versions` has something that this node lacks. The peer's changes of directory and zones
-    /// are compared with the revisions up to which this node knows all changes, because peers may have recorded the same
-    /// change at different revisions.
+    /// Returns whether a peer with `versions` has something that this node lacks. The peer's
+    /// changes of directory and zones are compared with the revisions up to which this node knows
+    /// all changes, because peers may have recorded the same change at different revisions.
     #[must_use]
     pub fn is_behind(&self, versions: Versions) -> bool {
         let directory_as_of = self.directory.as_of().unwrap_or_default();
@@ -215,8 +218,8 @@
             || versions.zones_changed_at > self.zones.as_of().unwrap_or_default()
     }
 
-    /// Adopts a configuration if it is newer. Returns whether it was. The operators' version decides, since a restored store
-    /// may assign a later revision to an earlier configuration.
+    /// Adopts a configuration if it is newer. Returns whether it was. The operators' version
+    /// decides, since a restored store may assign a later revision to an earlier configuration.
     pub fn adopt_configuration(&mut self, configuration: Configuration) -> bool {
         let current = self.configuration.as_ref();
         if current.is_some_and(|current| configuration.version <= current.version) {
@@ -235,7 +238,8 @@
         self.configuration_as_of = as_of.max(self.configuration_as_of);
     }
 
-    /// Records a peer's confirmation of its versions. It applies to the parts in which this node isn't behind the peer.
+    /// Records a peer's confirmation of its versions. It applies to the parts in which this node
+    /// isn't behind the peer.
     pub fn confirm(&mut self, versions: Versions) {
         if versions.configuration <= self.configuration_version() {
             self.confirm_configuration(versions.configuration_as_of);
@@ -246,7 +250,8 @@
             .confirm(versions.zones_changed_at, versions.zones_as_of);
     }
 
-    /// Returns the delta for a peer with `versions`, or `None` if the peer lacks nothing or needs a snapshot.
+    /// Returns the delta for a peer with `versions`, or `None` if the peer lacks nothing or needs a
+    /// snapshot.
     #[must_use]
     pub fn delta_for(&self, now: Timestamp, versions: Versions) -> Option<StateDelta> {
         let delta = StateDelta {
@@ -278,7 +283,8 @@
         change
     }
 
-    /// Replaces the drained zones with a full list. Returns whether the list is newer than the known state.
+    /// Replaces the drained zones with a full list. Returns whether the list is newer than the
+    /// known state.
     pub fn replace_zones(&mut self, now: Timestamp, at: Revision, zones: Vec<DrainedZone>) -> bool {
         self.zones.replace(now, at, zones)
     }
@@ -340,7 +346,7 @@
         self.directory.take_restarted()
     }
 
-    /// Drops outdated records and ends temporary states whose time is over. Returns what changed.
+    /// Drops outdated records and ends temporary states whose time is over. Returns the changes.
     pub fn expire(&mut self, now: Timestamp) -> StateChange {
         StateChange {
             directory: self.directory.expire(now),
@@ -355,7 +361,8 @@
         self.snapshot_for(now, Versions::default(), Revision::default())
     }
 
-    /// Returns all state that a peer with `versions` lacks, and the tombstones of instances removed after a revision.
+    /// Returns all state that a peer with `versions` lacks, and the tombstones of instances removed
+    /// after a revision.
     #[must_use]
     pub fn snapshot_for(
         &self,
@@ -389,7 +396,8 @@
             .map_or(0, |current| current.version)
     }
 
-    /// Returns the instances for a peer that knows all changes up to `since`, or `None` if it lacks nothing.
+    /// Returns the instances for a peer that knows all changes up to `since`, or `None` if it lacks
+    /// nothing.
     fn directory_part(&self, now: Timestamp, since: Revision) -> Option<DirectoryPart> {
         let as_of = self.directory.as_of()?;
         if since >= as_of {
@@ -410,15 +418,16 @@
         lacks.then(|| self.zones.snapshot(now)).flatten()
     }
 
-    /// Returns the deltas from the configuration of a version to the current one, or an empty list if one of them is no
-    /// longer kept.
+    /// Returns the deltas from the configuration of a version to the current one, or an empty list
+    /// if one of them is no longer kept.
     fn configuration_deltas_since(&self, since: u64) -> Vec<ConfigurationDelta> {
         let recent = self.recent_configurations.iter();
         let steps = recent.skip_while(|delta| delta.since != since);
         steps.cloned().collect()
     }
 
-    /// Keeps a configuration delta for peers. A delta that is missing or too large discards all earlier ones.
+    /// Stores a configuration delta for peers. A delta that is missing or too large discards all
+    /// earlier ones.
     fn remember_configuration_delta(&mut self, delta: Option<ConfigurationDelta>) {
         let Some(delta) = delta.filter(|delta| delta.put.len() <= MAXIMUM_DELTA_ROUTES) else {
             self.recent_configurations.clear();
--- a/crates/bellyoke-core/src/cookie/revision.rs
+++ b/crates/bellyoke-core/src/cookie/revision.rs
@@ -24,12 +24,13 @@
 /// Number of bits of a revision that contain its number; the higher bits contain the era.
 const NUMBER_BITS: u32 = 48;
 
-/// A position in the store's history: the era and the store's change number. Revisions order all state of nodes that forward
-/// by cookie: the larger revision is the newer one, whether it comes from the store or a peer.
+/// A position in the store's history: the era and the store's change number. Revisions order all
+/// state of nodes that forward by cookie: the larger revision is the newer one, whether it comes
+/// from the store or a peer.
 ///
-/// A restored store continues from the number of its copy and assigns numbers again, so the number alone doesn't show which
-/// of two states is newer. Era and number are packed into one word because each instance and each heartbeat carries several
-/// revisions.
+/// A restored store continues from the number of its copy and assigns numbers again, so the number
+/// alone doesn't show which of two states is newer. Era and number are packed into one word because
+/// each instance and each heartbeat carries several revisions.
 ///
 /// ```
 /// use bellyoke_core::cookie::revision::{Revision, StoreEra};
@@ -50,7 +51,8 @@
     /// The largest supported change number.
     pub const MAXIMUM_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 
-    /// Creates a revision of a store that was never restored. Numbers above [`Self::MAXIMUM_NUMBER`] saturate.
+    /// Creates a revision of a store that was never restored. Numbers above
+    /// [`Self::MAXIMUM_NUMBER`] saturate.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         if number > Self::MAXIMUM_NUMBER {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Creates a revision of an era. Returns `None` if the number is larger than [`Self::MAXIMUM_NUMBER`].
+    /// Creates a revision of an era. Returns `None` if the number is larger than
+    /// [`Self::MAXIMUM_NUMBER`].
     #[must_use]
     pub const fn in_era(era: StoreEra, number: u64) -> Option<Self> {
         if number > Self::MAXIMUM_NUMBER {
--- a/crates/bellyoke-core/src/cookie/route.rs
+++ b/crates/bellyoke-core/src/cookie/route.rs
@@ -31,7 +31,7 @@
 }
 
 impl RequestKind {
-    /// Returns whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run may be retried.
     #[must_use]
     pub const fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Download)
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -170,15 +170,15 @@
         self.candidates.iter().map(Vec::as_slice)
     }
 
-    /// Returns the service of an instance; none if no route names the service, or the instance is
+    /// Returns the service of an instance; `None` if no route names the service, or the instance is
     /// unknown.
     #[must_use]
     pub fn service_of(&self, cookie: Cookie) -> Option<ServiceNumber> {
         self.location_of(cookie).map(|(service, _)| service)
     }
 
-    /// Returns the service and the zone of an instance; none if no route names the service, or the
-    /// instance is unknown.
+    /// Returns the service and the zone of an instance; `None` if no route names the service, or
+    /// the instance is unknown.
     #[must_use]
     pub fn location_of(&self, cookie: Cookie) -> Option<(ServiceNumber, ZoneNumber)> {
         let found = self
@@ -200,7 +200,7 @@
         &self.zones
     }
 
-    /// Returns the destination of packets with this cookie; none if there is no such instance.
+    /// Returns the destination of packets with this cookie; `None` if there is no such instance.
     #[must_use]
     pub fn destination(&self, cookie: Cookie) -> Option<&Destination> {
         let found = self
@@ -294,8 +294,8 @@
     restarted
 }
 
-/// Returns when an instance's slow start ends. An instance whose zone was undrained after its record
-/// last changed may be cold although its record doesn't say so.
+/// Returns when an instance's slow start ends. An instance whose zone was undrained after its
+/// record last changed may be cold although its record doesn't say so.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
     let undrain = zones.last_undrain(&known.record.zone);
     let undrain = undrain.filter(|undrain| undrain.revision >= known.record.revision);
--- a/crates/bellyoke-core/src/cookie/zones.rs
+++ b/crates/bellyoke-core/src/cookie/zones.rs
@@ -1,8 +1,8 @@
 //! Zones drained by operators. Their instances get no new flows.
 //!
-//! There are few zones, so nodes store the full set as of one revision and exchange the full set; the newer one wins. An
-//! undrained zone is recorded for a while, since its instances may have become cold meanwhile and their records may not
-//! show that yet.
+//! There are few zones, so nodes store the full set as of one revision and exchange the full set;
+//! the newer one wins. An undrained zone is recorded for a while, since its instances may have
+//! become cold meanwhile and their records may not show that yet.
 
 use crate::cookie::revision::Revision;
 use crate::time::Timestamp;
@@ -10,15 +10,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long an undrained zone stays recorded. It is many times the slow start of an instance and the interval of its
-/// heartbeats, both of which take seconds.
+/// How long an undrained zone stays recorded. It is many times the slow start of an instance and
+/// the interval of its heartbeats, both of which take seconds.
 pub const UNDRAIN_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a zone stays drained after a restoration of the store that lost its drain. It gives operators time to write the
-/// drain again.
+/// How long a zone stays drained after a restoration of the store that lost its drain. It gives
+/// operators time to write the drain again.
 pub const DRAIN_REWRITE_GRACE: Duration = Duration::from_secs(5);
 
-/// Maximum number of undrained zones in a snapshot. It leaves ample space in the one datagram that a snapshot must fit.
+/// Maximum number of undrained zones in a snapshot. It leaves ample space in the one datagram that
+/// a snapshot must fit.
 pub const MAXIMUM_UNDRAINED_ZONES: usize = 32;
 
 /// A zone whose instances get no new flows.
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Creates a set without drained zones, as in a cluster whose operators never drain a zone. Newer sets of peers are still
-    /// accepted.
+    /// Creates a set without drained zones, as in a cluster whose operators never drain a zone.
+    /// Newer sets of peers are still accepted.
     #[must_use]
     pub const fn none() -> Self {
         Self {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Returns the revision up to which all changes are known, or `None` before the first full list.
+    /// Returns the revision up to which all changes are known, or `None` before the first full
+    /// list.
     #[must_use]
     pub const fn as_of(&self) -> Option<Revision> {
         self.as_of
@@ -154,8 +156,8 @@
         self.undrained.get(zone).copied()
     }
 
-    /// Replaces the set with a full list as of revision `at`. Returns whether the list is newer than the known state; an
-    /// older one changes nothing.
+    /// Replaces the set with a full list as of revision `at`. Returns whether the list is newer
+    /// than the known state; an older one changes nothing.
     pub fn replace(&mut self, now: Timestamp, at: Revision, listed: Vec<DrainedZone>) -> bool {
         if self.as_of.is_some_and(|known| at <= known) {
             return false;
@@ -175,8 +177,8 @@
         }
         self.drained = listed;
         self.retain_earlier_drains(now, at);
-        // Zones that were drained and undrained between two lists are in neither, so a peer at a revision in between may
-        // have another set.
+        // Zones that were drained and undrained between two lists are in neither, so a peer at a
+        // revision in between may have another set.
         self.advance(at, true);
         true
     }
@@ -203,7 +205,8 @@
         changed
     }
 
-    /// Adopts a peer's set if it is newer, and merges its undrained zones. Returns whether the set was newer.
+    /// Adopts a peer's set if it is newer, and merges its undrained zones. Returns whether the set
+    /// was newer.
     pub fn adopt(&mut self, now: Timestamp, snapshot: ZoneSnapshot) -> bool {
         for undrained in snapshot.undrained {
             self.merge_undrain(now, undrained);
@@ -218,8 +221,8 @@
         is_newer
     }
 
-    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It has no effect if this node
-    /// doesn't know everything up to `changed_at`.
+    /// Records a peer's confirmation that nothing has changed after `changed_at` up to `as_of`. It
+    /// has no effect if this node doesn't know everything up to `changed_at`.
     pub fn confirm(&mut self, changed_at: Revision, as_of: Revision) {
         if let Some(known) = &mut self.as_of
             && changed_at <= *known
@@ -228,8 +231,9 @@
         }
     }
 
-    /// Drops records of zones that were undrained long ago. Undrains zones whose drains were lost in a restoration of the
-    /// store and not written again in time, and returns whether there were any.
+    /// Drops records of zones that were undrained long ago. Undrains zones whose drains were lost
+    /// in a restoration of the store and not written again in time, and returns whether there were
+    /// any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let recent = |undrain: &Undrain| now.since(undrain.at) < UNDRAIN_RETENTION;
         self.undrained.retain(|_, undrain| recent(undrain));
--- a/crates/bellyoke-core/tests/cookie/cold.rs
+++ b/crates/bellyoke-core/tests/cookie/cold.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The users' requirement: half more than the configured limit, plus five.
+/// The required bound: half more than the configured limit, plus five.
 const ALLOWANCE: ColdAllowance = ColdAllowance {
     overshoot: 1.5,
     slack: 5,
@@ -70,7 +70,7 @@
 }
 
 struct Counts {
-    /// Most flows that one instance got within any period of one second.
+    /// Maximum number of flows that one instance got within any period of one second.
     most: usize,
     placed: usize,
     refused: usize,
--- a/crates/bellyoke-core/tests/cookie/directory.rs
+++ b/crates/bellyoke-core/tests/cookie/directory.rs
@@ -174,8 +174,8 @@
     ]
 }
 
-/// Returns records without their creations. A node keeps the earliest creation that it has learned of, so creations depend
-/// on the updates that it received.
+/// Returns records without their creations. A node keeps the earliest creation that it has learned
+/// of, so creations depend on the updates that it received.
 fn without_creations(records: &[InstanceRecord]) -> Vec<InstanceRecord> {
     let records = records.iter().cloned();
     let records = records.map(|record| InstanceRecord {
@@ -185,8 +185,8 @@
     records.collect()
 }
 
-/// Returns whether all creations are revisions at which the store wrote that instance, and not later than those of the
-/// store's records.
+/// Returns whether all creations are revisions at which the store wrote that instance, and not
+/// later than those of the store's records.
 fn creations_are_valid(
     records: &[InstanceRecord],
     stored: &[InstanceRecord],
@@ -370,7 +370,8 @@
 }
 
 proptest! {
-    /// After applying a delta that starts at or before its revision, the receiver has the same state as the sender.
+    /// After applying a delta that starts at or before its revision, the receiver has the same
+    /// state as the sender.
     #[test]
     fn a_delta_is_exact(
         steps in prop::collection::vec(step(), 1..24),
@@ -401,8 +402,8 @@
         prop_assert_eq!(receiver.as_of(), expected.as_of());
     }
 
-    /// After any sequence of updates from the store and from each other, each of two nodes has the state of the store at the
-    /// revision up to which it reports to know all changes.
+    /// After any sequence of updates from the store and from each other, each of two nodes has the
+    /// state of the store at the revision up to which it reports to know all changes.
     #[test]
     fn a_directory_is_exact_at_its_revision(
         steps in prop::collection::vec(step(), 1..24),
@@ -448,8 +449,8 @@
         }
     }
 
-    /// Full lists and changes of any age and in any order never take a node back to an older state, and the newest one
-    /// always wins.
+    /// Full lists and changes of any age and in any order never take a node back to an older state,
+    /// and the newest one always wins.
     #[test]
     fn updates_in_any_order_never_go_back(
         steps in prop::collection::vec(step(), 1..24),
@@ -492,7 +493,8 @@
     directory
 }
 
-/// Returns the same directory after the store has discarded its history: its new list lacks instance 2 and has 4.
+/// Returns the same directory after the store has discarded its history: its new list lacks
+/// instance 2 and has 4.
 fn relisted() -> Directory {
     let mut directory = listed();
     let records = vec![record(1, 1), record(3, 3), record(4, 18)];
@@ -500,7 +502,8 @@
     directory
 }
 
-/// Guards against sending a list of thousands of instances to each node whenever the store discards its history.
+/// Guards against sending a list of thousands of instances to each node whenever the store discards
+/// its history.
 #[test]
 fn a_peer_at_the_start_of_a_gap_gets_a_delta() {
     let delta = relisted().delta_since(at(100), Revision::new(10)).unwrap();
@@ -514,8 +517,8 @@
     assert!(peer.delta_since(at(120), Revision::new(10)).is_some());
 }
 
-/// Instance 9 was added and removed within the gap, so no delta across it contains the removal. A peer at a revision within
-/// the gap that applied one would keep the instance.
+/// Instance 9 was added and removed within the gap, so no delta across it contains the removal. A
+/// peer at a revision within the gap that applied one would keep the instance.
 #[test]
 fn a_peer_within_a_gap_applies_no_delta_across_it() {
     let mut peer = listed();
--- a/crates/bellyoke-core/tests/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -97,12 +97,12 @@
 fn idle_flows_of_a_superseded_instance_are_reset() {
     let mut replica = node(vec![record(1, 1), record(2, 2)]);
     let mut forwarder = forwarder_with_idle_flows(&replica.table(), 5, true);
-    let successor = InstanceRecord {
+    let later_instance = InstanceRecord {
         address: record(1, 1).address,
         ..record(9, 20)
     };
     let events = vec![
-        InstanceEvent::Put(successor),
+        InstanceEvent::Put(later_instance),
         InstanceEvent::Gone(InstanceId(1)),
     ];
     replica.apply_instances(at(4_000), Revision::new(21), events);
--- a/crates/bellyoke-core/tests/cookie/flows.rs
+++ b/crates/bellyoke-core/tests/cookie/flows.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_flow_is_remembered_with_what_its_client_acknowledged() {
+fn a_flow_record_contains_the_last_acknowledgement_of_its_client() {
     let mut table = FlowTable::new(100, IDLE_TIMEOUT);
     record_packet(&mut table, 1_000, 7, 1);
     let record = table.get(flow(7).hash()).unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_idle_flow_is_remembered_until_its_timeout() {
+fn an_idle_flow_is_tracked_until_its_timeout() {
     let mut table = FlowTable::new(100, IDLE_TIMEOUT);
     record_packet(&mut table, 0, 7, 1);
     record_packet(&mut table, 14_999, 8, 1);
--- a/crates/bellyoke-core/tests/cookie/follower.rs
+++ b/crates/bellyoke-core/tests/cookie/follower.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_follower_lists_again_when_history_is_gone() {
+fn a_follower_lists_again_when_history_is_lost() {
     let mut harness = Harness::watching();
     harness.answer(Answer::HistoryGone);
     assert_eq!(harness.next(), list(None, Freshness::Newest));
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_throttled_list_is_repeated_as_a_stale_read() {
+fn a_throttled_list_is_retried_as_a_stale_read() {
     let mut harness = Harness::new();
     harness.answer(Answer::Throttled);
     harness.now += 200;
@@ -306,8 +306,8 @@
     freshness: Freshness::MayBeStale,
 };
 
-/// Returns the delays in milliseconds before the second page over many seeds, if the first page took `page_time`
-/// milliseconds.
+/// Returns the delays in milliseconds before the second page over many seeds, if the first page
+/// took `page_time` milliseconds.
 fn list_delays(page_time: u64, relative_capacity: f64) -> Vec<u64> {
     let delays = (0..200).map(|seed| {
         let settings = FollowerSettings {
@@ -330,8 +330,8 @@
     delays.collect()
 }
 
-/// Guards against overload of the store when many nodes list at once and a page takes long. Only a few of them must
-/// continue at once; the others get the state from these.
+/// Guards against overload of the store when many nodes list at once and a page takes long. Only a
+/// few of them must continue at once; the others get the state from these.
 #[test]
 fn only_a_few_nodes_continue_a_slow_list_at_once() {
     let delays = list_delays(300, 1.0);
@@ -358,8 +358,9 @@
     assert_eq!(harness.next(), list(Some("b"), Freshness::MayBeStale));
 }
 
-/// A lagging replica of the store doesn't have revisions that a node already got from peers, and answers that its history
-/// is gone. A list each time would cost the store megabytes.
+/// A lagging replica of the store doesn't have revisions that a node already got from peers, and
+/// answers that the required history was discarded. A list each time would cost the store
+/// megabytes.
 #[test]
 fn a_stale_read_waits_for_peers_before_it_lists_again() {
     for (freshness, waits) in [(Freshness::MayBeStale, true), (Freshness::Newest, false)] {
@@ -401,7 +402,7 @@
 
 /// A store that throttles reads of the newest state still answers stale reads, which are cheaper.
 #[test]
-fn a_throttled_watch_is_repeated_as_a_stale_read() {
+fn a_throttled_watch_is_retried_as_a_stale_read() {
     let mut harness = Harness::watching();
     harness.answer(Answer::Throttled);
     let plan = WatchPlan::Watch(Freshness::Newest);
--- a/crates/bellyoke-core/tests/cookie/forwarder.rs
+++ b/crates/bellyoke-core/tests/cookie/forwarder.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn later_packets_go_to_the_instance_of_their_cookie() {
+fn later_packets_are_forwarded_to_the_instance_of_their_cookie() {
     let table = node((1..=5).map(|id| record(id, 1)).collect()).table();
     let (instance, cookie, suitability) = placed(decide(&table, &opening(1, 0)));
     assert_eq!(suitability, Suitability::Full);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_instance_whose_record_was_just_deleted_is_a_temporary_last_resort() {
+fn an_instance_whose_record_was_just_deleted_is_used_only_without_alternatives() {
     let mut replica = node(vec![record(1, 1)]);
     replica.replace_instances(at(9_000), Revision::new(20), Vec::new());
     let table = replica.table();
--- a/crates/bellyoke-core/tests/cookie/link.rs
+++ b/crates/bellyoke-core/tests/cookie/link.rs
@@ -1,5 +1,5 @@
-//! Pacing on a simulated link with a limited rate and a short queue, with senders that have a window
-//! and retransmit unacknowledged data.
+//! Pacing on a simulated link with a limited rate and a short queue, with senders that have a
+//! window and retransmit unacknowledged data.
 
 use crate::support::at;
 use bellyoke_core::cookie::link::{
--- a/crates/bellyoke-core/tests/cookie/locality.rs
+++ b/crates/bellyoke-core/tests/cookie/locality.rs
@@ -75,8 +75,8 @@
     mean_milliseconds: f64,
     p99_milliseconds: f64,
     failed: usize,
-    /// Shares of flows to another zone: of all flows, of those of the first zone, and of those of the
-    /// first zone in the last two seconds.
+    /// Shares of flows to another zone: of all flows, of those of the first zone, and of those of
+    /// the first zone in the last two seconds.
     crossed: f64,
     crossed_first: f64,
     crossed_at_end: f64,
--- a/crates/bellyoke-core/tests/cookie/main.rs
+++ b/crates/bellyoke-core/tests/cookie/main.rs
@@ -1,4 +1,4 @@
-//! Forwarding by connection cookie: each invariant of [`bellyoke_core::cookie`].
+//! Tests of the invariants of [`bellyoke_core::cookie`].
 
 mod admission;
 mod answers;
--- a/crates/bellyoke-core/tests/cookie/message.rs
+++ b/crates/bellyoke-core/tests/cookie/message.rs
@@ -313,7 +313,7 @@
 
 /// The replacement of a service changes this many instances per second.
 #[test]
-fn a_datagram_holds_changes_of_thirty_instances() {
+fn changes_of_thirty_instances_fit_in_a_datagram() {
     let records = (0..15).map(|number| InstanceRecord {
         started: Some(1_796_000_000_000 + number * 7_919),
         ..record(number * 0x9e37_79b1 % 0xffff_ffff, 40_000 + number)
--- a/crates/bellyoke-core/tests/cookie/outliers.rs
+++ b/crates/bellyoke-core/tests/cookie/outliers.rs
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn all_nodes_know_within_two_seconds_what_none_sees_alone() {
+fn all_nodes_eject_within_two_seconds_an_outlier_that_no_single_node_detects() {
     let mut fleet = Fleet::new(40);
     fleet.advance(6_000, |_| false);
     assert_eq!(fleet.nodes_with_outliers(&[]), 40);
--- a/crates/bellyoke-core/tests/cookie/publication.rs
+++ b/crates/bellyoke-core/tests/cookie/publication.rs
@@ -11,8 +11,8 @@
     zones: false,
 };
 
-/// Returns the number of tables built in 10 s if a build takes `build_time`, instances change every 20 ms and the control
-/// thread checks for changes every 20 ms.
+/// Returns the number of tables built in 10 s if a build takes `build_time`, instances change every
+/// 20 ms and the control thread checks for changes every 20 ms.
 fn tables_built(build_time: Duration) -> u32 {
     let mut pacer = TablePacer::default();
     let mut built = 0;
@@ -26,7 +26,8 @@
     built
 }
 
-/// Builds must take at most 1/10 of the thread's time, also if one takes as long as with 10,000 instances on 1/8 of a core.
+/// Builds must take at most 1/10 of the thread's time, also if one takes as long as with 10,000
+/// instances on 1/8 of a core.
 #[test]
 fn builds_take_a_bounded_share_of_the_thread() {
     let quick = Duration::from_micros(100);
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -350,13 +350,13 @@
 
 /// Instance 9, created later than instance 1, takes over its address.
 fn reuse_address(node: &mut Coordinator, now: u64) {
-    let successor = InstanceRecord {
+    let later_instance = InstanceRecord {
         address: address(1),
         ..record(9, 20)
     };
     let update = Update::Changes {
         at: Revision::new(20),
-        events: vec![InstanceEvent::Put(successor)],
+        events: vec![InstanceEvent::Put(later_instance)],
     };
     node.apply_instances(at(now), update);
 }
--- a/crates/bellyoke-core/tests/cookie/replica.rs
+++ b/crates/bellyoke-core/tests/cookie/replica.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_peer_is_sent_only_what_it_lacks() {
+fn a_peer_receives_only_the_state_that_it_lacks() {
     let mut ahead = node(vec![record(1, 1), record(2, 2)]);
     let known = node(vec![record(1, 1), record(2, 2)]).versions();
     ahead.apply_instances(
@@ -40,8 +40,8 @@
     assert_eq!((unchanged.configuration, unchanged.directory), (None, None));
 }
 
-/// During a rolling replacement of a service there are thousands of tombstones and each node fetches repeatedly. Snapshots
-/// would be too large if each contained all tombstones.
+/// During a rolling replacement of a service there are thousands of tombstones and each node
+/// fetches repeatedly. Snapshots would be too large if each contained all tombstones.
 #[test]
 fn a_slightly_outdated_peer_gets_only_new_tombstones() {
     let mut ahead = node((1..=100).map(|id| record(id, 1)).collect());
@@ -151,7 +151,8 @@
 }
 
 fn snapshots() -> impl Strategy<Value = Vec<Snapshot>> {
-    // Snapshots of one store's history: instance `n` is added at revision `n` and removed at `n + 3`.
+    // Snapshots of one store's history: instance `n` is added at revision `n` and removed at `n +
+    // 3`.
     prop::collection::vec((1..20_u64, 1..20_u64), 1..6).prop_map(|revisions| {
         let snapshot = |(configuration_at, directory_at): (u64, u64)| {
             let mut replica = empty();
@@ -166,7 +167,8 @@
 }
 
 proptest! {
-    /// Nodes that merged the same snapshots have the same state, in whatever order they merged them.
+    /// Nodes that merged the same snapshots have the same state, in whatever order they merged
+    /// them.
     #[test]
     fn the_result_of_merging_does_not_depend_on_the_order(snapshots in snapshots()) {
         let mut forward = empty();
--- a/crates/bellyoke-core/tests/cookie/restarts.rs
+++ b/crates/bellyoke-core/tests/cookie/restarts.rs
@@ -44,8 +44,8 @@
     directory.find(cookie()).unwrap().record.started
 }
 
-/// A write that was in flight when an instance crashed may reach the store after the writes of the next run. It must not
-/// replace the record of that run.
+/// A write that was in flight when an instance crashed may reach the store after the writes of the
+/// next run. It must not replace the record of that run.
 #[test]
 fn a_late_write_of_an_earlier_run_is_ignored() {
     let mut directory = directory();
@@ -57,7 +57,8 @@
     };
     assert!(!directory.apply(at(200), Revision::new(30), put(moved.clone())));
     assert_eq!(started(&directory), Some(2_000));
-    // The same applies to a list that contains the write, and to the write after the record was removed.
+    // The same applies to a list that contains the write, and to the write after the record was
+    // deleted.
     directory.replace(
         at(300),
         Revision::new(40),
@@ -81,8 +82,8 @@
     assert_eq!(directory.take_restarted(), []);
 }
 
-/// Instance 9 used the address between two runs of instance 1. If the later run inherited the creation of the earlier one,
-/// it would get no new flows because of instance 9, which has ended.
+/// Instance 9 used the address between two runs of instance 1. If the later run inherited the
+/// creation of the earlier one, it would get no new flows because of instance 9, which has ended.
 #[test]
 fn a_later_run_is_ordered_by_its_own_creation() {
     let mut directory = directory();
--- a/crates/bellyoke-core/tests/cookie/restoration.rs
+++ b/crates/bellyoke-core/tests/cookie/restoration.rs
@@ -1,4 +1,5 @@
-//! State of a node after the store was restored from an older copy, which operators and instances then bring up to date.
+//! State of a node after the store was restored from an older copy, which operators and instances
+//! then bring up to date.
 
 use crate::cluster::{Cluster, address, cluster_in_five_zones};
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, draining, node, record};
@@ -151,7 +152,8 @@
         InstanceEvent::Put(later.clone()),
     ];
     directory.apply(at(100), before(9), reused);
-    // The copy has only the earlier instance at the address. The later one then writes its record again.
+    // The copy has only the earlier instance at the address. The later one then writes its record
+    // again.
     directory.replace(at(1_000), after(5), vec![restored(earlier)]);
     let writes = InstanceEvent::Put(InstanceRecord {
         revision: after(6),
@@ -192,7 +194,8 @@
     let mut same_revision = receiver(5);
     assert!(same_revision.apply_delta(at(1_000), delta.clone()));
     assert_eq!(same_revision.as_of(), Some(after(5)));
-    // Its changes after the sender's last revision before the restoration may be lost, which only a list shows.
+    // Its changes after the sender's last revision before the restoration may be lost, which only a
+    // list shows.
     let mut newer = receiver(6);
     assert!(!newer.apply_delta(at(1_000), delta));
     assert_eq!(sender.delta_since(at(1_000), before(6)), None);
@@ -373,8 +376,8 @@
     assert!(!eras.was_recently_restored(at(11_000)));
 }
 
-/// Two nodes may detect one restoration at the same time and learn of it from each other before their own answers arrive.
-/// Counting it twice would start another era.
+/// Two nodes may detect one restoration at the same time and learn of it from each other before
+/// their own answers arrive. Counting it twice would start another era.
 #[test]
 fn one_restoration_is_counted_once() {
     let mut eras = EraTracker::default();
@@ -411,8 +414,8 @@
     );
 }
 
-/// Lets one node read the restored store's list and returns how many nodes have adopted it after a time, and the bytes
-/// sent per node.
+/// Lets one node read the restored store's list and returns how many nodes have adopted it after a
+/// time, and the bytes sent per node.
 fn adopted_within(cluster: &mut Cluster, milliseconds: u64, instances: u64) -> (usize, usize) {
     let reader = cluster.with_duty(StoreDuty::Reader)[0];
     let copy: Vec<InstanceRecord> = (1..instances).map(|id| restored(record(id, id))).collect();
--- a/crates/bellyoke-core/tests/cookie/superseded_instances.rs
+++ b/crates/bellyoke-core/tests/cookie/superseded_instances.rs
@@ -30,24 +30,24 @@
 }
 
 /// The record of instance 9, which got the address of instance 1 at revision 20.
-fn successor() -> InstanceRecord {
+fn later_instance() -> InstanceRecord {
     at_address_of(1, record(9, 20))
 }
 
-/// The record of instance 1, written again at a revision: created anew if it was deleted.
+/// The record of instance 1, written again at a revision: created again if it was deleted.
 fn late_write(revision: u64) -> InstanceRecord {
     record(1, revision)
 }
 
-/// Instances 1 and 2, and then 9 at the address of the first, whose record is still there.
+/// Instances 1 and 2, and then 9 at the address of the first, whose record still exists.
 fn both_present() -> Replica {
     let mut replica = node(vec![record(1, 1), record(2, 2)]);
-    replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
+    replica.apply_instances(at(5_000), Revision::new(20), put(later_instance()));
     replica
 }
 
 /// The same after the record of instance 1 was deleted.
-fn superseded_by_successor() -> Replica {
+fn superseded_by_later_instance() -> Replica {
     let mut replica = both_present();
     replica.apply_instances(at(5_200), Revision::new(21), deleted(1));
     replica
@@ -90,7 +90,7 @@
 
 #[test]
 fn flows_of_a_superseded_instance_are_reset() {
-    let replica = superseded_by_successor();
+    let replica = superseded_by_later_instance();
     let superseded = Decision::Reset(ResetReason::Superseded);
     assert_eq!(decide(&replica, 1, PacketRole::Later), superseded);
     for alive in [2, 9] {
@@ -105,11 +105,14 @@
 #[test]
 fn no_opening_goes_to_a_superseded_instance() {
     assert_eq!(placed(&both_present()), BTreeSet::from([2, 9]));
-    assert_eq!(placed(&superseded_by_successor()), BTreeSet::from([2, 9]));
+    assert_eq!(
+        placed(&superseded_by_later_instance()),
+        BTreeSet::from([2, 9])
+    );
 }
 
-/// While its record is there, an instance may be alive: its flows are only reset once the store
-/// shows that it was deleted and its address reused.
+/// While its record exists, an instance may be alive: its flows are only reset once the store shows
+/// that it was deleted and its address reused.
 #[test]
 fn no_flow_is_reset_while_the_record_of_its_instance_exists() {
     let mut replica = both_present();
@@ -122,7 +125,7 @@
 
 #[test]
 fn a_late_write_of_the_superseded_instance_does_not_reverse_the_order() {
-    let mut replica = superseded_by_successor();
+    let mut replica = superseded_by_later_instance();
     replica.apply_instances(at(5_500), Revision::new(30), put(late_write(30)));
     assert_eq!(superseded(&replica), NO_INSTANCES);
     assert_eq!(placed(&replica), BTreeSet::from([2, 9]));
@@ -137,7 +140,7 @@
 fn a_late_write_of_an_unknown_instance_supersedes_none() {
     let restarted = || {
         let mut replica = node(vec![record(2, 2)]);
-        replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
+        replica.apply_instances(at(5_000), Revision::new(20), put(later_instance()));
         replica
     };
     let mut replica = restarted();
@@ -157,16 +160,24 @@
 /// afterwards, because that record was deleted last. By the order of arrival the wrong instance
 /// would count as ended.
 #[test]
-fn a_tombstone_received_after_the_successor_is_of_the_earlier_instance() {
-    let mut replica = node(vec![record(2, 2), successor()]);
+fn a_tombstone_received_after_the_later_instance_is_of_the_earlier_instance() {
+    let mut replica = node(vec![record(2, 2), later_instance()]);
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
-    directory.replace(at(0), Revision::new(20), vec![record(2, 2), successor()]);
+    directory.replace(
+        at(0),
+        Revision::new(20),
+        vec![record(2, 2), later_instance()],
+    );
     let deleted_last = tombstone(record(1, 1), 200, 25);
     directory.merge_tombstones(at(3_000), vec![deleted_last.clone()]);
     assert_eq!(directory.superseded(), BTreeSet::from([InstanceId(1)]));
     let snapshot = Snapshot {
         tombstones: vec![deleted_last],
-        ..superseded_by_successor().snapshot_for(at(3_000), replica.versions(), Revision::new(0))
+        ..superseded_by_later_instance().snapshot_for(
+            at(3_000),
+            replica.versions(),
+            Revision::new(0),
+        )
     };
     replica.merge(at(3_000), snapshot);
     assert_eq!(superseded(&replica), [1]);
@@ -177,11 +188,11 @@
 #[test]
 fn peers_report_creations_before_a_late_write() {
     let mut replica = node(vec![record(2, 2)]);
-    replica.apply_instances(at(5_000), Revision::new(20), put(successor()));
+    replica.apply_instances(at(5_000), Revision::new(20), put(later_instance()));
     replica.apply_instances(at(8_000), Revision::new(30), put(late_write(30)));
     assert_eq!(placed(&replica), BTreeSet::from([1, 2]));
 
-    let mut peer = superseded_by_successor();
+    let mut peer = superseded_by_later_instance();
     peer.apply_instances(at(8_000), Revision::new(30), put(late_write(30)));
     let snapshot = peer.snapshot_for(at(8_500), replica.versions(), Revision::new(0));
     assert_eq!(
@@ -220,14 +231,14 @@
     };
     assert!(by_delta.apply_delta(at(10), delta));
     assert_eq!(created(&by_delta), Some(Revision::new(2)));
-    // It is kept when the record is created anew, and is sent to peers.
+    // It is kept when the record is created again, and is sent to peers.
     by_delta.apply(at(20), Revision::new(40), put(late_write(40)));
     assert_eq!(by_delta.records(at(20))[0].created, Some(Revision::new(2)));
 }
 
 #[test]
-fn a_lapsed_successor_supersedes_none_until_it_is_back() {
-    let mut replica = superseded_by_successor();
+fn a_lapsed_later_instance_supersedes_none_until_it_is_back() {
+    let mut replica = superseded_by_later_instance();
     replica.apply_instances(at(6_000), Revision::new(30), deleted(9));
     assert_eq!(superseded(&replica), NO_INSTANCES);
     let back = at_address_of(1, record(9, 40));
@@ -246,8 +257,8 @@
         ..record
     };
     for (earlier, later) in [
-        (record(1, 1), unknown(successor())),
-        (unknown(record(1, 1)), successor()),
+        (record(1, 1), unknown(later_instance())),
+        (unknown(record(1, 1)), later_instance()),
     ] {
         let mut replica = node(vec![earlier, record(2, 2)]);
         replica.apply_instances(at(5_000), Revision::new(20), put(later));
@@ -259,7 +270,11 @@
 #[test]
 fn records_read_together_are_ordered_by_creation() {
     let mut directory = Directory::new(TOMBSTONE_LIFETIME);
-    directory.replace(at(0), Revision::new(20), vec![record(1, 1), successor()]);
+    directory.replace(
+        at(0),
+        Revision::new(20),
+        vec![record(1, 1), later_instance()],
+    );
     assert_eq!(directory.superseded(), BTreeSet::new());
     directory.apply(at(10), Revision::new(21), deleted(1));
     assert_eq!(directory.superseded(), BTreeSet::from([InstanceId(1)]));
--- a/crates/bellyoke-core/tests/cookie/zones.rs
+++ b/crates/bellyoke-core/tests/cookie/zones.rs
@@ -1,4 +1,5 @@
-//! Zones drained by operators: their state, its exchange between nodes, and its effect on instances.
+//! Zones drained by operators: their state, its exchange between nodes, and its effect on
+//! instances.
 
 use crate::support::{TOMBSTONE_LIFETIME, at, configuration, later, opening, record};
 use bellyoke_core::cookie::coordinator::Coordinator;
@@ -49,7 +50,7 @@
     replica
 }
 
-/// Returns the destinations of the openings and their repetitions for many flows.
+/// Returns the destinations of the openings and their copies for many flows.
 fn destinations(replica: &Replica, now: u64) -> Vec<Option<(InstanceId, Suitability)>> {
     let table = replica.table();
     let mut found = Vec::new();
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn openings_and_their_repetitions_avoid_drained_zones() {
+fn openings_and_their_copies_avoid_drained_zones() {
     let mut replica = node();
     replica.apply_zones(
         at(5),
@@ -101,7 +102,7 @@
     let zones = vec![drained("cork", 20), drained("kerry", 21)];
     replica.replace_zones(at(5), Revision::new(21), zones);
     assert!(destinations(&replica, 10).iter().all(Option::is_none));
-    // An instance whose record was just removed isn't used instead either.
+    // An instance whose record was just deleted isn't used instead either.
     replica.apply_instances(
         at(6),
         Revision::new(22),
@@ -157,8 +158,8 @@
     assert!(!zones.is_drained("cork"));
 }
 
-/// A node lists again after the store has discarded its history. A peer at a revision in between may have another set and
-/// must adopt the new one.
+/// A node lists again after the store has discarded its history. A peer at a revision in between
+/// may have another set and must adopt the new one.
 #[test]
 fn a_full_list_replaces_the_set_of_an_outdated_peer() {
     let mut zones = ZoneDrains::unknown();
