--- a/crates/bellyoke-core/src/cookie/answers/progress.rs
+++ b/crates/bellyoke-core/src/cookie/answers/progress.rs
@@ -32,7 +32,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProgress {
-    /// When the request was sent, or its last packet if it has several; none while the flow is
+    /// When the request was sent, or its last packet if it has several; `None` while the flow is
     /// idle, or once the outcome of the request was returned.
     pub sent_at: Option<Timestamp>,
     /// Acknowledgement number of the client at that time.
@@ -49,7 +49,7 @@
 /// State of a request when it finished, or when it was last checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestStatus {
-    /// Time from the request to the first acknowledgement of the answer; none without an answer.
+    /// Time from the request to the first acknowledgement of the answer; `None` without an answer.
     pub after: Option<Duration>,
     /// Bytes of the answer that were acknowledged.
     pub bytes: u32,
--- a/crates/bellyoke-core/src/cookie/exchange/effect.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/effect.rs
@@ -33,7 +33,7 @@
         /// The instances.
         request: ProbeRequest,
     },
-    /// Report to a peer which instances nodes could not reach, or reach again.
+    /// Report probe findings to a peer.
     SendFindings {
         /// The receiver.
         to: SocketAddrV4,
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -1,7 +1,7 @@
 //! Snapshot fetches in progress, and when another one may start.
 //!
-//! A fetch over a slow link takes long. A second fetch beside it would take its share of the
-//! bandwidth and delay both, and none starts while the first keeps receiving data. If a fetch makes
+//! A fetch over a slow link takes long. A second fetch beside it would take a share of the
+//! bandwidth and delay both, so none starts while the first keeps receiving data. If a fetch makes
 //! no progress for [`crate::cookie::exchange::ExchangeSettings::fetch_interval`], a second one
 //! starts beside it from another peer.
 
--- a/crates/bellyoke-core/src/cookie/exchange/store_calls.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/store_calls.rs
@@ -67,7 +67,7 @@
 }
 
 impl StoreCallPacer {
-    /// Creates the pacer of a node that has received nothing.
+    /// Creates the pacer of a node that has received no message.
     pub(super) const fn new() -> Self {
         Self {
             last_answer_at: None,
@@ -98,7 +98,7 @@
         self.peers_confirmed_at = None;
     }
 
-    /// Returns whether no heartbeat arrived for the time `silence`.
+    /// Returns whether no heartbeat has arrived for at least `silence`.
     fn is_isolated(&self, now: Timestamp, silence: Duration) -> bool {
         self.last_heartbeat_at
             .is_none_or(|last_heartbeat_at| now.since(last_heartbeat_at) >= silence)
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -12,7 +12,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Most resets in one interval, some 60 bytes each: 1 Mbit/s, a tenth of the slowest link.
+/// Maximum number of resets in one interval, some 60 bytes each: 1 Mbit/s, a tenth of the slowest
+/// link.
 pub const RESETS_PER_INTERVAL: usize = 32;
 
 /// Time between two groups of resets.
@@ -110,7 +111,7 @@
     }
 
     /// Returns the next flow to reset now. A queued flow is skipped, and stays open, if its client
-    /// has acknowledged data since it was queued or `reason` returns none.
+    /// has acknowledged data since it was queued or `reason` returns `None`.
     pub fn next(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -6,8 +6,9 @@
 //! another node saw aren't included.
 //!
 //! Records are stored in two generations. A record that is used moves to the young one. When that
-//! is full or old, the old one is dropped and the young one takes its place. So memory is bounded,
-//! the least recently used records are dropped first, and no scan for expired records is needed.
+//! is full or old, the old one is dropped and the young one takes its place. Memory is therefore
+//! bounded, the least recently used records are dropped first, and no scan for expired records is
+//! needed.
 
 use crate::cookie::answers::RequestProgress;
 use crate::cookie::instance::Cookie;
--- a/crates/bellyoke-core/src/cookie/health.rs
+++ b/crates/bellyoke-core/src/cookie/health.rs
@@ -52,10 +52,10 @@
     Suspected {
         /// The instance.
         cookie: Cookie,
-        /// Failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
     },
-    /// A flow opened at the instance.
+    /// A flow was opened at the instance.
     Recovered {
         /// The instance.
         cookie: Cookie,
@@ -137,7 +137,7 @@
         self.settings.opening_timeout
     }
 
-    /// Returns the instances that failed enough openings of this node itself to be suspected.
+    /// Returns the instances that are suspected because of failed openings of this node itself.
     pub fn failing_instances(&self) -> impl Iterator<Item = Cookie> {
         let threshold = self.settings.failure_threshold;
         let failing = self.failing.iter();
--- a/crates/bellyoke-core/src/cookie/instance.rs
+++ b/crates/bellyoke-core/src/cookie/instance.rs
@@ -36,7 +36,7 @@
         Self(NonZeroU32::new(folded).unwrap_or(SUBSTITUTE_FOR_ZERO))
     }
 
-    /// Returns the cookie for the `bits` of a packet; none for zero.
+    /// Returns the cookie for the `bits` of a packet; `None` for zero.
     #[must_use]
     pub fn from_bits(bits: u32) -> Option<Self> {
         NonZeroU32::new(bits).map(Self)
--- a/crates/bellyoke-core/src/cookie/packet.rs
+++ b/crates/bellyoke-core/src/cookie/packet.rs
@@ -1,4 +1,4 @@
-//! Packets as forwarding by cookie sees them.
+//! Packets as represented in forwarding by cookie.
 
 use crate::cookie::instance::Cookie;
 use std::net::SocketAddrV4;
@@ -52,7 +52,7 @@
     pub role: PacketRole,
     /// Cookie that the packet carries.
     pub cookie: Option<Cookie>,
-    /// Sequence number of the first byte of data; none without data.
+    /// Sequence number of the first byte of data; `None` without data.
     pub data_sequence: Option<u32>,
     /// Bytes of data.
     pub data_length: u16,
--- a/crates/bellyoke-core/src/cookie/placement.rs
+++ b/crates/bellyoke-core/src/cookie/placement.rs
@@ -1,9 +1,9 @@
 //! Chooses an instance for a new flow.
 //!
 //! The flow's hash picks the service by weight, and ranks the instances by rendezvous hashing. An
-//! opening goes to the least loaded of the first few. Its copies go to the next two, and so reach
-//! another instance if the first choice is dead, even if loads have changed in the meantime. Among
-//! instances of equal suitability, those in one zone may be preferred
+//! opening goes to the least loaded of the first few. Its copies go to the next two. They thus
+//! reach another instance if the first choice is dead, even if loads have changed in the meantime.
+//! Among instances of equal suitability, those in one zone may be preferred
 //! ([`crate::cookie::locality`]); the first copy then goes to another zone.
 
 use crate::cookie::instance::InstanceId;
@@ -61,10 +61,10 @@
     None
 }
 
-/// Returns the candidate for copy `attempt` of an opening, without a preference between zones; none
-/// without candidates.
+/// Returns the candidate for copy `attempt` of an opening, without a preference between zones;
+/// `None` without candidates.
 ///
-/// `suitability` returns the suitability of each candidate; those for which it returns none are
+/// `suitability` returns the suitability of each candidate; those for which it returns `None` are
 /// left out. `load` returns the load of one.
 pub fn choose_instance(
     candidates: &[Candidate],
--- a/crates/bellyoke-core/src/cookie/replica.rs
+++ b/crates/bellyoke-core/src/cookie/replica.rs
@@ -113,7 +113,7 @@
         self.configuration_as_of.max(instances).max(zones)
     }
 
-    /// Returns whether a node with these versions lacks something that a node with `others` has.
+    /// Returns whether a node with these versions lacks state that a node with `others` has.
     #[must_use]
     pub fn lacks(self, others: Self) -> bool {
         self.configuration < others.configuration
@@ -207,9 +207,9 @@
         }
     }
 
-    /// Returns whether a peer with `versions` has something that this node lacks. The peer's
-    /// changes of directory and zones are compared with the revisions up to which this node knows
-    /// all changes, because peers may have recorded the same change at different revisions.
+    /// Returns whether a peer with `versions` has state that this node lacks. The peer's changes of
+    /// directory and zones are compared with the revisions up to which this node knows all changes,
+    /// because peers may have recorded the same change at different revisions.
     #[must_use]
     pub fn is_behind(&self, versions: Versions) -> bool {
         let directory_as_of = self.directory.as_of().unwrap_or_default();
@@ -227,7 +227,7 @@
         }
         let delta =
             current.and_then(|current| ConfigurationDelta::between(current, &configuration));
-        self.remember_configuration_delta(delta);
+        self.store_configuration_delta(delta);
         self.configuration_as_of = configuration.revision.max(self.configuration_as_of);
         self.configuration = Some(configuration);
         true
@@ -428,7 +428,7 @@
 
     /// Stores a configuration delta for peers. A delta that is missing or too large discards all
     /// earlier ones.
-    fn remember_configuration_delta(&mut self, delta: Option<ConfigurationDelta>) {
+    fn store_configuration_delta(&mut self, delta: Option<ConfigurationDelta>) {
         let Some(delta) = delta.filter(|delta| delta.put.len() <= MAXIMUM_DELTA_ROUTES) else {
             self.recent_configurations.clear();
             return;
--- a/crates/bellyoke-core/src/cookie/route.rs
+++ b/crates/bellyoke-core/src/cookie/route.rs
@@ -87,12 +87,12 @@
     pub routes: Vec<Route>,
     /// Limits of its services.
     pub limits: Vec<ServiceLimits>,
-    /// Idle time after which a flow may be forgotten, milliseconds.
+    /// Idle time after which a flow's record may be dropped, milliseconds.
     pub idle_timeout_milliseconds: u32,
 }
 
 impl Configuration {
-    /// Returns the idle time after which a flow may be forgotten.
+    /// Returns the idle time after which a flow's record may be dropped.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(u64::from(self.idle_timeout_milliseconds))
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Returns the route of an address; none without such a route.
+    /// Returns the route of an address; `None` without such a route.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&TableRoute> {
         let found = self
@@ -260,8 +260,8 @@
 }
 
 /// Returns the destination of each cookie. If several instances share a cookie, the first created
-/// keeps it, since its flows are older; all nodes agree on the order of creation. The others take
-/// no flow until the first is forgotten.
+/// keeps it, since its flows are older; all nodes agree on the order of creation. The others get no
+/// flow until the record of the first is dropped.
 fn destinations(directory: &Directory) -> Vec<(Cookie, Destination)> {
     let mut known: Vec<&KnownInstance> = directory.instances().collect();
     known.sort_unstable_by_key(|known| {
--- a/crates/bellyoke-core/tests/cookie/answers.rs
+++ b/crates/bellyoke-core/tests/cookie/answers.rs
@@ -310,7 +310,7 @@
     }
     monitored.advance(1_000);
     assert_eq!(monitored.take(), []);
-    // Later requests count again, and a single forgotten flow changes nothing.
+    // Later requests count again, and a single flow without a record changes nothing.
     monitored.packet(&request_packet(901, 1, 500));
     monitored.advance(50);
     monitored.monitor.record_moved_flow(at(monitored.now));
--- a/crates/bellyoke-core/tests/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/tests/cookie/flow_resets.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_closed_flow_is_forgotten() {
+fn the_record_of_a_closed_flow_is_removed() {
     let table = table();
     let mut forwarder = forwarder_with_idle_flows(&table, 3, true);
     let closes = FlowPacket {
