--- a/crates/bellyoke-core/src/cookie/outliers/tally.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/tally.rs
@@ -46,7 +46,7 @@
 ///     outcome: AnswerOutcome::Short { after: Duration::from_millis(2) },
 /// };
 /// let mut accumulator = TallyAccumulator::default();
-/// accumulator.record(&JudgedSample { sample, quality: AnswerQuality::Failed });
+/// accumulator.record(&ClassifiedSample { sample, quality: AnswerQuality::Failed });
 /// let tallies = accumulator.take();
 /// assert_eq!((tallies[0].requests, tallies[0].failed), (1, 1));
 /// assert!(accumulator.is_empty());
