--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -64,7 +64,7 @@
 pub struct FlowTable {
     /// Maximum number of records of one generation.
     capacity: usize,
-    /// Longest duration of a generation: a flow that is idle for longer may be dropped.
+    /// Maximum duration of a generation: a flow that is idle for longer may be dropped.
     generation_duration: Duration,
     young: HashMap<u64, FlowRecord>,
     old: HashMap<u64, FlowRecord>,
--- a/crates/bellyoke-core/src/cookie/outliers/detector.rs
+++ b/crates/bellyoke-core/src/cookie/outliers/detector.rs
@@ -82,7 +82,7 @@
     reported_at: Timestamp,
     /// When it was last reinstated.
     reinstated_at: Option<Timestamp>,
-    /// How often in a row it was ejected soon after its reinstatement.
+    /// Number of consecutive times that it was ejected soon after its reinstatement.
     re_ejections: u32,
 }
 
