--- a/crates/bellyoke-core/src/cookie/admission/queueing.rs
+++ b/crates/bellyoke-core/src/cookie/admission/queueing.rs
@@ -9,10 +9,10 @@
 const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
 
 /// Maximum number of instances whose last sample is stored, 40 bytes each.
-const MAXIMUM_SAMPLED: usize = 128;
+const MAXIMUM_SAMPLED_INSTANCES: usize = 128;
 
 /// Number of sampled instances below which no conclusion is drawn for the service.
-const MINIMUM_SAMPLED: usize = 10;
+const MINIMUM_SAMPLED_INSTANCES: usize = 10;
 
 /// Share of sampled instances that must queue for a service to become overloaded. In overload 90 %
 /// of them queue; at 70 % of capacity with a fifth of the instances slow, half of them do.
@@ -74,7 +74,8 @@
         } else {
             OVERLOADED_SHARE_THRESHOLD
         };
-        self.sampled >= MINIMUM_SAMPLED && self.queueing as f32 >= self.sampled as f32 * threshold
+        self.sampled >= MINIMUM_SAMPLED_INSTANCES
+            && self.queueing as f32 >= self.sampled as f32 * threshold
     }
 }
 
@@ -108,7 +109,7 @@
             queues,
             queued_at: queues.then_some(now),
         };
-        let has_room = self.sampled.len() < MAXIMUM_SAMPLED;
+        let has_room = self.sampled.len() < MAXIMUM_SAMPLED_INSTANCES;
         let known = self.sampled.iter_mut().find(|known| known.cookie == cookie);
         match known {
             Some(known) => {
@@ -126,8 +127,8 @@
         self.sampled.retain(is_recent);
     }
 
-    /// Returns whether the instance queued recently, in which case a fast short answer is a rejection
-    /// rather than an error.
+    /// Returns whether the instance queued recently, in which case a fast short answer is a
+    /// rejection rather than an error.
     #[must_use]
     pub fn has_queued(&self, now: Timestamp, cookie: Cookie) -> bool {
         let mut queued = self.sampled.iter().filter(|sample| sample.cookie == cookie);
@@ -164,8 +165,8 @@
         baseline.is_some_and(|baseline| after.as_secs_f32() > baseline.seconds * QUEUED_FACTOR)
     }
 
-    /// Moves the baseline of a priority towards the median of its response times. Response times that
-    /// indicate a queue have half the weight.
+    /// Moves the baseline of a priority towards the median of its response times. Response times
+    /// that indicate a queue have half the weight.
     pub fn learn_baseline(&mut self, priority: u8, after: Duration) {
         let is_queued = self.indicates_queue(priority, after);
         let seconds = after.as_secs_f32();
--- a/crates/bellyoke-core/src/cookie/answers/baseline.rs
+++ b/crates/bellyoke-core/src/cookie/answers/baseline.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// Answers remembered: enough for a rank near the lowest, few enough to adapt to a changed route
-/// within seconds. 8 bytes each.
-const HISTORY_LENGTH: usize = 64;
+/// Number of answers stored: enough for a rank near the lowest, few enough to adapt to a changed
+/// route within seconds. 8 bytes each.
+const HISTORY_ANSWERS: usize = 64;
 
-/// Answers that are needed before any is classified. Few, since a burst may arrive when a node has
-/// seen little of a rarely used route.
+/// Number of answers that are needed before any is classified. It is small because a burst may
+/// arrive when a node has seen little of a rarely used route.
 const MINIMUM_ANSWERS: usize = 4;
 
 /// Number of answers up to which the thresholds are updated with each answer.
-const EVERY_ANSWER_UNTIL: usize = 16;
+const FREQUENT_UPDATE_ANSWERS: usize = 16;
 
-/// Answers between two updates of the thresholds afterwards.
+/// Number of answers between two updates of the thresholds after that.
 const REFRESH_INTERVAL_ANSWERS: usize = 8;
 
 /// Rank, from below, of the length that counts as the shortest normal one; the shortest of all may
@@ -39,7 +39,8 @@
 /// A request that waits this many times the median is overdue.
 const OVERDUE_FACTOR: u32 = 6;
 
-/// A request is never overdue sooner: one whose packet was lost is sent again after 200 ms.
+/// Minimum time before a request is overdue. A request whose packet was lost is retransmitted after
+/// 200 ms.
 const MINIMUM_OVERDUE_TIME: Duration = Duration::from_millis(300);
 
 /// Time after which a request is overdue while nothing is known about its route.
@@ -159,16 +160,17 @@
 
 impl RecentValues {
     fn push(&mut self, value: u32) {
-        if self.values.len() < HISTORY_LENGTH {
+        if self.values.len() < HISTORY_ANSWERS {
             self.values.push(value);
         } else {
-            self.values[self.pushed % HISTORY_LENGTH] = value;
+            self.values[self.pushed % HISTORY_ANSWERS] = value;
         }
         self.pushed = self.pushed.wrapping_add(1);
     }
 
     const fn is_refresh_due(&self) -> bool {
-        self.pushed <= EVERY_ANSWER_UNTIL || self.pushed.is_multiple_of(REFRESH_INTERVAL_ANSWERS)
+        self.pushed <= FREQUENT_UPDATE_ANSWERS
+            || self.pushed.is_multiple_of(REFRESH_INTERVAL_ANSWERS)
     }
 
     fn sorted(&self) -> Vec<u32> {
--- a/crates/bellyoke-core/src/cookie/coordinator.rs
+++ b/crates/bellyoke-core/src/cookie/coordinator.rs
@@ -1,4 +1,4 @@
-//! The control state of one node: what it knows, and what it exchanges with its peers.
+//! Control state of one node: its replica of the stored objects and its exchange with peers.
 //!
 //! A host passes in the replies of the store and the messages of peers, performs the returned
 //! effects, and publishes the forwarding table after each change.
@@ -30,9 +30,9 @@
 /// The result of applying an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// What changed in the node's state.
+    /// The changes in the node's state.
     pub change: StateChange,
-    /// What the host has to do.
+    /// The effects that the host has to perform.
     pub effects: Vec<ExchangeEffect>,
 }
 
@@ -108,7 +108,7 @@
         self.exchange.set_seeds(seeds);
     }
 
-    /// Sets whether the node paces what it sends because the capacity of its link is reached.
+    /// Sets whether the node paces its packets because the capacity of its link is reached.
     pub const fn set_link_paced(&mut self, paced: bool) {
         self.link_is_paced = paced;
     }
@@ -120,7 +120,7 @@
         self.replica.versions().is_empty() && self.exchange.ranks_among_first()
     }
 
-    /// Returns which part the node takes in reading the store.
+    /// Returns the node's duty in reading the store.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
         self.exchange.duty(now)
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Returns whether the node may call the store now. While the store answers nobody, each node
+    /// Returns whether the node may call the store now. While the store answers no node, each node
     /// waits for its slot.
     #[must_use]
     pub fn may_call_store(&self, now: Timestamp, kind: ObjectKind) -> bool {
@@ -200,7 +200,7 @@
             .set_store_usable(self.store_usable == [true; ObjectKind::COUNT]);
     }
 
-    /// Applies what the store returned for instances.
+    /// Applies an update of the instances from the store.
     pub fn apply_instances(
         &mut self,
         now: Timestamp,
@@ -218,7 +218,7 @@
         self.finish_store_update(now, ObjectKind::Instances, before, change)
     }
 
-    /// Applies what the store returned for the configuration.
+    /// Applies an update of the configuration from the store.
     pub fn apply_configurations(
         &mut self,
         now: Timestamp,
@@ -241,7 +241,7 @@
         self.finish_store_update(now, ObjectKind::Configuration, before, change)
     }
 
-    /// Applies what the store returned for drained zones.
+    /// Applies an update of the drained zones from the store.
     pub fn apply_zones(
         &mut self,
         now: Timestamp,
@@ -270,8 +270,8 @@
         match datagram {
             PeerDatagram::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
             PeerDatagram::Delta(message) => self.handle_delta(now, from, message),
-            PeerDatagram::ProbeRequest(question) => self.handle_probe_request(now, &question),
-            PeerDatagram::Refutation(objection) => self.handle_refutation(now, &objection),
+            PeerDatagram::ProbeRequest(request) => self.handle_probe_request(now, &request),
+            PeerDatagram::Refutation(refutation) => self.handle_refutation(now, &refutation),
             PeerDatagram::Findings(report) => self.handle_findings(now, &report),
             PeerDatagram::Outliers(message) => self.handle_outlier_message(now, &message),
         }
@@ -293,7 +293,7 @@
 
     /// Records that a fetch from a peer has received data but is not complete.
     pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
-        self.exchange.fetch_progressed(now, from);
+        self.exchange.record_fetch_progress(now, from);
     }
 
     /// Records that a fetch from a peer has failed.
@@ -369,12 +369,12 @@
     /// Returns the snapshot that answers a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
-        let gone_since = if request.wants_all_tombstones {
+        let removed_since = if request.wants_all_tombstones {
             Revision::default()
         } else {
             request.known.directory_as_of
         };
-        self.replica.snapshot_for(now, request.known, gone_since)
+        self.replica.snapshot_for(now, request.known, removed_since)
     }
 
     fn handle_heartbeat(
@@ -450,7 +450,7 @@
     /// of date.
     fn detect_stall(&mut self, now: Timestamp) {
         if self.stall.is_overdue(now) {
-            self.exchange.stalled(now);
+            self.exchange.reset_after_stall(now);
         }
     }
 }
--- a/crates/bellyoke-core/src/cookie/exchange/fetches.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/fetches.rs
@@ -1,7 +1,7 @@
 //! Snapshot fetches in progress, and when another one may start.
 //!
-//! A fetch over a slow link takes long. A second fetch beside it would take its share of the
-//! bandwidth and delay both, and none starts while the first keeps receiving data. If a fetch makes
+//! A fetch over a slow link takes long. A second fetch beside it would take a share of the
+//! bandwidth and delay both, so none starts while the first keeps receiving data. If a fetch makes
 //! no progress for [`crate::cookie::exchange::ExchangeSettings::fetch_interval`], a second one
 //! starts beside it from another peer.
 
@@ -77,7 +77,12 @@
     }
 
     /// Records that the fetch from a peer has received data.
-    pub(super) fn progressed(&mut self, now: Timestamp, from: SocketAddrV4, interval: Duration) {
+    pub(super) fn record_progress(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        interval: Duration,
+    ) {
         let fetch = self.running.iter_mut().find(|fetch| fetch.from == from);
         if let Some(fetch) = fetch {
             fetch.progressed_at = now;
--- a/crates/bellyoke-core/src/cookie/exchange/mod.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/mod.rs
@@ -11,12 +11,10 @@
 //! spread the same way, and the other nodes stay idle while these confirmations are fresh. A node
 //! that receives none for [`ExchangeSettings::freshness_bound`] calls the store itself.
 //!
-//! Unlike [`crate::node::membership`], this protocol needs no agreed member list: no decision
-//! depends on the set of participants, and a sample of live peers is enough.
+//! Unlike the membership protocol of [`crate::node`], this protocol needs no agreed member list: no
+//! decision depends on the set of participants, and a sample of live peers is enough.
 
-mod asking;
-mod candidates;
-mod doubts;
+mod cluster_size;
 mod effect;
 mod fetches;
 mod findings;
@@ -27,17 +25,18 @@
 mod receivers;
 mod seal;
 mod settings;
-mod size;
-mod watching;
+mod store_calls;
+mod suspicions;
+mod watcher_claims;
+mod watchers;
 mod zone_sizes;
 
-pub use candidates::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 pub use effect::ExchangeEffect;
 pub use fetches::FETCH_STALL_TIMEOUT;
 pub use findings::{ReachabilityReport, ReportedFinding};
 pub use message::{
-    DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_FETCH_LENGTH,
-    MAXIMUM_HEARTBEAT_LENGTH, MAXIMUM_SNAPSHOT_LENGTH, PeerDatagram, PeerSuggestion, ProbeRequest,
+    DeltaMessage, FetchRequest, Heartbeat, MAXIMUM_DATAGRAM_BYTES, MAXIMUM_FETCH_BYTES,
+    MAXIMUM_HEARTBEAT_BYTES, MAXIMUM_SNAPSHOT_BYTES, PeerDatagram, PeerSuggestion, ProbeRequest,
     Refutation, ZoneSize, decode_snapshot, encode_snapshot,
 };
 pub(crate) use outliers::tallies_of;
@@ -45,6 +44,7 @@
 pub use peers::PeerRecord;
 pub use seal::{DecodeError, EncodeError, PeerKey};
 pub use settings::ExchangeSettings;
+pub use watcher_claims::{CLAIM_LIFETIME, StoreDuty, WATCHERS, WatcherClaim};
 
 use crate::cookie::capacity::{NodePlace, ZoneKey};
 use crate::cookie::freshness::FreshnessClock;
@@ -52,16 +52,16 @@
 use crate::cookie::reachability::Finding;
 use crate::cookie::replica::Versions;
 use crate::time::Timestamp;
-use asking::StoreCallPacer;
-use candidates::{ClaimTable, rank_nodes};
+use cluster_size::ClusterSize;
 use fetches::{FetchPurpose, FetchTable};
 use peers::PeerTable;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use receivers::PUSH_SUGGESTIONS;
-use size::ClusterSize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
+use store_calls::StoreCallPacer;
+use watcher_claims::{ClaimTable, rank_nodes};
 use zone_sizes::ZoneSizes;
 
 /// Number of nodes that read the whole state from the store while no node has it.
@@ -102,13 +102,13 @@
     pushed_confirmation: Timestamp,
     ignore_confirmations_until: Timestamp,
     startup_fetches_left: u32,
-    /// Set once a peer that another node suggested as a source turned out to have no state.
+    /// Set once a suggested fetch source had no state.
     ignore_suggested_versions: bool,
     failing: Vec<Cookie>,
     /// Probe findings that are not yet reported, and the earliest time of the next report.
     pending_findings: Vec<Finding>,
     next_findings_report: Timestamp,
-    size: ClusterSize,
+    cluster_size: ClusterSize,
 }
 
 impl Exchange {
@@ -147,7 +147,7 @@
             failing: Vec::new(),
             pending_findings: Vec::new(),
             next_findings_report: Timestamp::ZERO,
-            size: ClusterSize::default(),
+            cluster_size: ClusterSize::default(),
         };
         exchange.set_seeds(seeds);
         exchange
@@ -327,7 +327,7 @@
     /// Returns an estimate of the number of nodes that errs on the high side.
     #[must_use]
     pub fn node_count_upper_bound(&self, now: Timestamp) -> f64 {
-        self.size.upper_bound(now)
+        self.cluster_size.upper_bound(now)
     }
 
     /// Returns whether this node started recently and may lack tombstones of deleted instances.
@@ -337,9 +337,9 @@
     }
 
     /// Records that the fetch from a peer has received data but is not complete.
-    pub fn fetch_progressed(&mut self, now: Timestamp, from: SocketAddrV4) {
+    pub fn record_fetch_progress(&mut self, now: Timestamp, from: SocketAddrV4) {
         let interval = self.settings.fetch_interval;
-        self.fetches.progressed(now, from, interval);
+        self.fetches.record_progress(now, from, interval);
     }
 
     /// Records that a snapshot with these versions was fetched from a peer and merged.
@@ -401,7 +401,7 @@
         let nodes = self.own_zone_nodes.round().min(f64::from(u16::MAX)) as u16;
         self.zone_sizes.record(self.own_zone(), nodes, now);
         let nodes = self.estimated_nodes();
-        self.size.record(now, nodes);
+        self.cluster_size.record(now, nodes);
     }
 
     fn heartbeat_for(
@@ -444,7 +444,7 @@
             return;
         }
         let mut heartbeat = self.heartbeat_for(now, to, own, Heartbeat::MAXIMUM_PEERS);
-        // A delta cannot supply a whole kind of objects. The node needs peers to fetch from.
+        // A delta cannot supply all objects of a kind. The node needs peers to fetch from.
         let needs_snapshot = known.is_empty() && !own.is_empty();
         if needs_snapshot {
             self.suggest_sources(now, to, &mut heartbeat);
--- a/crates/bellyoke-core/src/cookie/exchange/outliers.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/outliers.rs
@@ -1,6 +1,6 @@
 //! Messages about instances whose answers fail.
 
-use super::message::{MAXIMUM_DATAGRAM_LENGTH, OUTLIER_KIND};
+use super::message::{MAXIMUM_DATAGRAM_BYTES, OUTLIER_KIND};
 use super::seal::{DecodeError, EncodeError, PeerKey, decode, encode};
 use super::{Exchange, ExchangeEffect};
 use crate::cookie::instance::Cookie;
@@ -14,7 +14,7 @@
     /// The instance's cookie.
     pub cookie: u32,
     /// Number of requests with a known outcome.
-    pub asked: u16,
+    pub requests: u16,
     /// Number of requests that failed.
     pub failed: u16,
     /// Number of requests that were answered late.
@@ -39,7 +39,7 @@
     pub fn report(tallies: &[InstanceTally]) -> Self {
         let reported = tallies.iter().map(|tally| ReportedTally {
             cookie: tally.cookie.bits(),
-            asked: tally.requests,
+            requests: tally.requests,
             failed: tally.failed,
             slow: tally.slow,
         });
@@ -52,7 +52,7 @@
     ///
     /// Returns [`EncodeError`] if the message does not fit in a datagram.
     pub fn encode(&self, key: &PeerKey) -> Result<Vec<u8>, EncodeError> {
-        encode(self, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        encode(self, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 
     /// Opens and decodes a message.
@@ -61,7 +61,7 @@
     ///
     /// Returns [`DecodeError`] if the bytes are not a valid message of this kind.
     pub fn decode(bytes: &[u8], key: &PeerKey) -> Result<Self, DecodeError> {
-        decode(bytes, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_LENGTH)
+        decode(bytes, key, OUTLIER_KIND, MAXIMUM_DATAGRAM_BYTES)
     }
 }
 
@@ -70,7 +70,7 @@
     let tallies = reported.iter().filter_map(|reported| {
         Some(InstanceTally {
             cookie: Cookie::from_bits(reported.cookie)?,
-            requests: reported.asked,
+            requests: reported.requests,
             failed: reported.failed,
             slow: reported.slow,
         })
--- a/crates/bellyoke-core/src/cookie/exchange/watching.rs
+++ b/crates/bellyoke-core/src/cookie/exchange/watchers.rs
@@ -1,6 +1,6 @@
 //! Which node watches the store, and how long the other nodes stay idle.
 
-use super::candidates::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
+use super::watcher_claims::{CLAIM_LIFETIME, StoreDuty, WatcherClaim};
 use super::{Exchange, ExchangeEffect, Heartbeat};
 use crate::cookie::follower::{Freshness, WatchPlan};
 use crate::cookie::freshness::ObjectKind;
@@ -47,7 +47,7 @@
     }
 
     /// Handles a stall of the process: discards confirmations, which may be old.
-    pub fn stalled(&mut self, now: Timestamp) {
+    pub fn reset_after_stall(&mut self, now: Timestamp) {
         self.clock.clear();
         self.pacer.forget_peer_confirmations();
         self.ignore_confirmations_until = now.after(POST_STALL_IGNORE_PERIOD);
@@ -60,13 +60,13 @@
         self.clock.age(now)
     }
 
-    /// Returns what this node reads from the store. A claim takes effect only after
-    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers
-    /// together would all watch at once.
+    /// Returns this node's duty in reading the store. A claim takes effect only after
+    /// `CLAIM_SETTLING_PERIOD`; otherwise nodes that start together or lose their watchers together
+    /// would all watch at once.
     #[must_use]
     pub fn duty(&self, now: Timestamp) -> StoreDuty {
-        let held_for = self.claimed_since.map(|since| now.since(since));
-        if held_for.is_some_and(|held_for| held_for >= CLAIM_SETTLING_PERIOD) {
+        let claimed_for = self.claimed_since.map(|since| now.since(since));
+        if claimed_for.is_some_and(|claimed_for| claimed_for >= CLAIM_SETTLING_PERIOD) {
             self.claims.duty(self.own_address)
         } else {
             StoreDuty::Listener
@@ -131,8 +131,8 @@
         Some(now.before(Duration::from_millis(u64::from(age))))
     }
 
-    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that rest on
-    /// stale reads are ignored once the newest state was read.
+    /// Adopts the confirmation of a peer that this node is not behind. Confirmations that are based
+    /// on stale reads are ignored once the newest state was read.
     pub(super) fn adopt_confirmation(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/cookie/flow_resets.rs
+++ b/crates/bellyoke-core/src/cookie/flow_resets.rs
@@ -12,7 +12,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Most resets in one interval, some 60 bytes each: 1 Mbit/s, a tenth of the slowest link.
+/// Maximum number of resets in one interval, some 60 bytes each: 1 Mbit/s, a tenth of the slowest
+/// link.
 pub const RESETS_PER_INTERVAL: usize = 32;
 
 /// Time between two groups of resets.
@@ -110,7 +111,7 @@
     }
 
     /// Returns the next flow to reset now. A queued flow is skipped, and stays open, if its client
-    /// has acknowledged data since it was queued or `reason` returns none.
+    /// has acknowledged data since it was queued or `reason` returns `None`.
     pub fn next(
         &mut self,
         now: Timestamp,
@@ -146,7 +147,7 @@
         None
     }
 
-    /// Returns when [`Self::next`] has a flow to reset; none if the queue is empty.
+    /// Returns when [`Self::next`] has a flow to reset; `None` if the queue is empty.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
         let is_paced = self.sent_in_interval >= RESETS_PER_INTERVAL;
--- a/crates/bellyoke-core/src/cookie/flows.rs
+++ b/crates/bellyoke-core/src/cookie/flows.rs
@@ -6,8 +6,9 @@
 //! another node saw aren't included.
 //!
 //! Records are stored in two generations. A record that is used moves to the young one. When that
-//! is full or old, the old one is dropped and the young one takes its place. So memory is bounded,
-//! the least recently used records are dropped first, and no scan for expired records is needed.
+//! is full or old, the old one is dropped and the young one takes its place. Memory is therefore
+//! bounded, the least recently used records are dropped first, and no scan for expired records is
+//! needed.
 
 use crate::cookie::answers::RequestProgress;
 use crate::cookie::instance::Cookie;
@@ -61,9 +62,9 @@
 /// ```
 #[derive(Debug)]
 pub struct FlowTable {
-    /// Most records of one generation.
+    /// Maximum number of records of one generation.
     capacity: usize,
-    /// Longest duration of a generation: a flow that is idle for longer may be dropped.
+    /// Maximum duration of a generation: a flow that is idle for longer may be dropped.
     generation_duration: Duration,
     young: HashMap<u64, FlowRecord>,
     old: HashMap<u64, FlowRecord>,
@@ -114,14 +115,14 @@
         record
     }
 
-    /// Returns the record of a flow; none if it is unknown.
+    /// Returns the record of a flow; `None` if it is unknown.
     #[must_use]
     pub fn get(&self, flow_hash: u64) -> Option<&FlowRecord> {
         let young = self.young.get(&flow_hash);
         young.or_else(|| self.old.get(&flow_hash))
     }
 
-    /// Returns the mutable record of a flow; none if it is unknown.
+    /// Returns the mutable record of a flow; `None` if it is unknown.
     pub fn get_mut(&mut self, flow_hash: u64) -> Option<&mut FlowRecord> {
         let young = self.young.get_mut(&flow_hash);
         young.or_else(|| self.old.get_mut(&flow_hash))
--- a/crates/bellyoke-core/src/cookie/forwarder/placing.rs
+++ b/crates/bellyoke-core/src/cookie/forwarder/new_flows.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the instance for copy `attempt` of an opening, and its suitability; none if no
+    /// Returns the instance for copy `attempt` of an opening, and its suitability; `None` if no
     /// candidate may get the flow.
     fn choose<'table>(
         &mut self,
@@ -117,8 +117,8 @@
         Some((chosen, suitability))
     }
 
-    /// Returns the suitability of a candidate at `now`; none if it must not get a flow. `share` is
-    /// this node's share of the flows to cold instances.
+    /// Returns the suitability of a candidate at `now`; `None` if it must not get a flow. `share`
+    /// is this node's share of the flows to cold instances.
     fn suitability(
         &self,
         now: Timestamp,
@@ -129,8 +129,8 @@
         if is_cold && !self.cold.admits(now, candidate.id, share) {
             return None;
         }
-        if let Some(gone_at) = candidate.removed_at {
-            return (now.since(gone_at) < RECENTLY_GONE_PERIOD)
+        if let Some(removed_at) = candidate.removed_at {
+            return (now.since(removed_at) < RECENTLY_GONE_PERIOD)
                 .then_some(Suitability::RecentlyGone);
         }
         let cookie = candidate.cookie;
--- a/crates/bellyoke-core/src/cookie/locality/share.rs
+++ b/crates/bellyoke-core/src/cookie/locality/share.rs
@@ -21,7 +21,7 @@
 /// Share below which nothing spills: it would be less than one flow per window.
 const MINIMUM_SHARE: f32 = 0.02;
 
-/// Maximum share for load and queues. The rest of the flows shows when the queue has gone.
+/// Maximum share for load and queues. The rest of the flows shows when the queue has drained.
 const MAXIMUM_SHARE: f32 = 0.9;
 
 /// Maximum share for load and queues while the crossing delay is unknown.
@@ -31,7 +31,7 @@
 const INCREASE_PAUSE: Duration = Duration::from_secs(4);
 
 /// Change since the last reported share from which a share is reported again.
-const NOTABLE_CHANGE: f32 = 0.1;
+const REPORTED_SHARE_CHANGE: f32 = 0.1;
 
 /// Shares of openings that are sent to other zones, by cause. The largest one applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -64,8 +64,8 @@
 }
 
 impl ZoneView {
-    /// Returns the maximum share for load and queues. While the crossing delay is unknown, a small share
-    /// is enough to measure it.
+    /// Returns the maximum share for load and queues. While the crossing delay is unknown, a small
+    /// share is enough to measure it.
     fn maximum_share(&self) -> f32 {
         if self.crossing_delay.is_some() {
             MAXIMUM_SHARE
@@ -120,12 +120,12 @@
         traffic.learn(self.shares.for_load > 0.0, self.delays.is_queueing(now));
     }
 
-    /// Returns whether the share has changed notably since it was last reported, and if so records it as
-    /// reported.
+    /// Returns whether the share has changed notably since it was last reported, and if so records
+    /// it as reported.
     pub(super) fn take_notable_change(&mut self) -> bool {
         let share = self.shares.largest();
         let has_ended = share == 0.0 && self.reported != 0.0;
-        let is_notable = has_ended || (share - self.reported).abs() >= NOTABLE_CHANGE;
+        let is_notable = has_ended || (share - self.reported).abs() >= REPORTED_SHARE_CHANGE;
         if is_notable {
             self.reported = share;
         }
--- a/crates/bellyoke-core/src/cookie/packet.rs
+++ b/crates/bellyoke-core/src/cookie/packet.rs
@@ -1,4 +1,4 @@
-//! Packets as forwarding by cookie sees them.
+//! Packets as represented in forwarding by cookie.
 
 use crate::cookie::instance::Cookie;
 use std::net::SocketAddrV4;
@@ -52,7 +52,7 @@
     pub role: PacketRole,
     /// Cookie that the packet carries.
     pub cookie: Option<Cookie>,
-    /// Sequence number of the first byte of data; none without data.
+    /// Sequence number of the first byte of data; `None` without data.
     pub data_sequence: Option<u32>,
     /// Bytes of data.
     pub data_length: u16,
@@ -87,7 +87,7 @@
 /// Reads and writes packets of one format. Implementations only translate and make no decisions.
 pub trait PacketCodec: Clone + Send + 'static {
     /// Bytes of the encapsulation in front of a packet that is sent to a backend.
-    const ENCAPSULATION_LENGTH: usize;
+    const ENCAPSULATION_BYTES: usize;
 
     /// Parses a client's packet.
     ///
@@ -96,7 +96,7 @@
     /// Returns [`PacketError`] if the bytes are no client packet.
     fn parse(&self, packet: &[u8]) -> Result<FlowPacket, PacketError>;
 
-    /// Writes the encapsulation into the first [`Self::ENCAPSULATION_LENGTH`] bytes of
+    /// Writes the encapsulation into the first [`Self::ENCAPSULATION_BYTES`] bytes of
     /// `datagram`, and the cookie into the packet that follows them.
     fn encapsulate(&self, datagram: &mut [u8], destination: &Destination);
 
--- a/crates/bellyoke-core/src/cookie/table.rs
+++ b/crates/bellyoke-core/src/cookie/table.rs
@@ -109,7 +109,7 @@
     ) -> Self {
         let destinations = destinations(directory);
         let superseded_ids = directory.superseded();
-        let succeeded = directory.with_reused_address();
+        let with_reused_address = directory.with_reused_address();
         let superseded = destinations
             .iter()
             .filter(|(_, destination)| superseded_ids.contains(&destination.instance))
@@ -126,8 +126,13 @@
         routes.sort_unstable_by_key(|(address, _)| *address);
         routes.dedup_by_key(|(address, _)| *address);
         let zone_names = zone_names(directory);
-        let candidates =
-            services.candidates(directory, zones, &zone_names, &destinations, succeeded);
+        let candidates = services.candidates(
+            directory,
+            zones,
+            &zone_names,
+            &destinations,
+            with_reused_address,
+        );
         Self {
             routes,
             candidates,
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Returns the route of an address; none without such a route.
+    /// Returns the route of an address; `None` without such a route.
     #[must_use]
     pub fn route(&self, address: SocketAddrV4) -> Option<&TableRoute> {
         let found = self
@@ -165,15 +170,15 @@
         self.candidates.iter().map(Vec::as_slice)
     }
 
-    /// Returns the service of an instance; none if no route names the service, or the instance is
+    /// Returns the service of an instance; `None` if no route names the service, or the instance is
     /// unknown.
     #[must_use]
     pub fn service_of(&self, cookie: Cookie) -> Option<ServiceNumber> {
         self.location_of(cookie).map(|(service, _)| service)
     }
 
-    /// Returns the service and the zone of an instance; none if no route names the service, or the
-    /// instance is unknown.
+    /// Returns the service and the zone of an instance; `None` if no route names the service, or
+    /// the instance is unknown.
     #[must_use]
     pub fn location_of(&self, cookie: Cookie) -> Option<(ServiceNumber, ZoneNumber)> {
         let found = self
@@ -195,7 +200,7 @@
         &self.zones
     }
 
-    /// Returns the destination of packets with this cookie; none if there is no such instance.
+    /// Returns the destination of packets with this cookie; `None` if there is no such instance.
     #[must_use]
     pub fn destination(&self, cookie: Cookie) -> Option<&Destination> {
         let found = self
@@ -255,8 +260,8 @@
 }
 
 /// Returns the destination of each cookie. If several instances share a cookie, the first created
-/// keeps it, since its flows are older; all nodes agree on the order of creation. The others take
-/// no flow until the first is forgotten.
+/// keeps it, since its flows are older; all nodes agree on the order of creation. The others get no
+/// flow until the record of the first is dropped.
 fn destinations(directory: &Directory) -> Vec<(Cookie, Destination)> {
     let mut known: Vec<&KnownInstance> = directory.instances().collect();
     known.sort_unstable_by_key(|known| {
@@ -289,17 +294,16 @@
     restarted
 }
 
-/// Returns when an instance's slow start ends. An instance whose zone was undrained after its record
-/// last changed may be cold although its record doesn't say so.
+/// Returns when an instance's slow start ends. An instance whose zone was undrained after its
+/// record last changed may be cold although its record doesn't say so.
 fn warm_at(known: &KnownInstance, zones: &ZoneDrains, limits: Option<&ServiceLimits>) -> Timestamp {
-    let restoration = zones.last_undrain(&known.record.zone);
-    let restoration =
-        restoration.filter(|restoration| restoration.revision >= known.record.revision);
-    let Some((restoration, limits)) = restoration.zip(limits) else {
+    let undrain = zones.last_undrain(&known.record.zone);
+    let undrain = undrain.filter(|undrain| undrain.revision >= known.record.revision);
+    let Some((undrain, limits)) = undrain.zip(limits) else {
         return known.warm_at;
     };
     let cold = Duration::from_millis(u64::from(limits.cold_milliseconds));
-    known.warm_at.max(restoration.at.after(cold))
+    known.warm_at.max(undrain.at.after(cold))
 }
 
 /// Returns the sorted names of all zones that instances are in.
@@ -377,7 +381,7 @@
         zones: &ZoneDrains,
         zone_names: &[String],
         destinations: &[(Cookie, Destination)],
-        succeeded: &BTreeSet<InstanceId>,
+        with_reused_address: &BTreeSet<InstanceId>,
     ) -> Vec<Vec<Candidate>> {
         let mut candidates = vec![Vec::new(); self.indexes.len()];
         let cookies_are_unique = destinations.len() == directory.len();
@@ -395,7 +399,7 @@
                 continue;
             };
             let is_drained = record.state != InstanceState::Ready || zones.is_drained(&record.zone);
-            let takes_flows = owns_cookie(record.id) && !succeeded.contains(&record.id);
+            let takes_flows = owns_cookie(record.id) && !with_reused_address.contains(&record.id);
             if is_drained || !takes_flows || known.excluded_until.is_some() {
                 continue;
             }
--- a/crates/bellyoke-core/tests/cookie/forwarder.rs
+++ b/crates/bellyoke-core/tests/cookie/forwarder.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn later_packets_go_to_the_instance_of_their_cookie() {
+fn later_packets_are_forwarded_to_the_instance_of_their_cookie() {
     let table = node((1..=5).map(|id| record(id, 1)).collect()).table();
     let (instance, cookie, suitability) = placed(decide(&table, &opening(1, 0)));
     assert_eq!(suitability, Suitability::Full);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_instance_whose_record_was_just_deleted_is_a_temporary_last_resort() {
+fn an_instance_whose_record_was_just_deleted_is_used_only_without_alternatives() {
     let mut replica = node(vec![record(1, 1)]);
     replica.replace_instances(at(9_000), Revision::new(20), Vec::new());
     let table = replica.table();
@@ -312,7 +312,7 @@
     for second in 0..40_u64 {
         if second % 3 == 0 && second < 21 {
             let replaced = usize::try_from(second / 3).unwrap();
-            let gone = Cookie::of(records[replaced].id);
+            let replaced_cookie = Cookie::of(records[replaced].id);
             records[replaced] = record(100 + second, 20 + second);
             replica.replace_instances(
                 at(second * 1_000),
@@ -322,7 +322,7 @@
             table = replica.table();
             for flow in flows
                 .iter_mut()
-                .filter(|flow| flow.is_some_and(|(_, at)| at == gone))
+                .filter(|flow| flow.is_some_and(|(_, at)| at == replaced_cookie))
             {
                 *flow = None;
             }
--- a/crates/bellyoke-core/tests/cookie/reachability.rs
+++ b/crates/bellyoke-core/tests/cookie/reachability.rs
@@ -324,10 +324,10 @@
     assert_eq!(reported_instances(&effects), [vec![cookie(1).bits()]]);
 
     let mut other = coordinator();
-    let question = ProbeRequest {
+    let request = ProbeRequest {
         cookies: vec![cookie(1).bits(), cookie(77).bits()],
     };
-    let request = PeerDatagram::ProbeRequest(question);
+    let request = PeerDatagram::ProbeRequest(request);
     let effects = other.handle_datagram(at(500), peer(), request).effects;
     assert_eq!(effects, [], "a request is not forwarded");
     // It probes the instance itself: a peer's request alone ends no flow.
@@ -350,13 +350,13 @@
 
 /// Instance 9, created later than instance 1, takes over its address.
 fn reuse_address(node: &mut Coordinator, now: u64) {
-    let successor = InstanceRecord {
+    let later_instance = InstanceRecord {
         address: address(1),
         ..record(9, 20)
     };
     let update = Update::Changes {
         at: Revision::new(20),
-        events: vec![InstanceEvent::Put(successor)],
+        events: vec![InstanceEvent::Put(later_instance)],
     };
     node.apply_instances(at(now), update);
 }
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -112,7 +112,7 @@
             } else {
                 MsgFlags::empty()
             };
-            let packet = &mut buffer[Codec::ENCAPSULATION_LENGTH..];
+            let packet = &mut buffer[Codec::ENCAPSULATION_BYTES..];
             match recv(self.sender.as_fd().as_raw_fd(), packet, flags) {
                 Ok(length) => {
                     let datagram = &mut buffer[..Codec::ENCAPSULATION_LENGTH + length];
@@ -203,7 +203,7 @@
         if backlog && !was_draining {
             self.forwarder.reset_after_stall();
         }
-        match self.codec.parse(&datagram[Codec::ENCAPSULATION_LENGTH..]) {
+        match self.codec.parse(&datagram[Codec::ENCAPSULATION_BYTES..]) {
             Ok(packet) => self.forward(now, datagram, &packet, backlog),
             Err(_) => self.shared.packets.count(PacketOutcome::Malformed),
         }
@@ -273,7 +273,7 @@
     }
 
     fn send_reset(&self, datagram: &[u8], packet: &FlowPacket) -> io::Result<SendOutcome> {
-        let reset = self.codec.reset(&datagram[Codec::ENCAPSULATION_LENGTH..]);
+        let reset = self.codec.reset(&datagram[Codec::ENCAPSULATION_BYTES..]);
         let client = SocketAddrV4::new(*packet.flow.client.ip(), self.client_port);
         self.sender.send(&reset, client)?;
         Ok(SendOutcome::Sent)
