--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -217,7 +217,7 @@
 ) -> Result<(), FetchError> {
     let request_bytes = read_to_end_with_stall_timeout(
         &mut stream,
-        MAXIMUM_FETCH_LENGTH,
+        MAXIMUM_FETCH_BYTES,
         SERVE_STALL_TIMEOUT,
         || {},
     )
--- a/crates/bellyoke-node/src/packet/thread.rs
+++ b/crates/bellyoke-node/src/packet/thread.rs
@@ -100,7 +100,7 @@
     }
 
     fn run(mut self) {
-        let mut buffer = vec![0; Codec::ENCAPSULATION_LENGTH + MAXIMUM_PACKET_BYTES];
+        let mut buffer = vec![0; Codec::ENCAPSULATION_BYTES + MAXIMUM_PACKET_BYTES];
         let mut drain = false;
         loop {
             self.send_due();
@@ -115,7 +115,7 @@
             let packet = &mut buffer[Codec::ENCAPSULATION_BYTES..];
             match recv(self.sender.as_fd().as_raw_fd(), packet, flags) {
                 Ok(length) => {
-                    let datagram = &mut buffer[..Codec::ENCAPSULATION_LENGTH + length];
+                    let datagram = &mut buffer[..Codec::ENCAPSULATION_BYTES + length];
                     drain = self.handle_packet(datagram, drain);
                 }
                 Err(Errno::EAGAIN) => {
