--- a/crates/bellyoke-lab/src/cookie/client.rs
+++ b/crates/bellyoke-lab/src/cookie/client.rs
@@ -21,7 +21,7 @@
     /// The service that it uses.
     pub service: SocketAddrV4,
     /// Requests over one flow before it is closed.
-    pub requests_a_flow: u32,
+    pub requests_per_flow: u32,
     /// Rest between two requests.
     pub pause: Duration,
     /// How long it waits for an answer, from its first try.
@@ -317,7 +317,7 @@
         open.expected = open.expected.wrapping_add(data_length(&packet.data));
         output.packets.push(flow_packet(flow, open, Vec::new()));
         if packet.flags.fin {
-            open.requests = self.settings.requests_a_flow;
+            open.requests = self.settings.requests_per_flow;
         }
         let (request, after) = (*request, now.since(*since));
         match Answer::decode(&packet.data) {
@@ -336,7 +336,7 @@
         self.retried = 0;
         let flow = self.flow();
         if let Some(open) = &self.open
-            && open.requests >= self.settings.requests_a_flow
+            && open.requests >= self.settings.requests_per_flow
         {
             let mut end = flow_packet(flow, open, Vec::new());
             end.flags.fin = true;
--- a/crates/bellyoke-lab/src/cookie/link.rs
+++ b/crates/bellyoke-lab/src/cookie/link.rs
@@ -9,7 +9,7 @@
     /// Bytes that it carries in a second.
     pub bytes_per_second: u32,
     /// Packets that would wait longer are dropped.
-    pub longest_wait: Duration,
+    pub maximum_queueing_delay: Duration,
 }
 
 /// One link, in the direction away from the machine.
@@ -20,7 +20,7 @@
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
-/// let mut link = Link::new(LinkSettings { bytes_per_second: 1_000, longest_wait: ms(150) });
+/// let mut link = Link::new(LinkSettings { bytes_per_second: 1_000, maximum_queueing_delay: ms(150) });
 /// assert_eq!(link.send(Timestamp::ZERO, 100), Some(ms(100)));
 /// assert_eq!(link.send(Timestamp::ZERO, 100), Some(ms(200)), "after the first");
 /// assert_eq!(link.send(Timestamp::ZERO, 100), None, "it would wait 200 ms");
@@ -45,7 +45,7 @@
     /// if it is dropped.
     pub fn send(&mut self, now: Timestamp, length: usize) -> Option<Duration> {
         let waits = self.free_at.since(now);
-        if waits > self.settings.longest_wait {
+        if waits > self.settings.maximum_queueing_delay {
             return None;
         }
         let length = u32::try_from(length).unwrap_or(u32::MAX);
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -126,7 +126,7 @@
         ablations: Vec<Ablation>,
         seed: u64,
     ) -> Self {
-        let tombstone_lifetime = if ablations.contains(&Ablation::ForgetGone) {
+        let tombstone_lifetime = if ablations.contains(&Ablation::NoTombstones) {
             Duration::ZERO
         } else {
             TOMBSTONE_LIFETIME
@@ -138,7 +138,7 @@
                 failure_threshold: u32::MAX,
                 ..usual
             }
-        } else if ablations.contains(&Ablation::NoLoad) {
+        } else if ablations.contains(&Ablation::IgnoreLoad) {
             HealthSettings {
                 idle_preference_threshold: 0,
                 ..usual
@@ -153,8 +153,10 @@
                 Exchange::new(exchange, address, seeds, seed).with_place(place),
             ),
             table: ForwardingTable::default(),
-            forwarder: Forwarder::new(health)
-                .with_flows(FLOW_CAPACITY, !ablations.contains(&Ablation::NoRestingEnds)),
+            forwarder: Forwarder::new(health).with_flows(
+                FLOW_CAPACITY,
+                !ablations.contains(&Ablation::NoIdleFlowResets),
+            ),
             lifecycle: Lifecycle::new(LEAVE_GRACE),
             ticks: TickReport {
                 last: now,
@@ -230,7 +232,7 @@
             Decision::Place { destination, .. } | Decision::Follow { destination, .. } => {
                 let mut forwarded = packet.clone();
                 forwarded.echo = destination.cookie.bits();
-                if self.lacks(Ablation::RewriteData)
+                if self.lacks(Ablation::CorruptData)
                     && let Some(last) = forwarded.data.last_mut()
                 {
                     *last ^= 0x80;
@@ -239,7 +241,9 @@
             }
             Decision::Reset(_) if self.lacks(Ablation::NoResets) => Forwarded::Dropped,
             Decision::Refuse(_) | Decision::Reset(_) => Forwarded::Reset(packet.reset()),
-            Decision::Drop(DropReason::UnknownCookie) if self.lacks(Ablation::ResetUnknown) => {
+            Decision::Drop(DropReason::UnknownCookie)
+                if self.lacks(Ablation::ResetUnknownCookies) =>
+            {
                 Forwarded::Reset(packet.reset())
             }
             Decision::Drop(_) => Forwarded::Dropped,
@@ -292,7 +296,7 @@
         self.forwarder.set_ended(&self.coordinator.ended(now));
         let questioned = self.coordinator.under_verification(now);
         let living = self.forwarder.alive_instances(now, &questioned);
-        if !self.lacks(Ablation::NoPeers) && !self.lacks(Ablation::NoObjections) {
+        if !self.lacks(Ablation::NoPeers) && !self.lacks(Ablation::NoRefutations) {
             effects.extend(self.coordinator.report_alive(now, &living).1);
         }
         let failing: Vec<_> = self.forwarder.failing_instances().collect();
@@ -402,7 +406,7 @@
             kind,
             read,
             number: self.next_call,
-            patience: if self.lacks(Ablation::WaitForever) {
+            patience: if self.lacks(Ablation::NoCallTimeout) {
                 FOREVER
             } else {
                 wait + PATIENCE
@@ -527,7 +531,7 @@
             WatchPlan::Watch(Freshness::Newest) if self.lacks(Ablation::NoReader) => {
                 WatchPlan::Watch(Freshness::MayBeStale)
             }
-            _ if self.lacks(Ablation::RestForever) && self.was_confirmed(now) => {
+            _ if self.lacks(Ablation::IdleForever) && self.was_confirmed(now) => {
                 WatchPlan::IdleUntil(now.after(FOREVER))
             }
             plan => plan,
--- a/crates/bellyoke-lab/src/cookie/router.rs
+++ b/crates/bellyoke-lab/src/cookie/router.rs
@@ -8,7 +8,7 @@
     /// By remainder: nearly all flows meet another node when one comes or goes.
     Modulo,
     /// By rendezvous: only the flows of that node do.
-    Steady,
+    Rendezvous,
 }
 
 /// Missed polls after which a node is out.
@@ -72,7 +72,7 @@
                 let count = u64::try_from(used.len()).unwrap_or(u64::MAX);
                 usize::try_from(hash % count).ok().map(|index| used[index])
             }
-            RouterHash::Steady => used.into_iter().max_by_key(|node| {
+            RouterHash::Rendezvous => used.into_iter().max_by_key(|node| {
                 let salt = (*node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 (hash ^ salt).wrapping_mul(0xff51_afd7_ed55_8ccd) >> 7
             }),
--- a/crates/bellyoke-lab/src/cookie/scenario.rs
+++ b/crates/bellyoke-lab/src/cookie/scenario.rs
@@ -13,27 +13,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ablation {
     /// Instances whose records have gone are forgotten at once.
-    ForgetGone,
+    NoTombstones,
     /// Nodes don't speak to each other.
     NoPeers,
     /// Openings that waited through a stall are forwarded.
     NoBacklogGuard,
     /// A connection that says nothing is waited for.
-    WaitForever,
+    NoCallTimeout,
     /// Instances that drain take new flows.
     IgnoreDraining,
     /// Packets name no instance, so that whoever has the address takes them.
-    AnyInstance,
+    NoInstanceCheck,
     /// A node writes into the data of a packet.
-    RewriteData,
+    CorruptData,
     /// Later packets are placed by hash like openings.
     HashEveryPacket,
     /// A packet with an unknown cookie is answered with a reset.
-    ResetUnknown,
+    ResetUnknownCookies,
     /// No instance is ever suspected.
     NoSuspicion,
     /// Flows are placed by hash alone, however busy an instance is.
-    NoLoad,
+    IgnoreLoad,
     /// Suspicions of peers count for nothing.
     NoPeerSuspicions,
     /// Revisions are compared by their numbers alone, whether or not the store was restored.
@@ -43,13 +43,13 @@
     /// Lists are read as the newest state.
     NoStaleLists,
     /// A node that was told once that its state is the newest never asks again.
-    RestForever,
+    IdleForever,
     /// Open flows of dead targets are left to their clients.
     NoResets,
     /// Only flows whose clients send something are reset.
-    NoRestingEnds,
+    NoIdleFlowResets,
     /// Nobody objects to a question about an instance that lives.
-    NoObjections,
+    NoRefutations,
     /// No instance is ever probed.
     NoProbes,
     /// The instances of drained zones take new flows.
@@ -72,7 +72,7 @@
         serves_for: Duration,
     },
     /// A target's record goes without a word, and it ends `serves_for` later.
-    Vanish {
+    Unregister {
         /// The target.
         target: usize,
         /// How long it serves on.
@@ -84,13 +84,13 @@
         target: usize,
     },
     /// A target takes no connections any more, though it serves its flows and new ones.
-    Deafen {
+    RefuseConnections {
         /// The target.
         target: usize,
     },
     /// The record of a target that has ended is written once more, as by a call that was under way, and
     /// lapses 3.6 s later.
-    WriteLate {
+    WriteStaleRecord {
         /// The target.
         target: usize,
     },
@@ -101,23 +101,23 @@
         /// The target whose address it takes.
         address_of: Option<usize>,
     },
-    /// A zone is drained. Targets stand in the zones 0 to [`ZONES`] in turn.
+    /// A zone is drained. Targets stand in the zones 0 to [`TARGET_ZONES`] in turn.
     DrainZone(usize),
     /// A drained zone is taken back.
-    RestoreZone(usize),
+    UndrainZone(usize),
     /// Records of all targets go, and come back when the targets next write.
-    Lapse,
+    ExpireRecords,
     /// The store changes its mode.
-    Store(StoreMode),
+    SetStoreMode(StoreMode),
     /// The store forgets its history.
     Compact,
     /// The store's objects are copied.
-    CopyStore,
+    BackUpStore,
     /// The store, which was away, comes back from its last copy. The operator and the targets then write again what it
     /// has lost.
     RestoreStore,
     /// Stale reads are so much older.
-    Staleness(Duration),
+    SetStaleness(Duration),
     /// A node loses the store, or has it back.
     CutFromStore {
         /// The node.
@@ -130,7 +130,7 @@
         /// The node.
         node: usize,
         /// For how long.
-        lasting: Duration,
+        duration: Duration,
     },
     /// A node's process is killed and started again.
     Kill {
@@ -175,21 +175,21 @@
     /// Clients with flows of many requests, spread over the services.
     pub long_clients: usize,
     /// Requests over each of their flows.
-    pub requests_a_flow: u32,
+    pub requests_per_flow: u32,
     /// Clients with a flow for each request, spread over the services.
     pub short_clients: usize,
     /// Clients of the probe route.
-    pub probes: usize,
+    pub probe_clients: usize,
     /// Share of datagrams that are lost.
     pub loss: f64,
     /// The links of the nodes' machines; none are wide enough for all.
     pub node_links: Option<LinkSettings>,
     /// Whether the store tells its era.
-    pub store_tells_era: bool,
+    pub store_reports_era: bool,
     /// How nodes pace what they tell each other.
     pub exchange: ExchangeSettings,
     /// How long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
     /// What happens, and when, milliseconds from the start.
     pub actions: Vec<(u64, Action)>,
     /// What is taken out.
@@ -210,13 +210,13 @@
             hash: RouterHash::Modulo,
             targets: vec![8, 3],
             long_clients: 24,
-            requests_a_flow: 50,
+            requests_per_flow: 50,
             short_clients: 12,
-            probes: 4,
+            probe_clients: 4,
             loss: 0.0,
             node_links: None,
-            store_tells_era: true,
-            length: Duration::from_secs(20),
+            store_reports_era: true,
+            duration: Duration::from_secs(20),
             actions: Vec::new(),
             ablations: Vec::new(),
         }
@@ -254,13 +254,13 @@
 
     /// Whether a mechanism is taken out.
     #[must_use]
-    pub fn lacks(&self, ablation: Ablation) -> bool {
+    pub fn has_ablation(&self, ablation: Ablation) -> bool {
         self.ablations.contains(&ablation)
     }
 }
 
 /// Zones that targets stand in.
-pub const ZONES: usize = 3;
+pub const TARGET_ZONES: usize = 3;
 
 /// Name of a zone.
 #[must_use]
--- a/crates/bellyoke-lab/src/cookie/world.rs
+++ b/crates/bellyoke-lab/src/cookie/world.rs
@@ -199,7 +199,7 @@
             heartbeats: 0,
             scenario,
         };
-        world.store.tells_era = world.scenario.store_tells_era;
+        world.store.tells_era = world.scenario.store_reports_era;
         world.build();
         world
     }
@@ -229,7 +229,7 @@
     }
 
     fn run(&mut self) {
-        let end = self.now.after(self.scenario.length);
+        let end = self.now.after(self.scenario.duration);
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
@@ -351,7 +351,7 @@
         let in_touch = self.in_touch(node);
         match forwarded {
             Forwarded::To(destination, packet) => {
-                let named = !self.scenario.lacks(Ablation::AnyInstance);
+                let named = !self.scenario.has_ablation(Ablation::NoInstanceCheck);
                 let meant = named.then_some(destination.instance);
                 let length = packet.wire_length();
                 let event = Event::AtTarget {
--- a/crates/bellyoke-lab/src/cookie/world/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/world/actions.rs
@@ -3,7 +3,7 @@
 use super::machines::RunningTarget;
 use super::{Event, World};
 use crate::cookie::scenario::{
-    Action, ZONES, configuration, service_address, service_name, zone_name,
+    Action, TARGET_ZONES, configuration, service_address, service_name, zone_name,
 };
 use crate::cookie::store::StoreMode;
 use crate::cookie::target::TargetSettings;
@@ -25,10 +25,10 @@
         match action {
             Action::Configure { probe } => self.configure(probe),
             Action::Drain { target, serves_for } => self.drain(target, serves_for),
-            Action::Vanish { target, serves_for } => self.vanish(target, serves_for),
+            Action::Unregister { target, serves_for } => self.vanish(target, serves_for),
             Action::Crash { target } => self.crash(target),
-            Action::WriteLate { target } => self.write_late(target),
-            Action::Deafen { target } => self.targets[target].deaf = true,
+            Action::WriteStaleRecord { target } => self.write_late(target),
+            Action::RefuseConnections { target } => self.targets[target].deaf = true,
             Action::Start {
                 service,
                 address_of,
@@ -41,20 +41,20 @@
                 self.store.drain_zone(self.now, &zone_name(zone));
                 self.rules.zone_drained(self.now, zone);
             }
-            Action::RestoreZone(zone) => {
+            Action::UndrainZone(zone) => {
                 self.drained_zones.remove(&zone_name(zone));
                 self.store.restore_zone(self.now, &zone_name(zone));
                 self.rules.zone_restored(zone);
             }
-            Action::Lapse => self.lapse(),
-            Action::Store(mode) => self.set_store_mode(mode),
+            Action::ExpireRecords => self.lapse(),
+            Action::SetStoreMode(mode) => self.set_store_mode(mode),
             Action::Compact => {
                 self.store_disturbed_at = self.now;
                 self.store.compact();
             }
-            Action::CopyStore => self.store.take_copy(),
+            Action::BackUpStore => self.store.take_copy(),
             Action::RestoreStore => self.restore_store(),
-            Action::Staleness(staleness) => {
+            Action::SetStaleness(staleness) => {
                 self.store_disturbed_at = self.now;
                 self.store.staleness = staleness;
             }
@@ -62,7 +62,7 @@
                 self.machines[node].cut_from_store = cut;
                 self.machines[node].disturbed_at = self.now;
             }
-            Action::Freeze { node, lasting } => self.freeze(node, lasting),
+            Action::Freeze { node, duration } => self.freeze(node, duration),
             Action::Kill { node, down } => self.kill(node, down),
             Action::KillWatchers { down } => {
                 for node in self.watchers() {
@@ -154,7 +154,7 @@
     fn write_late(&mut self, target: usize) {
         let running = &self.targets[target];
         let settings = TargetSettings::usual(running.id, service_name(running.service));
-        let record = settings.record(running.address, zone_name(target % ZONES));
+        let record = settings.record(running.address, zone_name(target % TARGET_ZONES));
         self.store.put_instance(self.now, record);
         self.after(HEARTBEATS_MISSED, Event::RecordGoes(settings.id));
     }
--- a/crates/bellyoke-lab/src/cookie/world/clients.rs
+++ b/crates/bellyoke-lab/src/cookie/world/clients.rs
@@ -16,13 +16,13 @@
         let counts = [
             (
                 self.scenario.long_clients,
-                self.scenario.requests_a_flow,
+                self.scenario.requests_per_flow,
                 Duration::from_millis(150),
             ),
             (self.scenario.short_clients, 1, Duration::from_millis(150)),
-            (self.scenario.probes, 1, Duration::from_millis(250)),
+            (self.scenario.probe_clients, 1, Duration::from_millis(250)),
         ];
-        for (group, (count, requests_a_flow, pause)) in counts.into_iter().enumerate() {
+        for (group, (count, requests_per_flow, pause)) in counts.into_iter().enumerate() {
             for index in 0..count {
                 let number = self.clients.len();
                 let low = u8::try_from(number % 250).unwrap_or_default();
@@ -34,10 +34,10 @@
                 let settings = ClientSettings {
                     address: Ipv4Addr::new(100, 64, high, low),
                     service,
-                    requests_a_flow,
+                    requests_per_flow,
                     pause,
                     deadline: Duration::from_millis(1_500),
-                    retries: if requests_a_flow > 1 { 2 } else { 0 },
+                    retries: if requests_per_flow > 1 { 2 } else { 0 },
                 };
                 let start = self.now.after(Duration::from_millis(
                     1_200 + self.random.random_range(0..300_u64),
--- a/crates/bellyoke-lab/src/cookie/world/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/world/machines.rs
@@ -5,7 +5,7 @@
 use crate::cookie::node::{Forwarded, Node, StoreCall};
 use crate::cookie::packet::Packet;
 use crate::cookie::rules::{Arrival, CONTACT, Origin};
-use crate::cookie::scenario::{ZONES, service_name, zone_name};
+use crate::cookie::scenario::{TARGET_ZONES, service_name, zone_name};
 use crate::cookie::store::{Store, StoreAnswer, StoreMode};
 use crate::cookie::target::{Target, TargetOutput, TargetSettings};
 use bellyoke_core::cookie::exchange::PeerDatagram;
@@ -150,7 +150,7 @@
         self.after(down, Event::Start { node, life });
     }
 
-    pub(super) fn freeze(&mut self, node: usize, lasting: Duration) {
+    pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
         let machine = &mut self.machines[node];
         let state = std::mem::replace(&mut machine.state, MachineState::Down);
         machine.state = match state {
@@ -160,8 +160,8 @@
             },
             other => other,
         };
-        machine.disturbed_at = self.now.after(lasting);
-        self.after(lasting, Event::Thaw { node });
+        machine.disturbed_at = self.now.after(duration);
+        self.after(duration, Event::Thaw { node });
     }
 
     /// The traffic thread runs first: the worst case for what waited in its socket.
@@ -366,7 +366,7 @@
         let address = address.unwrap_or(own);
         let id = InstanceId(u64::from(self.random.random::<u32>() | 1));
         let settings = TargetSettings::usual(id, service_name(service));
-        let record = settings.record(address, zone_name(number % ZONES));
+        let record = settings.record(address, zone_name(number % TARGET_ZONES));
         self.store.put_instance(self.now, record.clone());
         self.targets.push(RunningTarget {
             id,
@@ -428,7 +428,7 @@
             let arrival = Arrival {
                 target: running.id,
                 service: running.service,
-                zone: index % ZONES,
+                zone: index % TARGET_ZONES,
                 in_touch,
             };
             self.rules.opening_arrives(now, flow, arrival);
--- a/crates/bellyoke-lab/tests/cookie_restorations.rs
+++ b/crates/bellyoke-lab/tests/cookie_restorations.rs
@@ -1,7 +1,7 @@
 //! Seeded days on which the store is restored from older copies, once to three times, among other trouble and planned work.
 
 use bellyoke_lab::cookie::rules::Violation;
-use bellyoke_lab::cookie::scenario::{Action, Scenario, ZONES};
+use bellyoke_lab::cookie::scenario::{Action, Scenario, TARGET_ZONES};
 use bellyoke_lab::cookie::store::StoreMode;
 use bellyoke_lab::cookie::world::{Report, play};
 use rand::{Rng, RngExt, SeedableRng};
@@ -72,8 +72,8 @@
             service: 0,
             address_of: None,
         },
-        6 => Action::DrainZone(random.random_range(0..ZONES - 1)),
-        7 => Action::RestoreZone(random.random_range(0..ZONES - 1)),
+        6 => Action::DrainZone(random.random_range(0..TARGET_ZONES - 1)),
+        7 => Action::UndrainZone(random.random_range(0..TARGET_ZONES - 1)),
         _ => return None,
     })
 }
@@ -89,7 +89,7 @@
             node,
             cut: random.random_bool(0.5),
         },
-        4 => Action::Staleness(ms(random.random_range(0..4_000))),
+        4 => Action::SetStaleness(ms(random.random_range(0..4_000))),
         _ => Action::Compact,
     }
 }
@@ -100,15 +100,15 @@
     let mut scenario = Scenario {
         nodes,
         node_zones: random.random_range(1..=3),
-        store_tells_era: random.random_bool(0.5),
-        length: ms(LENGTH_MS),
+        store_reports_era: random.random_bool(0.5),
+        duration: ms(LENGTH_MS),
         ..Scenario::default()
     };
     let outages = outages(&mut random);
     for outage in &outages {
         scenario = scenario
-            .at(outage.copied_ms, Action::CopyStore)
-            .at(outage.begins_ms, Action::Store(StoreMode::Silent))
+            .at(outage.copied_ms, Action::BackUpStore)
+            .at(outage.begins_ms, Action::SetStoreMode(StoreMode::Silent))
             .at(outage.ends_ms, Action::RestoreStore);
     }
     let is_away = |at_ms| outages.iter().any(|outage| outage.holds(at_ms));
@@ -153,7 +153,7 @@
 #[test]
 fn a_restoration_that_no_list_shows_is_noticed_by_its_era() {
     let scenario = Scenario {
-        store_tells_era: true,
+        store_reports_era: true,
         ..day(UNSEEN_RESTORATION)
     };
     assert_eq!(play(scenario, UNSEEN_RESTORATION).violations, []);
--- a/crates/bellyoke-lab/tests/cookie_restored_store.rs
+++ b/crates/bellyoke-lab/tests/cookie_restored_store.rs
@@ -23,15 +23,15 @@
 /// Three configurations are written after the copy, and then the store is away for a moment.
 fn outage() -> Scenario {
     let scenario = Scenario {
-        length: Duration::from_secs(30),
+        duration: Duration::from_secs(30),
         ..Scenario::default()
     };
     scenario
-        .at(6_000, Action::CopyStore)
+        .at(6_000, Action::BackUpStore)
         .at(7_000, Action::Configure { probe: Some(1) })
         .at(9_000, Action::Configure { probe: Some(0) })
         .at(11_000, Action::Configure { probe: Some(1) })
-        .at(12_000, Action::Store(StoreMode::Silent))
+        .at(12_000, Action::SetStoreMode(StoreMode::Silent))
 }
 
 /// It has lost the three configurations. The operator writes the last one again.
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_same_changes_after_an_outage_that_loses_nothing_are_in_force() {
-    let scenario = outage().at(14_300, Action::Store(StoreMode::Up));
+    let scenario = outage().at(14_300, Action::SetStoreMode(StoreMode::Up));
     assert_eq!(violations(&changes(scenario)), []);
 }
 
@@ -81,7 +81,7 @@
 #[test]
 fn a_restoration_that_the_store_does_not_tell_of_is_noticed() {
     let scenario = Scenario {
-        store_tells_era: false,
+        store_reports_era: false,
         ..restored()
     };
     assert_eq!(violations(&changes(scenario)), []);
--- a/crates/bellyoke-lab/tests/cookie_rules.rs
+++ b/crates/bellyoke-lab/tests/cookie_rules.rs
@@ -101,7 +101,7 @@
 fn a_calm_day_is_served_whole() {
     holds(&calm(), 1.0);
     let steady = Scenario {
-        hash: RouterHash::Steady,
+        hash: RouterHash::Rendezvous,
         ..calm()
     };
     holds(&steady, 1.0);
@@ -109,8 +109,8 @@
 
 #[test]
 fn requests_and_answers_need_packets_that_nobody_changes() {
-    needs(&calm(), Ablation::RewriteData, Rule::OnlyAsked);
-    needs(&calm(), Ablation::RewriteData, Rule::OwnAnswer);
+    needs(&calm(), Ablation::CorruptData, Rule::OnlyAsked);
+    needs(&calm(), Ablation::CorruptData, Rule::OwnAnswer);
 }
 
 #[test]
@@ -145,7 +145,7 @@
     for target in 0..3 {
         scenario = scenario.at(
             4_000,
-            Action::Vanish {
+            Action::Unregister {
                 target,
                 serves_for: ms(9_000),
             },
@@ -164,7 +164,7 @@
 
 #[test]
 fn flows_of_a_target_whose_record_went_need_tombstones() {
-    let forgetful = vanish_and_roll().without(Ablation::ForgetGone);
+    let forgetful = vanish_and_roll().without(Ablation::NoTombstones);
     assert!(
         failed(&forgetful) > failed(&vanish_and_roll()) + 20,
         "{}",
@@ -192,14 +192,14 @@
             "silence breaks nothing"
         );
     }
-    needs(&alone, Ablation::ResetUnknown, Rule::Flow);
+    needs(&alone, Ablation::ResetUnknownCookies, Rule::Flow);
 }
 
 /// Nodes stand still for longer than routers take to notice, while new flows come.
 fn freeze() -> Scenario {
     let mut scenario = Scenario {
         long_clients: 90,
-        requests_a_flow: 6,
+        requests_per_flow: 6,
         ..calm()
     };
     for (number, at) in [4_000, 6_000, 8_000, 10_000, 12_000]
@@ -210,7 +210,7 @@
             at,
             Action::Freeze {
                 node: number,
-                lasting: ms(1_700),
+                duration: ms(1_700),
             },
         );
     }
@@ -247,8 +247,8 @@
 /// The store goes mute for two seconds, and the configuration changes after it is back.
 fn mute_store() -> Scenario {
     calm()
-        .at(5_000, Action::Store(StoreMode::Silent))
-        .at(7_000, Action::Store(StoreMode::Up))
+        .at(5_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(7_000, Action::SetStoreMode(StoreMode::Up))
         .at(9_000, Action::Configure { probe: Some(1) })
         .at(14_000, Action::Configure { probe: None })
 }
@@ -256,7 +256,7 @@
 #[test]
 fn a_configuration_is_in_force_though_connections_went_mute() {
     holds(&mute_store(), 0.9);
-    needs(&mute_store(), Ablation::WaitForever, Rule::Configuration);
+    needs(&mute_store(), Ablation::NoCallTimeout, Rule::Configuration);
 }
 
 /// A long outage, and a change of the configuration a second after it (experiments/days/kinds.txt, after_ack_kill in an
@@ -264,12 +264,12 @@
 #[test]
 fn a_configuration_is_in_force_in_time_after_a_long_outage() {
     let scenario = Scenario {
-        length: Duration::from_secs(26),
+        duration: Duration::from_secs(26),
         ..calm()
     };
     let scenario = scenario
-        .at(5_000, Action::Store(StoreMode::Silent))
-        .at(17_000, Action::Store(StoreMode::Up))
+        .at(5_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(17_000, Action::SetStoreMode(StoreMode::Up))
         .at(18_100, Action::Configure { probe: Some(1) });
     for kept in 0..5 {
         // One node alone learns it, and dies before it tells the others.
@@ -300,14 +300,14 @@
 /// All nodes are restarted, one after the other, while the store is down.
 fn roll_in_outage() -> Scenario {
     let mut scenario = Scenario {
-        length: Duration::from_secs(24),
+        duration: Duration::from_secs(24),
         ..calm()
     }
-    .at(3_000, Action::Store(StoreMode::Silent));
+    .at(3_000, Action::SetStoreMode(StoreMode::Silent));
     for node in 0..5 {
         scenario = scenario.at(4_000 + node as u64 * 1_500, Action::Terminate { node });
     }
-    scenario.at(19_000, Action::Store(StoreMode::Up))
+    scenario.at(19_000, Action::SetStoreMode(StoreMode::Up))
 }
 
 #[test]
@@ -327,9 +327,9 @@
 #[test]
 fn records_that_lapse_in_an_outage_cost_nothing() {
     let scenario = calm()
-        .at(5_000, Action::Store(StoreMode::Silent))
-        .at(9_000, Action::Store(StoreMode::Up))
-        .at(9_000, Action::Lapse);
+        .at(5_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(9_000, Action::SetStoreMode(StoreMode::Up))
+        .at(9_000, Action::ExpireRecords);
     holds(&scenario, 0.99);
 }
 
@@ -361,13 +361,13 @@
         targets: vec![2, 3],
         ..reuse()
     };
-    scenario.at(7_000, Action::Store(StoreMode::Silent))
+    scenario.at(7_000, Action::SetStoreMode(StoreMode::Silent))
 }
 
 #[test]
 fn an_address_that_is_reused_gets_no_flow_of_another_service() {
     holds(&reuse(), 0.8);
-    needs(&reuse_of_all(), Ablation::AnyInstance, Rule::Route);
+    needs(&reuse_of_all(), Ablation::NoInstanceCheck, Rule::Route);
     for seed in SEEDS {
         assert_eq!(play(reuse_of_all(), seed).violations, [], "seed {seed}");
     }
@@ -395,7 +395,7 @@
         long_clients: 120,
         node_links: Some(LinkSettings {
             bytes_per_second: 7_600,
-            longest_wait: ms(50),
+            maximum_queueing_delay: ms(50),
         }),
         ..calm()
     }
@@ -446,7 +446,7 @@
         ..calm()
     };
     let deaf = (0..8).fold(scenario, |scenario, target| {
-        scenario.at(5_000, Action::Deafen { target })
+        scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
         assert_eq!(play(deaf.clone(), seed).violations, [], "seed {seed}");
@@ -468,7 +468,7 @@
         let reports = SEEDS.map(|seed| play(scenario.clone(), seed));
         reports.map(|report| report.resets_by_nodes).sum()
     };
-    let by_repeats = scenario.clone().without(Ablation::NoRestingEnds);
+    let by_repeats = scenario.clone().without(Ablation::NoIdleFlowResets);
     holds(&scenario, 0.9);
     assert!(resets(&scenario) > 0);
     assert!(failed(&scenario) <= failed(&by_repeats));
@@ -486,12 +486,12 @@
         ..calm()
     };
     let deaf = (0..8).fold(scenario, |scenario, target| {
-        scenario.at(5_000, Action::Deafen { target })
+        scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
         assert_eq!(play(deaf.clone(), seed).violations, [], "seed {seed}");
     }
-    needs(&deaf, Ablation::NoObjections, Rule::Flow);
+    needs(&deaf, Ablation::NoRefutations, Rule::Flow);
 }
 
 /// Flows at a target that died are ended once another one is seen at its address: clients turn
@@ -525,7 +525,7 @@
 fn reuse_while_nodes_restart() -> Scenario {
     let mut scenario = Scenario {
         long_clients: 60,
-        length: Duration::from_secs(26),
+        duration: Duration::from_secs(26),
         ..calm()
     };
     for (number, target) in [0, 1, 2].into_iter().enumerate() {
@@ -536,7 +536,7 @@
         };
         scenario = scenario.at(at, Action::Crash { target });
         scenario = scenario.at(at + 1_200, start);
-        scenario = scenario.at(at + 9_000, Action::WriteLate { target });
+        scenario = scenario.at(at + 9_000, Action::WriteStaleRecord { target });
     }
     for node in 0..5 {
         let first = 5_400 + node as u64 * 500;
@@ -544,7 +544,7 @@
         scenario = scenario.at(first, Action::Terminate { node });
         scenario = scenario.at(second, Action::Terminate { node });
     }
-    scenario.at(18_000, Action::Lapse)
+    scenario.at(18_000, Action::ExpireRecords)
 }
 
 /// Only the order in which the store created the records tells which instance of an address lives: nodes
@@ -553,7 +553,7 @@
 fn no_open_flow_is_reset_whose_instance_took_over_an_address_while_nodes_restart() {
     holds(&reuse_while_nodes_restart(), 0.9);
     let hashed = Scenario {
-        hash: RouterHash::Steady,
+        hash: RouterHash::Rendezvous,
         loss: 0.02,
         ..reuse_while_nodes_restart()
     };
@@ -572,8 +572,8 @@
     for target in 0..4 {
         scenario = scenario.at(8_000, Action::Crash { target });
     }
-    scenario = scenario.at(7_900, Action::Store(StoreMode::Silent));
-    let by_hash = scenario.clone().without(Ablation::NoLoad);
+    scenario = scenario.at(7_900, Action::SetStoreMode(StoreMode::Silent));
+    let by_hash = scenario.clone().without(Ablation::IgnoreLoad);
     let (by_load, by_hash) = (slow(&scenario), slow(&by_hash));
     assert!(
         by_load < by_hash,
@@ -592,13 +592,13 @@
     }
     // Where loads count, one failure keeps a node away, and it learns little from others. Probes
     // would tell it too: this is about what peers' suspicions alone are worth.
-    .without(Ablation::NoLoad)
+    .without(Ablation::IgnoreLoad)
     .without(Ablation::NoProbes);
     for target in 0..4 {
         scenario = scenario.at(8_000, Action::Crash { target });
     }
     // The store notices nothing.
-    scenario = scenario.at(7_900, Action::Store(StoreMode::Silent));
+    scenario = scenario.at(7_900, Action::SetStoreMode(StoreMode::Silent));
     let (together, alone) = (
         slow(&scenario),
         slow(&scenario.clone().without(Ablation::NoPeerSuspicions)),
@@ -612,7 +612,7 @@
 #[test]
 fn forgotten_history_costs_nothing() {
     let scenario = calm()
-        .at(5_000, Action::Staleness(ms(5_500)))
+        .at(5_000, Action::SetStaleness(ms(5_500)))
         .at(6_000, Action::Compact)
         .at(
             6_500,
@@ -622,7 +622,7 @@
             },
         )
         .at(7_000, Action::Configure { probe: Some(1) })
-        .at(12_000, Action::Staleness(Duration::ZERO));
+        .at(12_000, Action::SetStaleness(Duration::ZERO));
     holds(&scenario, 1.0);
     // Most nodes watch by stale reads; the reader tells them what is newer.
     needs(&scenario, Ablation::NoReader, Rule::Drain);
@@ -631,12 +631,12 @@
 fn kill_of_all(store: StoreMode) -> Scenario {
     let scenario = Scenario {
         nodes: 30,
-        length: Duration::from_secs(30),
+        duration: Duration::from_secs(30),
         ..calm()
     };
     scenario
         .at(6_000, Action::KillAll { down: ms(800) })
-        .at(6_000, Action::Store(store))
+        .at(6_000, Action::SetStoreMode(store))
 }
 
 #[test]
@@ -659,7 +659,7 @@
 fn change_without_watchers(harm: Action) -> Scenario {
     let scenario = Scenario {
         nodes: 12,
-        length: Duration::from_secs(24),
+        duration: Duration::from_secs(24),
         ..calm()
     };
     scenario
@@ -679,15 +679,15 @@
 fn changes_are_in_force_in_time_though_all_watchers_die() {
     let scenario = change_without_watchers(Action::KillWatchers { down: ms(3_000) });
     holds(&scenario, 0.9);
-    needs(&scenario, Ablation::RestForever, Rule::Configuration);
-    needs(&scenario, Ablation::RestForever, Rule::Drain);
+    needs(&scenario, Ablation::IdleForever, Rule::Configuration);
+    needs(&scenario, Ablation::IdleForever, Rule::Drain);
 }
 
 #[test]
 fn changes_are_in_force_in_time_though_all_watchers_lose_the_store() {
     let scenario = change_without_watchers(Action::CutWatchers);
     holds(&scenario, 1.0);
-    needs(&scenario, Ablation::RestForever, Rule::Configuration);
+    needs(&scenario, Ablation::IdleForever, Rule::Configuration);
 }
 
 /// The store bears few readers: what it is asked must not grow with the nodes, but for the two
@@ -720,13 +720,13 @@
             };
             let scenario = Scenario {
                 nodes,
-                length: ms(length),
+                duration: ms(length),
                 exchange,
                 ..calm()
             };
             let scenario = scenario
-                .at(12_000, Action::Store(mode))
-                .at(22_000, Action::Store(StoreMode::Up))
+                .at(12_000, Action::SetStoreMode(mode))
+                .at(22_000, Action::SetStoreMode(StoreMode::Up))
                 .at(22_500, Action::Configure { probe: Some(1) });
             let report = play(scenario, 1);
             assert_eq!(report.violations, []);
@@ -765,7 +765,7 @@
 /// don't show that nothing is newer.
 fn change_without_watchers_of_a_lagging_store(harm: Action) -> Scenario {
     let lagging = change_without_watchers(harm);
-    lagging.at(2_000, Action::Staleness(ms(5_000)))
+    lagging.at(2_000, Action::SetStaleness(ms(5_000)))
 }
 
 #[test]
--- a/crates/bellyoke-lab/tests/cookie_zones.rs
+++ b/crates/bellyoke-lab/tests/cookie_zones.rs
@@ -18,8 +18,8 @@
     Scenario::default()
         .at(6_000, Action::DrainZone(0))
         .at(8_000, Action::DrainZone(1))
-        .at(13_000, Action::RestoreZone(1))
-        .at(15_000, Action::RestoreZone(0))
+        .at(13_000, Action::UndrainZone(1))
+        .at(15_000, Action::UndrainZone(0))
 }
 
 fn holds(scenario: &Scenario, least: f64) {
@@ -49,8 +49,8 @@
 #[test]
 fn drained_zones_stay_so_for_nodes_that_start_in_an_outage() {
     let mut scenario = two_drains()
-        .at(7_000, Action::Store(StoreMode::Silent))
-        .at(11_500, Action::Store(StoreMode::Up));
+        .at(7_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(11_500, Action::SetStoreMode(StoreMode::Up));
     for node in 0..3 {
         let at = 7_500 + node as u64 * 300;
         let down = ms(200);
@@ -80,10 +80,10 @@
     let mut scenario = Scenario::default();
     for zone in 0..3 {
         scenario = scenario.at(8_000, Action::DrainZone(zone));
-        scenario = scenario.at(12_000, Action::RestoreZone(zone));
+        scenario = scenario.at(12_000, Action::UndrainZone(zone));
     }
     // The probe route can't tell such a refusal from one for want of a route.
-    scenario.probes = 0;
+    scenario.probe_clients = 0;
     for seed in SEEDS {
         let report = play(scenario.clone(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
