--- a/crates/bellyoke-lab/src/cookie/rules.rs
+++ b/crates/bellyoke-lab/src/cookie/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged by what clients, targets and the operator have seen.
+//! What must hold, judged by details clients, targets and the operator have seen.
 
 use super::client::ClientEvent;
 use super::scenario::PROBE_ADDRESS;
@@ -17,7 +17,7 @@
 pub const DRAIN_BOUND: Duration = Duration::from_secs(3);
 
 /// An undisturbed machine is one that was so for this long.
-pub const CONTACT: Duration = Duration::from_secs(4);
+pub const UNDISTURBED_PERIOD: Duration = Duration::from_secs(4);
 
 /// Nodes serve again so long after all were killed.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(12);
@@ -59,7 +59,7 @@
     /// When.
     pub at: Timestamp,
     /// How.
-    pub what: String,
+    pub details: String,
 }
 
 /// Who sent a packet to a client.
@@ -68,14 +68,14 @@
     /// A node; whether it was undisturbed.
     Node {
         /// Whether it was.
-        in_touch: bool,
+        undisturbed: bool,
     },
-    /// A target, and whether the node that passed on what it answers was undisturbed.
+    /// A target, and whether the node that passed on details it answers was undisturbed.
     Target {
         /// The target.
         id: InstanceId,
         /// Whether the node was.
-        in_touch: bool,
+        undisturbed: bool,
     },
 }
 
@@ -89,7 +89,7 @@
     /// Index of its zone.
     pub zone: usize,
     /// Whether the node that passed it on was undisturbed.
-    pub in_touch: bool,
+    pub undisturbed: bool,
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
 
 /// Watches a run.
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct RuleChecker {
     violations: Vec<Violation>,
     sent: BTreeSet<u64>,
     ran: BTreeSet<u64>,
@@ -134,7 +134,7 @@
     (flow.client, flow.service)
 }
 
-impl Rules {
+impl RuleChecker {
     /// What was broken.
     #[must_use]
     pub fn violations(&self) -> &[Violation] {
@@ -142,12 +142,12 @@
     }
 
     /// Something was broken that only the host sees.
-    pub fn note(&mut self, violation: Violation) {
+    pub fn record_violation(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
     /// The operator's configuration was accepted.
-    pub fn configured(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
+    pub fn record_configuration(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
         self.routed.extend(routes);
         let probe = routes.iter().find(|(address, _)| *address == PROBE_ADDRESS);
         self.versions.push(Version {
@@ -157,59 +157,65 @@
     }
 
     /// A target's leaving was accepted.
-    pub fn leaving(&mut self, now: Timestamp, id: InstanceId) {
+    pub fn record_leaving(&mut self, now: Timestamp, id: InstanceId) {
         self.leaving.entry(id).or_insert(now);
     }
 
     /// The operator's drain of a zone was accepted.
-    pub fn zone_drained(&mut self, now: Timestamp, zone: usize) {
+    pub fn record_zone_drain(&mut self, now: Timestamp, zone: usize) {
         self.drained_zones.entry(zone).or_insert(now);
     }
 
     /// A drained zone was taken back.
-    pub fn zone_restored(&mut self, zone: usize) {
+    pub fn record_zone_undrain(&mut self, zone: usize) {
         self.drained_zones.remove(&zone);
     }
 
     /// All nodes were killed.
-    pub const fn killed_all(&mut self, now: Timestamp) {
+    pub const fn record_kill_of_all(&mut self, now: Timestamp) {
         self.killed_all_at = Some(now);
     }
 
-    /// A target ended: what happens to its flows from here on is nobody's fault.
-    pub fn target_ended(&mut self, id: InstanceId) {
+    /// A target ended: details happens to its flows from here on is nobody's fault.
+    pub fn record_target_end(&mut self, id: InstanceId) {
         self.open.retain(|_, open| open.target != id);
     }
 
     /// An opening reaches a target that takes it.
-    pub fn opening_arrives(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
+    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
         let Arrival {
             target,
             service,
             zone,
-            in_touch,
+            undisturbed,
         } = arrival;
         if !self.routed.contains(&(flow.service, service)) {
-            let what = format!("an opening to {} ran at service {service}", flow.service);
-            self.violate(Rule::Route, now, what);
+            let details = format!("an opening to {} ran at service {service}", flow.service);
+            self.violate(Rule::Route, now, details);
         }
         let left = self.leaving.get(&target);
-        if in_touch && left.is_some_and(|left| now.since(*left) > DRAIN_BOUND) {
-            let what = format!("an opening reached target {target}, which had left");
-            self.violate(Rule::Drain, now, what);
+        if undisturbed && left.is_some_and(|left| now.since(*left) > DRAIN_BOUND) {
+            let details = format!("an opening reached target {target}, which had left");
+            self.violate(Rule::Drain, now, details);
         }
         let drained = self.drained_zones.get(&zone);
-        if in_touch && drained.is_some_and(|drained| now.since(*drained) > DRAIN_BOUND) {
-            let what = format!("an opening reached target {target} in drained zone {zone}");
-            self.violate(Rule::ZoneDrain, now, what);
+        if undisturbed && drained.is_some_and(|drained| now.since(*drained) > DRAIN_BOUND) {
+            let details = format!("an opening reached target {target} in drained zone {zone}");
+            self.violate(Rule::ZoneDrain, now, details);
         }
-        if flow.service == PROBE_ADDRESS && in_touch {
+        if flow.service == PROBE_ADDRESS && undisturbed {
             self.judge_probe(now, flow, Some(service));
         }
     }
 
     /// Something happened at a target.
-    pub fn target(&mut self, now: Timestamp, id: InstanceId, event: &TargetEvent, in_touch: bool) {
+    pub fn handle_target_event(
+        &mut self,
+        now: Timestamp,
+        id: InstanceId,
+        event: &TargetEvent,
+        undisturbed: bool,
+    ) {
         match event {
             TargetEvent::Opened(flow) => {
                 let open = OpenFlow {
@@ -219,23 +225,28 @@
                 self.open.insert(key(*flow), open);
             }
             TargetEvent::Own(flow) => self.arrival(now, *flow, true),
-            TargetEvent::Foreign(flow) if in_touch => self.arrival(now, *flow, false),
+            TargetEvent::Foreign(flow) if undisturbed => self.arrival(now, *flow, false),
             TargetEvent::Foreign(_) => {}
             TargetEvent::Ran { request, .. } => {
                 if !self.sent.contains(request) {
-                    let what = format!("request {request} was never sent");
-                    self.violate(Rule::OnlyAsked, now, what);
+                    let details = format!("request {request} was never sent");
+                    self.violate(Rule::OnlyAsked, now, details);
                 }
                 if !self.ran.insert(*request) {
-                    let what = format!("request {request} ran again");
-                    self.violate(Rule::Once, now, what);
+                    let details = format!("request {request} ran again");
+                    self.violate(Rule::Once, now, details);
                 }
             }
         }
     }
 
     /// Something happened to a client, caused by a packet from `origin` if by one at all.
-    pub fn client(&mut self, now: Timestamp, event: &ClientEvent, origin: Option<Origin>) {
+    pub fn handle_client_event(
+        &mut self,
+        now: Timestamp,
+        event: &ClientEvent,
+        origin: Option<Origin>,
+    ) {
         match event {
             ClientEvent::OpeningSent(flow) => {
                 self.opening_sent.insert(key(*flow), now);
@@ -260,8 +271,8 @@
                 after,
             } => {
                 if answer.request != *request || self.answered_by_another(*flow, answer.target) {
-                    let what = format!("request {request} got another answer");
-                    self.violate(Rule::OwnAnswer, now, what);
+                    let details = format!("request {request} got another answer");
+                    self.violate(Rule::OwnAnswer, now, details);
                 }
                 if answer.ran {
                     self.served += 1;
@@ -270,8 +281,8 @@
                 }
             }
             ClientEvent::Garbled(flow) => {
-                let what = format!("{} got no answer but bytes", flow.client);
-                self.violate(Rule::OwnAnswer, now, what);
+                let details = format!("{} got no answer but bytes", flow.client);
+                self.violate(Rule::OwnAnswer, now, details);
             }
             ClientEvent::GivenUp { flow, .. } => {
                 self.failed += 1;
@@ -284,8 +295,8 @@
     pub fn finish(&mut self, now: Timestamp) {
         let recovered = self.late_served * 4 >= self.late_asked;
         if self.killed_all_at.is_some() && !recovered {
-            let what = format!("{} of {} served", self.late_served, self.late_asked);
-            self.violate(Rule::Recovery, now, what);
+            let details = format!("{} of {} served", self.late_served, self.late_asked);
+            self.violate(Rule::Recovery, now, details);
         }
     }
 
@@ -318,9 +329,9 @@
         }
         let astray = open.arrivals.iter().filter(|(_, own)| !own).count();
         if astray >= ASTRAY && astray == open.arrivals.len() {
-            let what = format!("packets of {} go astray", flow.client);
+            let details = format!("packets of {} go astray", flow.client);
             self.open.remove(&key(flow));
-            self.violate(Rule::Flow, now, what);
+            self.violate(Rule::Flow, now, details);
         }
     }
 
@@ -330,15 +341,17 @@
             self.resets_by_nodes += 1;
         }
         let blamed = match (origin, &held) {
-            (Some(Origin::Node { in_touch }), _) => in_touch,
-            (Some(Origin::Target { id, in_touch }), Some(held)) => id != held.target && in_touch,
+            (Some(Origin::Node { undisturbed }), _) => undisturbed,
+            (Some(Origin::Target { id, undisturbed }), Some(held)) => {
+                id != held.target && undisturbed
+            }
             _ => false,
         };
         if open && held.is_some() && blamed {
-            let what = format!("{} was reset by {origin:?}", flow.client);
-            self.violate(Rule::Flow, now, what);
+            let details = format!("{} was reset by {origin:?}", flow.client);
+            self.violate(Rule::Flow, now, details);
         }
-        let refused_by_node = matches!(origin, Some(Origin::Node { in_touch: true }));
+        let refused_by_node = matches!(origin, Some(Origin::Node { undisturbed: true }));
         if !open && refused_by_node && flow.service == PROBE_ADDRESS {
             self.judge_probe(now, flow, None);
         }
@@ -357,13 +370,13 @@
             .iter()
             .any(|version| version.probe == handled);
         if !allowed {
-            let what =
+            let details =
                 format!("a probe was handled as {handled:?}, as only an older version allows");
-            self.violate(Rule::Configuration, now, what);
+            self.violate(Rule::Configuration, now, details);
         }
     }
 
-    fn violate(&mut self, rule: Rule, at: Timestamp, what: String) {
-        self.violations.push(Violation { rule, at, what });
+    fn violate(&mut self, rule: Rule, at: Timestamp, details: String) {
+        self.violations.push(Violation { rule, at, details });
     }
 }
--- a/crates/bellyoke-lab/src/cookie/world.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation.rs
@@ -8,7 +8,7 @@
 use super::node::{Forwarded, StoreCall};
 use super::packet::Packet;
 use super::router::Router;
-use super::rules::{Origin, Rules, Violation};
+use super::rules::{Origin, RuleChecker, Violation};
 use super::scenario::{Ablation, Scenario};
 use super::store::{Store, StoreAnswer};
 use bellyoke_core::cookie::exchange::{ExchangeEffect, PeerDatagram};
@@ -63,7 +63,7 @@
         address: SocketAddrV4,
         meant: Option<InstanceId>,
         packet: Packet,
-        in_touch: bool,
+        undisturbed: bool,
     },
     AtClient {
         packet: Packet,
@@ -118,7 +118,7 @@
 /// What came of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Rules that were broken.
+    /// RuleChecker that were broken.
     pub violations: Vec<Violation>,
     /// Requests that came to nothing.
     pub failed: u64,
@@ -129,13 +129,13 @@
     /// Calls to the store.
     pub store_calls: u64,
     /// Messages between nodes.
-    pub heartbeats: u64,
+    pub peer_messages: u64,
     /// Resets that nodes sent for open flows.
     pub resets_by_nodes: u64,
 }
 
-/// The world of one run.
-pub struct World {
+/// The simulation of one run.
+pub struct Simulation {
     scenario: Scenario,
     now: Timestamp,
     events: BTreeMap<(Timestamp, u64), Event>,
@@ -147,7 +147,7 @@
     targets: Vec<RunningTarget>,
     clients: Vec<Client>,
     waiting: Vec<(usize, u64, StoreCall)>,
-    rules: Rules,
+    rules: RuleChecker,
     version: u64,
     /// What the operator has written last, for a store that has lost it.
     newest_configuration: Option<Configuration>,
@@ -155,31 +155,31 @@
     drained_zones: BTreeSet<String>,
     store_disturbed_at: Timestamp,
     store_calls: u64,
-    heartbeats: u64,
+    peer_messages: u64,
 }
 
 /// Plays `scenario` with the randomness of `seed`.
 #[must_use]
-pub fn play(scenario: Scenario, seed: u64) -> Report {
-    let mut world = World::new(scenario, seed);
-    world.run();
-    let mut latencies = std::mem::take(&mut world.rules.latencies);
+pub fn simulate(scenario: Scenario, seed: u64) -> Report {
+    let mut simulation = Simulation::new(scenario, seed);
+    simulation.run();
+    let mut latencies = std::mem::take(&mut simulation.rules.latencies);
     latencies.sort_unstable();
     Report {
-        violations: world.rules.violations().to_vec(),
-        failed: world.rules.failed,
-        served: world.rules.served,
+        violations: simulation.rules.violations().to_vec(),
+        failed: simulation.rules.failed,
+        served: simulation.rules.served,
         latencies,
-        store_calls: world.store_calls,
-        heartbeats: world.heartbeats,
-        resets_by_nodes: world.rules.resets_by_nodes,
+        store_calls: simulation.store_calls,
+        peer_messages: simulation.peer_messages,
+        resets_by_nodes: simulation.rules.resets_by_nodes,
     }
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario, seed: u64) -> Self {
         let router = Router::new(scenario.hash, scenario.nodes);
-        let mut world = Self {
+        let mut simulation = Self {
             router,
             now: CLOCK_START,
             events: BTreeMap::new(),
@@ -190,18 +190,18 @@
             targets: Vec::new(),
             clients: Vec::new(),
             waiting: Vec::new(),
-            rules: Rules::default(),
+            rules: RuleChecker::default(),
             version: 0,
             newest_configuration: None,
             drained_zones: BTreeSet::new(),
             store_disturbed_at: Timestamp::ZERO,
             store_calls: 0,
-            heartbeats: 0,
+            peer_messages: 0,
             scenario,
         };
-        world.store.tells_era = world.scenario.store_reports_era;
-        world.build();
-        world
+        simulation.store.tells_era = simulation.scenario.store_reports_era;
+        simulation.build();
+        simulation
     }
 
     fn build(&mut self) {
@@ -276,8 +276,8 @@
                 address,
                 meant,
                 packet,
-                in_touch,
-            } => self.at_target(address, meant, &packet, in_touch),
+                undisturbed,
+            } => self.at_target(address, meant, &packet, undisturbed),
             Event::AtClient { packet, origin } => self.at_client(&packet, origin),
             Event::StoreCall { node, life, call } => self.store_call(node, life, call),
             Event::WatchExpires { node, life, call } => self.watch_expires(node, life, &call),
@@ -348,7 +348,7 @@
     }
 
     fn forwarded(&mut self, node: usize, forwarded: Forwarded) {
-        let in_touch = self.in_touch(node);
+        let undisturbed = self.undisturbed(node);
         match forwarded {
             Forwarded::To(destination, packet) => {
                 let named = !self.scenario.has_ablation(Ablation::NoInstanceCheck);
@@ -358,12 +358,12 @@
                     address: destination.address,
                     meant,
                     packet,
-                    in_touch,
+                    undisturbed,
                 };
                 self.send_from(node, length, event);
             }
             Forwarded::Reset(packet) => {
-                let origin = Origin::Node { in_touch };
+                let origin = Origin::Node { undisturbed };
                 let length = packet.wire_length();
                 self.send_from(node, length, Event::AtClient { packet, origin });
             }
@@ -409,7 +409,7 @@
     }
 
     fn send_datagram(&mut self, from: usize, to: SocketAddrV4, datagram: PeerDatagram) {
-        self.heartbeats += 1;
+        self.peer_messages += 1;
         if let Some(to) = node_number(to, self.machines.len()) {
             self.send_from(from, PEER_DATAGRAM, Event::Datagram { from, to, datagram });
         }
--- a/crates/bellyoke-lab/src/cookie/world/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/actions.rs
@@ -1,7 +1,7 @@
 //! What a scenario makes happen.
 
 use super::machines::RunningTarget;
-use super::{Event, World};
+use super::{Event, Simulation};
 use crate::cookie::scenario::{
     Action, TARGET_ZONES, configuration, service_address, service_name, zone_name,
 };
@@ -20,7 +20,7 @@
 /// Time after which a target writes its record again.
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-impl World {
+impl Simulation {
     pub(super) fn act(&mut self, action: Action) {
         match action {
             Action::Configure { probe } => self.configure(probe),
@@ -39,12 +39,12 @@
             Action::DrainZone(zone) => {
                 self.drained_zones.insert(zone_name(zone));
                 self.store.drain_zone(self.now, &zone_name(zone));
-                self.rules.zone_drained(self.now, zone);
+                self.rules.record_zone_drain(self.now, zone);
             }
             Action::UndrainZone(zone) => {
                 self.drained_zones.remove(&zone_name(zone));
                 self.store.restore_zone(self.now, &zone_name(zone));
-                self.rules.zone_restored(zone);
+                self.rules.record_zone_undrain(zone);
             }
             Action::ExpireRecords => self.lapse(),
             Action::SetStoreMode(mode) => self.set_store_mode(mode),
@@ -104,7 +104,7 @@
             .collect();
         self.newest_configuration = Some(written.clone());
         self.store.put_configuration(self.now, written);
-        self.rules.configured(self.now, &routes);
+        self.rules.record_configuration(self.now, &routes);
     }
 
     fn set_store_mode(&mut self, mode: StoreMode) {
@@ -131,7 +131,7 @@
             target.draining = true;
         }
         self.store.put_instance(self.now, record);
-        self.rules.leaving(self.now, id);
+        self.rules.record_leaving(self.now, id);
         self.after(serves_for, Event::RecordGoes(id));
         self.after(serves_for, Event::TargetEnds(id));
     }
@@ -140,7 +140,7 @@
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.store.remove_instance(self.now, id);
-        self.rules.leaving(self.now, id);
+        self.rules.record_leaving(self.now, id);
         self.after(serves_for, Event::TargetEnds(id));
     }
 
@@ -228,7 +228,7 @@
     }
 
     fn kill_all(&mut self, down: Duration) {
-        self.rules.killed_all(self.now);
+        self.rules.record_kill_of_all(self.now);
         for node in 0..self.machines.len() {
             self.kill(node, down);
         }
--- a/crates/bellyoke-lab/src/cookie/world/clients.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/clients.rs
@@ -1,6 +1,6 @@
-//! The clients of the world.
+//! The clients of the simulation.
 
-use super::{Event, World};
+use super::{Event, Simulation};
 use crate::cookie::client::{Client, ClientOutput, ClientSettings};
 use crate::cookie::packet::Packet;
 use crate::cookie::rules::Origin;
@@ -9,7 +9,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-impl World {
+impl Simulation {
     /// Clients begin when the nodes have had time to start.
     pub(super) fn add_clients(&mut self) {
         let services = self.scenario.targets.len();
@@ -51,7 +51,7 @@
 
     pub(super) fn client_output(&mut self, output: ClientOutput, origin: Option<Origin>) {
         for event in &output.events {
-            self.rules.client(self.now, event, origin);
+            self.rules.handle_client_event(self.now, event, origin);
         }
         for packet in output.packets {
             let node = packet.flow().and_then(|flow| self.router.choose(flow));
--- a/crates/bellyoke-lab/src/cookie/world/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/machines.rs
@@ -1,10 +1,10 @@
-//! The machines of the world: nodes that run, stand still or are down, and targets.
+//! The machines of the simulation: nodes that run, stand still or are down, and targets.
 
-use super::{CONNECTION_PACKET, Event, NODE_TICK, World, peer_address};
+use super::{CONNECTION_PACKET, Event, NODE_TICK, Simulation, peer_address};
 use crate::cookie::link::{Link, LinkSettings};
 use crate::cookie::node::{Forwarded, Node, StoreCall};
 use crate::cookie::packet::Packet;
-use crate::cookie::rules::{Arrival, CONTACT, Origin};
+use crate::cookie::rules::{Arrival, Origin, UNDISTURBED_PERIOD};
 use crate::cookie::scenario::{TARGET_ZONES, service_name, zone_name};
 use crate::cookie::store::{Store, StoreAnswer, StoreMode};
 use crate::cookie::target::{Target, TargetOutput, TargetSettings};
@@ -99,11 +99,11 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Whether nothing has happened to a node or the store of late.
-    pub(super) fn in_touch(&self, node: usize) -> bool {
+    pub(super) fn undisturbed(&self, node: usize) -> bool {
         let machine = &self.machines[node];
-        let quiet = |since: Timestamp| self.now.since(since) >= CONTACT;
+        let quiet = |since: Timestamp| self.now.since(since) >= UNDISTURBED_PERIOD;
         quiet(machine.disturbed_at) && quiet(self.store_disturbed_at) && !machine.cut_from_store
     }
 
@@ -379,7 +379,7 @@
     }
 
     pub(super) fn end_target(&mut self, id: InstanceId) {
-        self.rules.target_ended(id);
+        self.rules.record_target_end(id);
         if let Some(target) = self.targets.iter_mut().find(|target| target.id == id) {
             target.target = None;
         }
@@ -404,7 +404,7 @@
         address: SocketAddrV4,
         meant: Option<InstanceId>,
         packet: &Packet,
-        in_touch: bool,
+        undisturbed: bool,
     ) {
         let now = self.now;
         // The last one that took the address has it.
@@ -429,20 +429,21 @@
                 target: running.id,
                 service: running.service,
                 zone: index % TARGET_ZONES,
-                in_touch,
+                undisturbed,
             };
-            self.rules.opening_arrives(now, flow, arrival);
+            self.rules.check_opening(now, flow, arrival);
         }
-        self.target_output(index, output, in_touch);
+        self.target_output(index, output, undisturbed);
     }
 
-    pub(super) fn target_output(&mut self, index: usize, output: TargetOutput, in_touch: bool) {
+    pub(super) fn target_output(&mut self, index: usize, output: TargetOutput, undisturbed: bool) {
         let id = self.targets[index].id;
         for event in &output.events {
-            self.rules.target(self.now, id, event, in_touch);
+            self.rules
+                .handle_target_event(self.now, id, event, undisturbed);
         }
         for packet in output.packets {
-            let origin = Origin::Target { id, in_touch };
+            let origin = Origin::Target { id, undisturbed };
             self.send(Event::AtClient { packet, origin });
         }
     }
--- a/crates/bellyoke-lab/tests/cookie_restorations.rs
+++ b/crates/bellyoke-lab/tests/cookie_restorations.rs
@@ -2,8 +2,8 @@
 
 use bellyoke_lab::cookie::rules::Violation;
 use bellyoke_lab::cookie::scenario::{Action, Scenario, TARGET_ZONES};
+use bellyoke_lab::cookie::simulation::{Report, simulate};
 use bellyoke_lab::cookie::store::StoreMode;
-use bellyoke_lab::cookie::world::{Report, play};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -133,7 +133,7 @@
     let days = std::env::var("BELLYOKE_RESTORATION_DAYS");
     let days = days.map_or(DAYS, |days| days.parse().expect("a number of days"));
     let broken = |seed: u64| -> Option<(u64, Vec<Violation>)> {
-        let report: Report = play(day(seed), seed);
+        let report: Report = simulate(day(seed), seed);
         let mut violations = report.violations;
         violations.truncate(3);
         (!violations.is_empty()).then_some((seed, violations))
@@ -156,11 +156,11 @@
         store_reports_era: true,
         ..day(UNSEEN_RESTORATION)
     };
-    assert_eq!(play(scenario, UNSEEN_RESTORATION).violations, []);
+    assert_eq!(simulate(scenario, UNSEEN_RESTORATION).violations, []);
 }
 
 #[test]
 fn a_restoration_that_neither_a_list_nor_an_era_shows_is_noticed() {
-    let report = play(day(UNSEEN_RESTORATION), UNSEEN_RESTORATION);
+    let report = simulate(day(UNSEEN_RESTORATION), UNSEEN_RESTORATION);
     assert_eq!(report.violations, []);
 }
--- a/crates/bellyoke-lab/tests/cookie_restored_store.rs
+++ b/crates/bellyoke-lab/tests/cookie_restored_store.rs
@@ -10,8 +10,8 @@
 
 use bellyoke_lab::cookie::rules::{Rule, Violation};
 use bellyoke_lab::cookie::scenario::{Ablation, Action, Scenario};
+use bellyoke_lab::cookie::simulation::simulate;
 use bellyoke_lab::cookie::store::StoreMode;
-use bellyoke_lab::cookie::world::play;
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..5;
@@ -51,7 +51,7 @@
 }
 
 fn violations(scenario: &Scenario) -> Vec<Violation> {
-    let reports = SEEDS.map(|seed| play(scenario.clone(), seed));
+    let reports = SEEDS.map(|seed| simulate(scenario.clone(), seed));
     reports.flat_map(|report| report.violations).collect()
 }
 
--- a/crates/bellyoke-lab/tests/cookie_rules.rs
+++ b/crates/bellyoke-lab/tests/cookie_rules.rs
@@ -5,8 +5,8 @@
 use bellyoke_lab::cookie::router::RouterHash;
 use bellyoke_lab::cookie::rules::Rule;
 use bellyoke_lab::cookie::scenario::{Ablation, Action, Scenario};
+use bellyoke_lab::cookie::simulation::{Report, simulate};
 use bellyoke_lab::cookie::store::StoreMode;
-use bellyoke_lab::cookie::world::{Report, play};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 /// The scenario breaks nothing and serves `least` of all requests.
 fn holds(scenario: &Scenario, least: f64) {
     for seed in SEEDS {
-        let report = play(scenario.clone(), seed);
+        let report = simulate(scenario.clone(), seed);
         let (served, failed) = (report.served, report.failed);
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(served > 1_000, "seed {seed}: served only {served}");
@@ -48,17 +48,21 @@
         let latencies = report.latencies.into_iter();
         latencies.filter(|latency| *latency >= ms(200)).count()
     };
-    SEEDS.map(|seed| slow(play(scenario.clone(), seed))).sum()
+    SEEDS
+        .map(|seed| slow(simulate(scenario.clone(), seed)))
+        .sum()
 }
 
 fn failed(scenario: &Scenario) -> u64 {
-    SEEDS.map(|seed| play(scenario.clone(), seed).failed).sum()
+    SEEDS
+        .map(|seed| simulate(scenario.clone(), seed).failed)
+        .sum()
 }
 
 /// Without the mechanism the rule is broken with one of the seeds.
 fn needs(scenario: &Scenario, mechanism: Ablation, rule: Rule) {
     let without = scenario.clone().without(mechanism);
-    let found = SEEDS.map(|seed| broken(&play(without.clone(), seed)));
+    let found = SEEDS.map(|seed| broken(&simulate(without.clone(), seed)));
     assert!(
         found.clone().any(|rules| rules.contains(&rule)),
         "{mechanism:?} out, {rule:?} holds all the same: {:?}",
@@ -120,15 +124,15 @@
 
 #[test]
 fn the_same_seed_is_the_same_run() {
-    let [one, other] = [(), ()].map(|()| play(release_and_roll(), 3));
+    let [one, other] = [(), ()].map(|()| simulate(release_and_roll(), 3));
     assert_eq!(one.latencies, other.latencies);
     assert_eq!(
-        (one.failed, one.served, one.store_calls, one.heartbeats),
+        (one.failed, one.served, one.store_calls, one.peer_messages),
         (
             other.failed,
             other.served,
             other.store_calls,
-            other.heartbeats
+            other.peer_messages
         )
     );
 }
@@ -187,7 +191,7 @@
     let alone = vanish_and_roll().without(Ablation::NoPeers);
     for seed in SEEDS {
         assert_eq!(
-            play(alone.clone(), seed).violations,
+            simulate(alone.clone(), seed).violations,
             [],
             "silence breaks nothing"
         );
@@ -313,8 +317,8 @@
 #[test]
 fn nodes_that_start_in_an_outage_learn_from_peers() {
     holds(&roll_in_outage(), 0.99);
-    let alone = play(roll_in_outage().without(Ablation::NoPeers), 1);
-    let with_peers = play(roll_in_outage(), 1);
+    let alone = simulate(roll_in_outage().without(Ablation::NoPeers), 1);
+    let with_peers = simulate(roll_in_outage(), 1);
     assert!(
         alone.served * 10 < with_peers.served * 9,
         "{} of {}",
@@ -369,7 +373,7 @@
     holds(&reuse(), 0.8);
     needs(&reuse_of_all(), Ablation::NoInstanceCheck, Rule::Route);
     for seed in SEEDS {
-        assert_eq!(play(reuse_of_all(), seed).violations, [], "seed {seed}");
+        assert_eq!(simulate(reuse_of_all(), seed).violations, [], "seed {seed}");
     }
 }
 
@@ -405,7 +409,7 @@
 #[test]
 fn no_open_flow_is_reset_while_links_are_full() {
     for seed in SEEDS {
-        let report = play(full_links(), seed);
+        let report = simulate(full_links(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(report.served > 500, "served only {}", report.served);
         assert!(share(&report) < 0.9, "the links are not full");
@@ -428,7 +432,10 @@
     holds(&scenario, 0.9);
     let unprobed = scenario.clone().without(Ablation::NoProbes);
     for seed in SEEDS {
-        let (probed, unprobed) = (play(scenario.clone(), seed), play(unprobed.clone(), seed));
+        let (probed, unprobed) = (
+            simulate(scenario.clone(), seed),
+            simulate(unprobed.clone(), seed),
+        );
         assert!(probed.resets_by_nodes > 0, "seed {seed}");
         assert_eq!(unprobed.resets_by_nodes, 0, "seed {seed}");
         assert!(probed.failed < unprobed.failed, "seed {seed}");
@@ -449,7 +456,7 @@
         scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
-        assert_eq!(play(deaf.clone(), seed).violations, [], "seed {seed}");
+        assert_eq!(simulate(deaf.clone(), seed).violations, [], "seed {seed}");
     }
 }
 
@@ -465,7 +472,7 @@
         scenario = scenario.at(at, Action::Crash { target });
     }
     let resets = |scenario: &Scenario| -> u64 {
-        let reports = SEEDS.map(|seed| play(scenario.clone(), seed));
+        let reports = SEEDS.map(|seed| simulate(scenario.clone(), seed));
         reports.map(|report| report.resets_by_nodes).sum()
     };
     let by_repeats = scenario.clone().without(Ablation::NoIdleFlowResets);
@@ -489,7 +496,7 @@
         scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
-        assert_eq!(play(deaf.clone(), seed).violations, [], "seed {seed}");
+        assert_eq!(simulate(deaf.clone(), seed).violations, [], "seed {seed}");
     }
     needs(&deaf, Ablation::NoRefutations, Rule::Flow);
 }
@@ -513,7 +520,10 @@
     let left_alone = scenario.clone().without(Ablation::NoResets);
     holds(&scenario, 0.95);
     for seed in SEEDS {
-        let (with, without) = (play(scenario.clone(), seed), play(left_alone.clone(), seed));
+        let (with, without) = (
+            simulate(scenario.clone(), seed),
+            simulate(left_alone.clone(), seed),
+        );
         assert!(with.resets_by_nodes > 0, "seed {seed}");
         assert_eq!(without.resets_by_nodes, 0, "seed {seed}");
         assert!(with.failed < without.failed, "seed {seed}");
@@ -699,7 +709,7 @@
             nodes,
             ..release_and_roll()
         };
-        let report = play(scenario, 1);
+        let report = simulate(scenario, 1);
         assert_eq!(report.violations, []);
         report.store_calls - 2 * nodes as u64
     };
@@ -728,7 +738,7 @@
                 .at(12_000, Action::SetStoreMode(mode))
                 .at(22_000, Action::SetStoreMode(StoreMode::Up))
                 .at(22_500, Action::Configure { probe: Some(1) });
-            let report = play(scenario, 1);
+            let report = simulate(scenario, 1);
             assert_eq!(report.violations, []);
             report.store_calls
         };
--- a/crates/bellyoke-lab/tests/cookie_zones.rs
+++ b/crates/bellyoke-lab/tests/cookie_zones.rs
@@ -3,8 +3,8 @@
 
 use bellyoke_lab::cookie::rules::Rule;
 use bellyoke_lab::cookie::scenario::{Ablation, Action, Scenario};
+use bellyoke_lab::cookie::simulation::simulate;
 use bellyoke_lab::cookie::store::StoreMode;
-use bellyoke_lab::cookie::world::play;
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..5;
@@ -24,7 +24,7 @@
 
 fn holds(scenario: &Scenario, least: f64) {
     for seed in SEEDS {
-        let report = play(scenario.clone(), seed);
+        let report = simulate(scenario.clone(), seed);
         let share = report.served as f64 / (report.served + report.failed) as f64;
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(share >= least, "seed {seed}: {share} served");
@@ -34,7 +34,7 @@
 fn breaks(scenario: &Scenario) {
     let blind = scenario.clone().without(Ablation::IgnoreDrainedZones);
     for seed in SEEDS {
-        let violations = play(blind.clone(), seed).violations;
+        let violations = simulate(blind.clone(), seed).violations;
         let mut rules = violations.iter().map(|violation| violation.rule);
         assert!(rules.any(|rule| rule == Rule::ZoneDrain), "seed {seed}");
     }
@@ -85,7 +85,7 @@
     // The probe route can't tell such a refusal from one for want of a route.
     scenario.probe_clients = 0;
     for seed in SEEDS {
-        let report = play(scenario.clone(), seed);
+        let report = simulate(scenario.clone(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(report.failed > 0, "seed {seed}: nothing was refused");
         let slowest = report.latencies.last().unwrap();
