--- a/crates/bellyoke-lab/src/cookie/client.rs
+++ b/crates/bellyoke-lab/src/cookie/client.rs
@@ -1,14 +1,15 @@
-//! A client: one user who sends requests over flows, one after the other.
+//! A client: one user who sends requests over flows, one latency the other.
 
 use super::packet::{Flags, Packet, data_length};
-use super::target::{Answer, FIRST_REPEAT, LONGEST_REPEAT};
+use super::target::{Answer, INITIAL_RETRANSMISSION_DELAY, MAXIMUM_RETRANSMISSION_DELAY};
 use bellyoke_core::cookie::packet::FlowTuple;
 use bellyoke_core::time::Timestamp;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// When copies of an opening are sent, after the first.
-const OPENING_COPIES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+/// When retransmissions of an opening are sent, latency the first.
+const OPENING_RETRANSMISSION_DELAYS: [Duration; 2] =
+    [Duration::from_millis(200), Duration::from_millis(600)];
 
 /// When an opening is given up.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(1_400);
@@ -23,7 +24,7 @@
     /// Requests over one flow before it is closed.
     pub requests_per_flow: u32,
     /// Rest between two requests.
-    pub pause: Duration,
+    pub think_time: Duration,
     /// How long it waits for an answer, from its first try.
     pub deadline: Duration,
     /// How often it tries a request again over a new flow when its flow was reset.
@@ -48,8 +49,8 @@
         flow: FlowTuple,
         /// Whether it was open.
         open: bool,
-        /// Whether no request was lost by it: it is tried again, or the flow rested.
-        retried: bool,
+        /// Whether no request was lost by it: it is tried again, or the flow was_idle.
+        without_loss: bool,
     },
     /// An answer has come.
     Answered {
@@ -59,13 +60,13 @@
         request: u64,
         /// What the answer says.
         answer: Answer,
-        /// Time since the request was first tried.
-        after: Duration,
+        /// Time started_at the request was first tried.
+        latency: Duration,
     },
     /// Something that is no answer to what was asked has come.
-    Garbled(FlowTuple),
+    MalformedAnswer(FlowTuple),
     /// The request was given up.
-    GivenUp {
+    TimedOut {
         /// The flow.
         flow: FlowTuple,
         /// The request's number; none if the flow never opened.
@@ -84,28 +85,28 @@
 
 #[derive(Debug)]
 enum State {
-    Resting {
+    Idle {
         until: Timestamp,
     },
     Opening {
-        first_tried: Timestamp,
-        since: Timestamp,
-        copies: u32,
+        first_tried_at: Timestamp,
+        started_at: Timestamp,
+        retransmissions: u32,
     },
-    Waiting {
+    AwaitingAnswer {
         request: u64,
         packet: Packet,
-        since: Timestamp,
-        due: Timestamp,
-        pause: Duration,
+        first_tried_at: Timestamp,
+        due_at: Timestamp,
+        retransmission_delay: Duration,
         acknowledged: bool,
     },
 }
 
 #[derive(Debug)]
 struct OpenFlow {
-    next: u32,
-    expected: u32,
+    next_sequence: u32,
+    expected_sequence: u32,
     echo: u32,
     requests: u32,
 }
@@ -120,7 +121,7 @@
     open: Option<OpenFlow>,
     next_request: u64,
     /// Times that the request under way was tried again.
-    retried: u32,
+    retries: u32,
 }
 
 impl Client {
@@ -131,10 +132,10 @@
         Self {
             settings,
             port: 1_024,
-            state: State::Resting { until: start },
+            state: State::Idle { until: start },
             open: None,
             next_request: first_request,
-            retried: 0,
+            retries: 0,
         }
     }
 
@@ -149,39 +150,45 @@
     pub fn tick(&mut self, now: Timestamp) -> ClientOutput {
         let mut output = ClientOutput::default();
         match &mut self.state {
-            State::Resting { until } if *until <= now => {
+            State::Idle { until } if *until <= now => {
                 if self.open.is_some() {
                     self.request(now, now, &mut output);
                 } else {
-                    self.begin(now, now, &mut output);
+                    self.open_flow(now, now, &mut output);
                 }
             }
-            State::Resting { .. } => {}
-            State::Opening { since, copies, .. } => {
-                let waited = now.since(*since);
+            State::Idle { .. } => {}
+            State::Opening {
+                started_at,
+                retransmissions,
+                ..
+            } => {
+                let waited = now.since(*started_at);
                 if waited >= OPENING_TIMEOUT {
-                    self.give_up(now, &mut output);
-                } else if let Some(due) = OPENING_COPIES.get(*copies as usize)
-                    && waited >= *due
+                    self.time_out(now, &mut output);
+                } else if let Some(delay) =
+                    OPENING_RETRANSMISSION_DELAYS.get(*retransmissions as usize)
+                    && waited >= *delay
                 {
-                    *copies += 1;
-                    let copy = *copies;
-                    output.packets.push(self.opening(copy));
+                    *retransmissions += 1;
+                    let attempt = *retransmissions;
+                    output.packets.push(self.opening(attempt));
                 }
             }
-            State::Waiting {
+            State::AwaitingAnswer {
                 packet,
-                since,
-                due,
-                pause,
+                first_tried_at,
+                due_at,
+                retransmission_delay,
                 acknowledged,
                 ..
             } => {
-                if now.since(*since) >= self.settings.deadline {
-                    self.give_up(now, &mut output);
-                } else if !*acknowledged && *due <= now {
-                    *pause = (*pause * 2).min(LONGEST_REPEAT);
-                    *due = now.after(*pause);
+                if now.since(*first_tried_at) >= self.settings.deadline {
+                    self.time_out(now, &mut output);
+                } else if !*acknowledged && *due_at <= now {
+                    *retransmission_delay =
+                        (*retransmission_delay * 2).min(MAXIMUM_RETRANSMISSION_DELAY);
+                    *due_at = now.after(*retransmission_delay);
                     let packet = packet.clone();
                     output.packets.push(packet);
                 }
@@ -191,7 +198,7 @@
     }
 
     /// A packet has come.
-    pub fn packet(&mut self, now: Timestamp, packet: &Packet) -> ClientOutput {
+    pub fn handle_packet(&mut self, now: Timestamp, packet: &Packet) -> ClientOutput {
         let mut output = ClientOutput::default();
         let flow = self.flow();
         if packet.source != Some(flow.service) || packet.destination != Some(flow.client) {
@@ -207,16 +214,16 @@
         output
     }
 
-    fn begin(&mut self, now: Timestamp, first_tried: Timestamp, output: &mut ClientOutput) {
+    fn open_flow(&mut self, now: Timestamp, first_tried_at: Timestamp, output: &mut ClientOutput) {
         self.port = if self.port == u16::MAX {
             1_024
         } else {
             self.port + 1
         };
         self.state = State::Opening {
-            first_tried,
-            since: now,
-            copies: 0,
+            first_tried_at,
+            started_at: now,
+            retransmissions: 0,
         };
         output.events.push(ClientEvent::OpeningSent(self.flow()));
         output.packets.push(self.opening(0));
@@ -247,19 +254,19 @@
             open.echo = packet.echo;
             return;
         }
-        let State::Opening { first_tried, .. } = self.state else {
+        let State::Opening { first_tried_at, .. } = self.state else {
             return;
         };
         self.open = Some(OpenFlow {
-            next: self.first_sequence().wrapping_add(1),
-            expected: packet.sequence.wrapping_add(1),
+            next_sequence: self.first_sequence().wrapping_add(1),
+            expected_sequence: packet.sequence.wrapping_add(1),
             echo: packet.echo,
             requests: 0,
         });
-        self.request(now, first_tried, output);
+        self.request(now, first_tried_at, output);
     }
 
-    fn request(&mut self, now: Timestamp, since: Timestamp, output: &mut ClientOutput) {
+    fn request(&mut self, now: Timestamp, first_tried_at: Timestamp, output: &mut ClientOutput) {
         let flow = self.flow();
         let request = self.next_request;
         self.next_request += 1;
@@ -268,12 +275,12 @@
         };
         open.requests += 1;
         let packet = flow_packet(flow, open, request.to_be_bytes().to_vec());
-        self.state = State::Waiting {
+        self.state = State::AwaitingAnswer {
             request,
             packet: packet.clone(),
-            since,
-            due: now.after(FIRST_REPEAT),
-            pause: FIRST_REPEAT,
+            first_tried_at,
+            due_at: now.after(INITIAL_RETRANSMISSION_DELAY),
+            retransmission_delay: INITIAL_RETRANSMISSION_DELAY,
             acknowledged: false,
         };
         output
@@ -288,10 +295,10 @@
             return;
         };
         open.echo = packet.echo;
-        let State::Waiting {
+        let State::AwaitingAnswer {
             request,
             packet: sent,
-            since,
+            first_tried_at,
             acknowledged,
             ..
         } = &mut self.state
@@ -309,91 +316,97 @@
         if packet.data.is_empty() {
             return;
         }
-        if packet.sequence != open.expected {
+        if packet.sequence != open.expected_sequence {
             output.packets.push(flow_packet(flow, open, Vec::new()));
             return;
         }
-        open.next = sent.sequence.wrapping_add(data_length(&sent.data));
-        open.expected = open.expected.wrapping_add(data_length(&packet.data));
+        open.next_sequence = sent.sequence.wrapping_add(data_length(&sent.data));
+        open.expected_sequence = open
+            .expected_sequence
+            .wrapping_add(data_length(&packet.data));
         output.packets.push(flow_packet(flow, open, Vec::new()));
         if packet.flags.fin {
             open.requests = self.settings.requests_per_flow;
         }
-        let (request, after) = (*request, now.since(*since));
+        let (request, latency) = (*request, now.since(*first_tried_at));
         match Answer::decode(&packet.data) {
             Some(answer) => output.events.push(ClientEvent::Answered {
                 flow,
                 request,
                 answer,
-                after,
+                latency,
             }),
-            None => output.events.push(ClientEvent::Garbled(flow)),
+            None => output.events.push(ClientEvent::MalformedAnswer(flow)),
         }
-        self.rest(now, output);
+        self.finish_request(now, output);
     }
 
-    fn rest(&mut self, now: Timestamp, output: &mut ClientOutput) {
-        self.retried = 0;
+    fn finish_request(&mut self, now: Timestamp, output: &mut ClientOutput) {
+        self.retries = 0;
         let flow = self.flow();
         if let Some(open) = &self.open
             && open.requests >= self.settings.requests_per_flow
         {
-            let mut end = flow_packet(flow, open, Vec::new());
-            end.flags.fin = true;
-            output.packets.push(end);
+            let mut closing = flow_packet(flow, open, Vec::new());
+            closing.flags.fin = true;
+            output.packets.push(closing);
             self.open = None;
         }
-        self.state = State::Resting {
-            until: now.after(self.settings.pause),
+        self.state = State::Idle {
+            until: now.after(self.settings.think_time),
         };
     }
 
     fn reset(&mut self, now: Timestamp, output: &mut ClientOutput) {
         let flow = self.flow();
         let open = self.open.is_some();
-        if matches!(self.state, State::Resting { .. }) && !open {
+        if matches!(self.state, State::Idle { .. }) && !open {
             return;
         }
-        let rested = matches!(self.state, State::Resting { .. });
-        let first_tried = match &self.state {
-            State::Waiting { since, .. } if self.retried < self.settings.retries => Some(*since),
+        let was_idle = matches!(self.state, State::Idle { .. });
+        let first_tried_at = match &self.state {
+            State::AwaitingAnswer { first_tried_at, .. }
+                if self.retries < self.settings.retries =>
+            {
+                Some(*first_tried_at)
+            }
             _ => None,
         };
         output.events.push(ClientEvent::Reset {
             flow,
             open,
-            retried: first_tried.is_some() || rested,
+            without_loss: first_tried_at.is_some() || was_idle,
         });
         self.open = None;
-        if rested {
+        if was_idle {
             return;
         }
-        if let Some(first_tried) = first_tried {
-            self.retried += 1;
-            self.begin(now, first_tried, output);
+        if let Some(first_tried_at) = first_tried_at {
+            self.retries += 1;
+            self.open_flow(now, first_tried_at, output);
             return;
         }
-        self.retried = 0;
-        self.state = State::Resting {
-            until: now.after(self.settings.pause),
+        self.retries = 0;
+        self.state = State::Idle {
+            until: now.after(self.settings.think_time),
         };
     }
 
-    fn give_up(&mut self, now: Timestamp, output: &mut ClientOutput) {
+    fn time_out(&mut self, now: Timestamp, output: &mut ClientOutput) {
         let flow = self.flow();
         let request = match &self.state {
-            State::Waiting { request, .. } => Some(*request),
-            State::Opening { .. } | State::Resting { .. } => None,
+            State::AwaitingAnswer { request, .. } => Some(*request),
+            State::Opening { .. } | State::Idle { .. } => None,
         };
         if let Some(open) = self.open.take() {
-            let mut end = flow_packet(flow, &open, Vec::new());
-            end.flags.rst = true;
-            output.packets.push(end);
+            let mut closing = flow_packet(flow, &open, Vec::new());
+            closing.flags.rst = true;
+            output.packets.push(closing);
         }
-        output.events.push(ClientEvent::GivenUp { flow, request });
-        self.retried = 0;
-        self.state = State::Resting {
-            until: now.after(self.settings.pause),
+        output.events.push(ClientEvent::TimedOut { flow, request });
+        self.retries = 0;
+        self.state = State::Idle {
+            until: now.after(self.settings.think_time),
         };
     }
 }
@@ -407,8 +420,8 @@
             ..Flags::default()
         },
         echo: open.echo,
-        sequence: open.next,
-        acknowledged: open.expected,
+        sequence: open.next_sequence,
+        acknowledged: open.expected_sequence,
         data,
     }
 }
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -212,7 +212,7 @@
     }
 
     /// A packet has come. `last` tells that the socket is empty after it.
-    pub fn packet(&mut self, now: Timestamp, packet: &Packet, last: bool) -> Forwarded {
+    pub fn handle_packet(&mut self, now: Timestamp, packet: &Packet, last: bool) -> Forwarded {
         let Some(view) = packet.product_view() else {
             return Forwarded::Dropped;
         };
--- a/crates/bellyoke-lab/src/cookie/router.rs
+++ b/crates/bellyoke-lab/src/cookie/router.rs
@@ -39,7 +39,7 @@
     }
 
     /// A node was asked whether it is ready.
-    pub fn polled(&mut self, node: usize, ready: bool) {
+    pub fn record_poll(&mut self, node: usize, ready: bool) {
         let view = &mut self.nodes[node];
         if ready {
             view.known = true;
--- a/crates/bellyoke-lab/src/cookie/rules.rs
+++ b/crates/bellyoke-lab/src/cookie/rules.rs
@@ -10,28 +10,28 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A configuration is in force so long after it was accepted.
+/// A configuration is in force so long latency it was accepted.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
-/// A leaving target gets no new flow so long after its leaving was accepted.
+/// A leaving target gets no new flow so long latency its leaving was accepted.
 pub const DRAIN_BOUND: Duration = Duration::from_secs(3);
 
 /// An undisturbed machine is one that was so for this long.
 pub const UNDISTURBED_PERIOD: Duration = Duration::from_secs(4);
 
-/// Nodes serve again so long after all were killed.
+/// Nodes serve again so long latency all were killed.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 
-/// Packets of a flow that go astray for so long break it.
-const REORDERING: Duration = Duration::from_secs(2);
+/// Packets of a flow that go misrouted for so long break it.
+const REORDERING_WINDOW: Duration = Duration::from_secs(2);
 
-/// Packets astray that break a flow.
-const ASTRAY: usize = 3;
+/// Packets misrouted that break a flow.
+const MISROUTED_PACKETS_THRESHOLD: usize = 3;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A client gets its own whole answer.
+    /// A client gets its is_own whole answer.
     OwnAnswer,
     /// Only requests that were sent run.
     OnlyAsked,
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 struct OpenFlow {
     target: InstanceId,
-    /// Arrivals of late: when, and whether at its own target.
+    /// Arrivals of late: when, and whether at its is_own target.
     arrivals: VecDeque<(Timestamp, bool)>,
 }
 
@@ -117,9 +117,9 @@
     drained_zones: BTreeMap<usize, Timestamp>,
     open: BTreeMap<(SocketAddrV4, SocketAddrV4), OpenFlow>,
     opening_sent: BTreeMap<(SocketAddrV4, SocketAddrV4), Timestamp>,
-    killed_all_at: Option<Timestamp>,
-    late_asked: u64,
-    late_served: u64,
+    all_killed_at: Option<Timestamp>,
+    recovery_openings: u64,
+    recovery_served: u64,
     /// Requests that came to nothing, those included whose flow never opened.
     pub failed: u64,
     /// Requests answered with success.
@@ -173,7 +173,7 @@
 
     /// All nodes were killed.
     pub const fn record_kill_of_all(&mut self, now: Timestamp) {
-        self.killed_all_at = Some(now);
+        self.all_killed_at = Some(now);
     }
 
     /// A target ended: details happens to its flows from here on is nobody's fault.
@@ -182,29 +182,29 @@
     }
 
     /// An opening reaches a target that takes it.
-    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
+    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, record_arrival: Arrival) {
         let Arrival {
             target,
             service,
             zone,
             undisturbed,
-        } = arrival;
+        } = record_arrival;
         if !self.routed.contains(&(flow.service, service)) {
             let details = format!("an opening to {} ran at service {service}", flow.service);
-            self.violate(Rule::Route, now, details);
+            self.add_violation(Rule::Route, now, details);
         }
         let left = self.leaving.get(&target);
         if undisturbed && left.is_some_and(|left| now.since(*left) > DRAIN_BOUND) {
             let details = format!("an opening reached target {target}, which had left");
-            self.violate(Rule::Drain, now, details);
+            self.add_violation(Rule::Drain, now, details);
         }
         let drained = self.drained_zones.get(&zone);
         if undisturbed && drained.is_some_and(|drained| now.since(*drained) > DRAIN_BOUND) {
             let details = format!("an opening reached target {target} in drained zone {zone}");
-            self.violate(Rule::ZoneDrain, now, details);
+            self.add_violation(Rule::ZoneDrain, now, details);
         }
         if flow.service == PROBE_ADDRESS && undisturbed {
-            self.judge_probe(now, flow, Some(service));
+            self.check_probe(now, flow, Some(service));
         }
     }
 
@@ -217,24 +217,26 @@
         undisturbed: bool,
     ) {
         match event {
-            TargetEvent::Opened(flow) => {
+            TargetEvent::FlowOpened(flow) => {
                 let open = OpenFlow {
                     target: id,
                     arrivals: VecDeque::new(),
                 };
                 self.open.insert(key(*flow), open);
             }
-            TargetEvent::Own(flow) => self.arrival(now, *flow, true),
-            TargetEvent::Foreign(flow) if undisturbed => self.arrival(now, *flow, false),
-            TargetEvent::Foreign(_) => {}
-            TargetEvent::Ran { request, .. } => {
+            TargetEvent::KnownFlowPacket(flow) => self.record_arrival(now, *flow, true),
+            TargetEvent::UnknownFlowPacket(flow) if undisturbed => {
+                self.record_arrival(now, *flow, false)
+            }
+            TargetEvent::UnknownFlowPacket(_) => {}
+            TargetEvent::RequestStarted { request, .. } => {
                 if !self.sent.contains(request) {
                     let details = format!("request {request} was never sent");
-                    self.violate(Rule::OnlyAsked, now, details);
+                    self.add_violation(Rule::OnlyAsked, now, details);
                 }
                 if !self.ran.insert(*request) {
                     let details = format!("request {request} ran again");
-                    self.violate(Rule::Once, now, details);
+                    self.add_violation(Rule::Once, now, details);
                 }
             }
         }
@@ -250,7 +252,7 @@
         match event {
             ClientEvent::OpeningSent(flow) => {
                 self.opening_sent.insert(key(*flow), now);
-                self.count_late(now, false);
+                self.count_after_recovery(now, false);
             }
             ClientEvent::RequestSent { request, .. } => {
                 self.sent.insert(*request);
@@ -258,33 +260,34 @@
             ClientEvent::Reset {
                 flow,
                 open,
-                retried,
+                without_loss,
             } => {
                 let probed_without_route = flow.service == PROBE_ADDRESS && !open;
-                self.failed += u64::from(!probed_without_route && !retried);
-                self.reset(now, *flow, *open, origin);
+                self.failed += u64::from(!probed_without_route && !without_loss);
+                self.handle_reset(now, *flow, *open, origin);
             }
             ClientEvent::Answered {
                 flow,
                 request,
                 answer,
-                after,
+                latency,
             } => {
-                if answer.request != *request || self.answered_by_another(*flow, answer.target) {
+                if answer.request != *request || self.answered_by_other_target(*flow, answer.target)
+                {
                     let details = format!("request {request} got another answer");
-                    self.violate(Rule::OwnAnswer, now, details);
+                    self.add_violation(Rule::OwnAnswer, now, details);
                 }
-                if answer.ran {
+                if answer.executed {
                     self.served += 1;
-                    self.latencies.push(*after);
-                    self.count_late(now, true);
+                    self.latencies.push(*latency);
+                    self.count_after_recovery(now, true);
                 }
             }
-            ClientEvent::Garbled(flow) => {
+            ClientEvent::MalformedAnswer(flow) => {
                 let details = format!("{} got no answer but bytes", flow.client);
-                self.violate(Rule::OwnAnswer, now, details);
+                self.add_violation(Rule::OwnAnswer, now, details);
             }
-            ClientEvent::GivenUp { flow, .. } => {
+            ClientEvent::TimedOut { flow, .. } => {
                 self.failed += 1;
                 self.open.remove(&key(*flow));
             }
@@ -293,73 +296,82 @@
 
     /// The run is over.
     pub fn finish(&mut self, now: Timestamp) {
-        let recovered = self.late_served * 4 >= self.late_asked;
-        if self.killed_all_at.is_some() && !recovered {
-            let details = format!("{} of {} served", self.late_served, self.late_asked);
-            self.violate(Rule::Recovery, now, details);
+        let recovered = self.recovery_served * 4 >= self.recovery_openings;
+        if self.all_killed_at.is_some() && !recovered {
+            let details = format!(
+                "{} of {} served",
+                self.recovery_served, self.recovery_openings
+            );
+            self.add_violation(Rule::Recovery, now, details);
         }
     }
 
-    fn answered_by_another(&self, flow: FlowTuple, target: u64) -> bool {
+    fn answered_by_other_target(&self, flow: FlowTuple, target: u64) -> bool {
         let open = self.open.get(&key(flow));
         target != 0 && open.is_some_and(|open| open.target.0 != target)
     }
 
-    fn count_late(&mut self, now: Timestamp, served: bool) {
+    fn count_after_recovery(&mut self, now: Timestamp, served: bool) {
         let late = |killed: Timestamp| now.since(killed) > RECOVERY_BOUND;
-        if !self.killed_all_at.is_some_and(late) {
+        if !self.all_killed_at.is_some_and(late) {
             return;
         }
         if served {
-            self.late_served += 1;
+            self.recovery_served += 1;
         } else {
-            self.late_asked += 1;
+            self.recovery_openings += 1;
         }
     }
 
-    fn arrival(&mut self, now: Timestamp, flow: FlowTuple, own: bool) {
+    fn record_arrival(&mut self, now: Timestamp, flow: FlowTuple, is_own: bool) {
         let Some(open) = self.open.get_mut(&key(flow)) else {
             return;
         };
-        open.arrivals.push_back((now, own));
+        open.arrivals.push_back((now, is_own));
         while let Some((at, _)) = open.arrivals.front()
-            && now.since(*at) > REORDERING
+            && now.since(*at) > REORDERING_WINDOW
         {
             open.arrivals.pop_front();
         }
-        let astray = open.arrivals.iter().filter(|(_, own)| !own).count();
-        if astray >= ASTRAY && astray == open.arrivals.len() {
-            let details = format!("packets of {} go astray", flow.client);
+        let misrouted = open.arrivals.iter().filter(|(_, is_own)| !is_own).count();
+        if misrouted >= MISROUTED_PACKETS_THRESHOLD && misrouted == open.arrivals.len() {
+            let details = format!("packets of {} go misrouted", flow.client);
             self.open.remove(&key(flow));
-            self.violate(Rule::Flow, now, details);
+            self.add_violation(Rule::Flow, now, details);
         }
     }
 
-    fn reset(&mut self, now: Timestamp, flow: FlowTuple, open: bool, origin: Option<Origin>) {
-        let held = self.open.remove(&key(flow));
+    fn handle_reset(
+        &mut self,
+        now: Timestamp,
+        flow: FlowTuple,
+        open: bool,
+        origin: Option<Origin>,
+    ) {
+        let flow_state = self.open.remove(&key(flow));
         if open && matches!(origin, Some(Origin::Node { .. })) {
             self.resets_by_nodes += 1;
         }
-        let blamed = match (origin, &held) {
+        let is_violation = match (origin, &flow_state) {
             (Some(Origin::Node { undisturbed }), _) => undisturbed,
-            (Some(Origin::Target { id, undisturbed }), Some(held)) => {
-                id != held.target && undisturbed
+            (Some(Origin::Target { id, undisturbed }), Some(flow_state)) => {
+                id != flow_state.target && undisturbed
             }
             _ => false,
         };
-        if open && held.is_some() && blamed {
-            let details = format!("{} was reset by {origin:?}", flow.client);
-            self.violate(Rule::Flow, now, details);
+        if open && flow_state.is_some() && is_violation {
+            let details = format!("{} was handle_reset by {origin:?}", flow.client);
+            self.add_violation(Rule::Flow, now, details);
         }
         let refused_by_node = matches!(origin, Some(Origin::Node { undisturbed: true }));
         if !open && refused_by_node && flow.service == PROBE_ADDRESS {
-            self.judge_probe(now, flow, None);
+            self.check_probe(now, flow, None);
         }
     }
 
-    /// An opening must not be handled as only a version allows that was overtaken when it was
+    /// An opening must not be handled_by as only a version allows that was overtaken when it was
     /// sent.
-    fn judge_probe(&mut self, now: Timestamp, flow: FlowTuple, handled: Option<usize>) {
+    fn check_probe(&mut self, now: Timestamp, flow: FlowTuple, handled_by: Option<usize>) {
         let Some(sent) = self.opening_sent.get(&key(flow)) else {
             return;
         };
@@ -368,15 +380,16 @@
         let oldest = self.versions.iter().rposition(in_force).unwrap_or(0);
         let allowed = self.versions[oldest..]
             .iter()
-            .any(|version| version.probe == handled);
+            .any(|version| version.probe == handled_by);
         if !allowed {
-            let details =
-                format!("a probe was handled as {handled:?}, as only an older version allows");
-            self.violate(Rule::Configuration, now, details);
+            let details = format!(
+                "a probe was handled_by as {handled_by:?}, as only an older version allows"
+            );
+            self.add_violation(Rule::Configuration, now, details);
         }
     }
 
-    fn violate(&mut self, rule: Rule, at: Timestamp, details: String) {
+    fn add_violation(&mut self, rule: Rule, at: Timestamp, details: String) {
         self.violations.push(Violation { rule, at, details });
     }
 }
--- a/crates/bellyoke-lab/src/cookie/simulation.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation.rs
@@ -199,7 +199,7 @@
             peer_messages: 0,
             scenario,
         };
-        simulation.store.tells_era = simulation.scenario.store_reports_era;
+        simulation.store.reports_era = simulation.scenario.store_reports_era;
         simulation.build();
         simulation
     }
@@ -331,7 +331,7 @@
 
     fn poll(&mut self) {
         for (number, machine) in self.machines.iter().enumerate() {
-            self.router.polled(number, machine.answers_ready());
+            self.router.record_poll(number, machine.answers_ready());
         }
         self.after(POLL, Event::Poll);
     }
@@ -341,7 +341,7 @@
             MachineState::Down => {}
             MachineState::Frozen { backlog, .. } => backlog.push(packet),
             MachineState::Running(process) => {
-                let forwarded = process.packet(self.now, &packet, true);
+                let forwarded = process.handle_packet(self.now, &packet, true);
                 self.forwarded(node, forwarded);
             }
         }
--- a/crates/bellyoke-lab/src/cookie/simulation/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/actions.rs
@@ -43,7 +43,7 @@
             }
             Action::UndrainZone(zone) => {
                 self.drained_zones.remove(&zone_name(zone));
-                self.store.restore_zone(self.now, &zone_name(zone));
+                self.store.undrain_zone(self.now, &zone_name(zone));
                 self.rules.record_zone_undrain(zone);
             }
             Action::ExpireRecords => self.lapse(),
@@ -52,7 +52,7 @@
                 self.store_disturbed_at = self.now;
                 self.store.compact();
             }
-            Action::BackUpStore => self.store.take_copy(),
+            Action::BackUpStore => self.store.back_up(),
             Action::RestoreStore => self.restore_store(),
             Action::SetStaleness(staleness) => {
                 self.store_disturbed_at = self.now;
@@ -153,7 +153,7 @@
 
     fn write_late(&mut self, target: usize) {
         let running = &self.targets[target];
-        let settings = TargetSettings::usual(running.id, service_name(running.service));
+        let settings = TargetSettings::with_defaults(running.id, service_name(running.service));
         let record = settings.record(running.address, zone_name(target % TARGET_ZONES));
         self.store.put_instance(self.now, record);
         self.after(HEARTBEATS_MISSED, Event::RecordGoes(settings.id));
@@ -210,7 +210,7 @@
             self.store.drain_zone(self.now, zone);
         }
         for zone in held.difference(&self.drained_zones) {
-            self.store.restore_zone(self.now, zone);
+            self.store.undrain_zone(self.now, zone);
         }
     }
 
--- a/crates/bellyoke-lab/src/cookie/simulation/clients.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/clients.rs
@@ -22,7 +22,7 @@
             (self.scenario.short_clients, 1, Duration::from_millis(150)),
             (self.scenario.probe_clients, 1, Duration::from_millis(250)),
         ];
-        for (group, (count, requests_per_flow, pause)) in counts.into_iter().enumerate() {
+        for (group, (count, requests_per_flow, think_time)) in counts.into_iter().enumerate() {
             for index in 0..count {
                 let number = self.clients.len();
                 let low = u8::try_from(number % 250).unwrap_or_default();
@@ -35,7 +35,7 @@
                     address: Ipv4Addr::new(100, 64, high, low),
                     service,
                     requests_per_flow,
-                    pause,
+                    think_time,
                     deadline: Duration::from_millis(1_500),
                     retries: if requests_per_flow > 1 { 2 } else { 0 },
                 };
@@ -71,7 +71,7 @@
             .iter()
             .position(|client| client.settings.address == *destination.ip());
         if let Some(index) = index {
-            let output = self.clients[index].packet(now, packet);
+            let output = self.clients[index].handle_packet(now, packet);
             self.client_output(output, Some(origin));
         }
     }
--- a/crates/bellyoke-lab/src/cookie/simulation/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/machines.rs
@@ -181,7 +181,7 @@
         let forwarded: Vec<_> = backlog
             .iter()
             .enumerate()
-            .map(|(index, packet)| process.packet(self.now, packet, index + 1 == count))
+            .map(|(index, packet)| process.handle_packet(self.now, packet, index + 1 == count))
             .collect();
         self.machines[node].state = MachineState::Running(process);
         for forwarded in forwarded {
@@ -330,7 +330,7 @@
             node,
             life,
             number: call.number,
-            era: self.store.told_era(),
+            era: self.store.reported_era(),
             answer,
         };
         self.after(super::DELAY, event);
@@ -365,7 +365,7 @@
         let own = SocketAddrV4::new(Ipv4Addr::new(10, 2, high, low), 8_000);
         let address = address.unwrap_or(own);
         let id = InstanceId(u64::from(self.random.random::<u32>() | 1));
-        let settings = TargetSettings::usual(id, service_name(service));
+        let settings = TargetSettings::with_defaults(id, service_name(service));
         let record = settings.record(address, zone_name(number % TARGET_ZONES));
         self.store.put_instance(self.now, record.clone());
         self.targets.push(RunningTarget {
@@ -420,7 +420,7 @@
         let Some(target) = &mut running.target else {
             return;
         };
-        let output = target.packet(now, meant, packet);
+        let output = target.handle_packet(now, meant, packet);
         if let Some(flow) = packet.flow()
             && packet.flags.syn
             && takes
--- a/crates/bellyoke-lab/src/cookie/store.rs
+++ b/crates/bellyoke-lab/src/cookie/store.rs
@@ -118,7 +118,7 @@
     /// How much older than the newest state a stale read is.
     pub staleness: Duration,
     /// Whether answers tell the era.
-    pub tells_era: bool,
+    pub reports_era: bool,
     era: StoreEra,
     revision: Revision,
     instances: BTreeMap<InstanceId, InstanceRecord>,
@@ -135,7 +135,7 @@
             mode: StoreMode::Up,
             page: 50,
             staleness: Duration::ZERO,
-            tells_era: true,
+            reports_era: true,
             era: StoreEra(0),
             revision: Revision::new(1),
             instances: BTreeMap::new(),
@@ -197,7 +197,7 @@
     }
 
     /// Takes a drained zone back.
-    pub fn restore_zone(&mut self, now: Timestamp, zone: &str) {
+    pub fn undrain_zone(&mut self, now: Timestamp, zone: &str) {
         if self.drained_zones.remove(zone).is_some() {
             let revision = self.advance();
             let change = Change::Zone(ZoneEvent::Undrained(zone.to_owned()));
@@ -206,7 +206,7 @@
     }
 
     /// Copies all objects, for [`Self::restore`].
-    pub fn take_copy(&mut self) {
+    pub fn back_up(&mut self) {
         self.copy = Some(Copy {
             revision: self.revision,
             instances: self.instances.clone(),
@@ -243,8 +243,8 @@
 
     /// The era that answers tell, if they do.
     #[must_use]
-    pub fn told_era(&self) -> Option<StoreEra> {
-        self.tells_era.then_some(self.era)
+    pub fn reported_era(&self) -> Option<StoreEra> {
+        self.reports_era.then_some(self.era)
     }
 
     /// The configuration.
--- a/crates/bellyoke-lab/src/cookie/target.rs
+++ b/crates/bellyoke-lab/src/cookie/target.rs
@@ -1,4 +1,4 @@
-//! A target: a backend that takes packets of flows and answers its clients directly.
+//! A target: a backend that takes packets of flow_state and answers its clients directly.
 
 use super::packet::{Flags, Packet, data_length};
 use bellyoke_core::cookie::instance::{InstanceId, InstanceRecord, InstanceState};
@@ -9,14 +9,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Time after which unacknowledged data is sent again; doubles up to [`LONGEST_REPEAT`].
-pub const FIRST_REPEAT: Duration = Duration::from_millis(200);
+/// Time after which unacknowledged data is sent again; doubles up to [`MAXIMUM_RETRANSMISSION_DELAY`].
+pub const INITIAL_RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
 /// Longest time between two repeats.
-pub const LONGEST_REPEAT: Duration = Duration::from_millis(1_600);
+pub const MAXIMUM_RETRANSMISSION_DELAY: Duration = Duration::from_millis(1_600);
 
 /// Repeats after which a target gives a flow up.
-const MOST_REPEATS: u32 = 8;
+const MAXIMUM_RETRANSMISSIONS: u32 = 8;
 
 /// What a target is built from.
 #[derive(Clone, Debug)]
@@ -28,24 +28,24 @@
     /// Requests that it works on at once.
     pub slots: usize,
     /// Requests that wait; further ones are answered with a refusal.
-    pub queue: usize,
+    pub maximum_queued_requests: usize,
     /// Flows that it holds; beyond them it is silent to openings.
-    pub flows: usize,
+    pub maximum_flows: usize,
     /// How long a request takes.
-    pub work: Duration,
+    pub work_duration: Duration,
 }
 
 impl TargetSettings {
-    /// The settings that runs use: two slots, a short queue, work of 10 ms.
+    /// The settings that runs use: two slots, a short maximum_queued_requests, finished of 10 ms.
     #[must_use]
-    pub fn usual(id: InstanceId, service: String) -> Self {
+    pub fn with_defaults(id: InstanceId, service: String) -> Self {
         Self {
             id,
             service,
             slots: 2,
-            queue: 8,
-            flows: 2_000,
-            work: Duration::from_millis(10),
+            maximum_queued_requests: 8,
+            maximum_flows: 2_000,
+            work_duration: Duration::from_millis(10),
         }
     }
 
@@ -71,13 +71,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetEvent {
     /// A flow opened.
-    Opened(FlowTuple),
-    /// A packet of a flow that is not held here.
-    Foreign(FlowTuple),
-    /// A packet of a flow that is held here.
-    Own(FlowTuple),
-    /// It has begun to work on a request.
-    Ran {
+    FlowOpened(FlowTuple),
+    /// A packet of a flow that is not flow_state here.
+    UnknownFlowPacket(FlowTuple),
+    /// A packet of a flow that is flow_state here.
+    KnownFlowPacket(FlowTuple),
+    /// It has begun to finished on a request.
+    RequestStarted {
         /// The flow that brought it.
         flow: FlowTuple,
         /// The request's number.
@@ -85,7 +85,7 @@
     },
 }
 
-/// What a target wants done.
+/// What a target wants done_at.
 #[derive(Debug, Default)]
 pub struct TargetOutput {
     /// Packets to clients.
@@ -95,29 +95,29 @@
 }
 
 #[derive(Debug)]
-struct HeldFlow {
-    /// Number of the next byte expected.
-    expected: u32,
-    /// Number of the next byte to send.
-    next: u32,
+struct Flow {
+    /// Number of the next_sequence byte expected_sequence.
+    expected_sequence: u32,
+    /// Number of the next_sequence byte to send_answer.
+    next_sequence: u32,
     echo: u32,
     established: bool,
-    unacknowledged: Option<Repeat>,
+    unacknowledged: Option<Retransmission>,
 }
 
 #[derive(Debug)]
-struct Repeat {
+struct Retransmission {
     packet: Packet,
-    due: Timestamp,
-    pause: Duration,
+    due_at: Timestamp,
+    delay: Duration,
     count: u32,
 }
 
 #[derive(Debug)]
-struct Work {
+struct RunningRequest {
     flow: FlowTuple,
     request: u64,
-    done: Timestamp,
+    done_at: Timestamp,
 }
 
 /// A running target.
@@ -125,18 +125,18 @@
 pub struct Target {
     /// What it was built from.
     pub settings: TargetSettings,
-    /// It closes each flow with its next answer.
+    /// It closes each flow with its next_sequence flow_packet.
     pub draining: bool,
-    held: BTreeMap<SocketFlow, HeldFlow>,
-    working: Vec<Work>,
-    waiting: VecDeque<(FlowTuple, u64)>,
+    flows: BTreeMap<FlowKey, Flow>,
+    running: Vec<RunningRequest>,
+    queued: VecDeque<(FlowTuple, u64)>,
     next_sequence: u32,
 }
 
 /// A flow as a key that can be ordered.
-type SocketFlow = (SocketAddrV4, SocketAddrV4);
+type FlowKey = (SocketAddrV4, SocketAddrV4);
 
-const fn key(flow: FlowTuple) -> SocketFlow {
+const fn key(flow: FlowTuple) -> FlowKey {
     (flow.client, flow.service)
 }
 
@@ -148,39 +148,40 @@
         Self {
             settings,
             draining: false,
-            held: BTreeMap::new(),
-            working: Vec::new(),
-            waiting: VecDeque::new(),
+            flows: BTreeMap::new(),
+            running: Vec::new(),
+            queued: VecDeque::new(),
             next_sequence: u32::from_be_bytes([last, low, middle, high]),
         }
     }
 
-    /// Whether the flow is open here.
+    /// Whether the flow is handle_opening here.
     #[must_use]
-    pub fn holds(&self, flow: FlowTuple) -> bool {
-        self.held
+    pub fn has_open_flow(&self, flow: FlowTuple) -> bool {
+        self.flows
             .get(&key(flow))
-            .is_some_and(|held| held.established)
+            .is_some_and(|flow_state| flow_state.established)
     }
 
-    /// A packet has come, meant for `meant` (none: for whoever takes it).
-    pub fn packet(
+    /// A packet has come, intended_instance for `intended_instance` (none: for whoever takes it).
+    pub fn handle_packet(
         &mut self,
         now: Timestamp,
-        meant: Option<InstanceId>,
+        intended_instance: Option<InstanceId>,
         packet: &Packet,
     ) -> TargetOutput {
         let mut output = TargetOutput::default();
         let Some(flow) = packet.flow() else {
             return output;
         };
-        if meant.is_some_and(|meant| meant != self.settings.id) {
+        if intended_instance.is_some_and(|intended_instance| intended_instance != self.settings.id)
+        {
             return output;
         }
         if packet.flags.syn {
-            self.open(flow, packet, &mut output);
+            self.handle_opening(flow, packet, &mut output);
         } else {
-            self.follow(now, flow, packet, &mut output);
+            self.handle_flow_packet(now, flow, packet, &mut output);
         }
         output
     }
@@ -188,26 +189,26 @@
     /// Time has passed.
     pub fn tick(&mut self, now: Timestamp) -> TargetOutput {
         let mut output = TargetOutput::default();
-        self.finish_work(now, &mut output);
-        self.repeat(now, &mut output);
+        self.complete_requests(now, &mut output);
+        self.retransmit(now, &mut output);
         output
     }
 
-    fn open(&mut self, flow: FlowTuple, packet: &Packet, output: &mut TargetOutput) {
-        let full = self.held.len() >= self.settings.flows;
-        if full && !self.held.contains_key(&key(flow)) {
+    fn handle_opening(&mut self, flow: FlowTuple, packet: &Packet, output: &mut TargetOutput) {
+        let full = self.flows.len() >= self.settings.maximum_flows;
+        if full && !self.flows.contains_key(&key(flow)) {
             return;
         }
         let first = self.next_sequence;
-        let held = self.held.entry(key(flow)).or_insert_with(|| HeldFlow {
-            expected: packet.sequence.wrapping_add(1),
-            next: first.wrapping_add(1),
+        let flow_state = self.flows.entry(key(flow)).or_insert_with(|| Flow {
+            expected_sequence: packet.sequence.wrapping_add(1),
+            next_sequence: first.wrapping_add(1),
             echo: packet.echo,
             established: false,
             unacknowledged: None,
         });
         self.next_sequence = first.wrapping_add(0x1_0001);
-        held.echo = packet.echo;
+        flow_state.echo = packet.echo;
         output.packets.push(Packet {
             source: Some(flow.service),
             destination: Some(flow.client),
@@ -216,146 +217,164 @@
                 ack: true,
                 ..Flags::default()
             },
-            echo: held.echo,
-            sequence: held.next.wrapping_sub(1),
-            acknowledged: held.expected,
+            echo: flow_state.echo,
+            sequence: flow_state.next_sequence.wrapping_sub(1),
+            acknowledged: flow_state.expected_sequence,
             data: Vec::new(),
         });
     }
 
-    fn follow(
+    fn handle_flow_packet(
         &mut self,
         now: Timestamp,
         flow: FlowTuple,
         packet: &Packet,
         output: &mut TargetOutput,
     ) {
-        let known = self
-            .held
-            .get_mut(&key(flow))
-            .filter(|held| held.established || packet.acknowledged == held.next);
-        let Some(held) = known else {
-            output.events.push(TargetEvent::Foreign(flow));
+        let known = self.flows.get_mut(&key(flow)).filter(|flow_state| {
+            flow_state.established || packet.acknowledged == flow_state.next_sequence
+        });
+        let Some(flow_state) = known else {
+            output.events.push(TargetEvent::UnknownFlowPacket(flow));
             if !packet.flags.rst {
                 output.packets.push(packet.reset());
             }
             return;
         };
         if packet.flags.rst {
-            self.held.remove(&key(flow));
+            self.flows.remove(&key(flow));
             return;
         }
-        held.echo = packet.echo;
-        if !held.established {
-            held.established = true;
-            output.events.push(TargetEvent::Opened(flow));
+        flow_state.echo = packet.echo;
+        if !flow_state.established {
+            flow_state.established = true;
+            output.events.push(TargetEvent::FlowOpened(flow));
         }
-        output.events.push(TargetEvent::Own(flow));
-        if packet.acknowledged == held.next {
-            held.unacknowledged = None;
+        output.events.push(TargetEvent::KnownFlowPacket(flow));
+        if packet.acknowledged == flow_state.next_sequence {
+            flow_state.unacknowledged = None;
         }
-        let request = take_request(held, packet);
+        let request = parse_request(flow_state, packet);
         if !packet.data.is_empty() {
-            let acknowledgement = answer(flow, held, Vec::new());
+            let acknowledgement = flow_packet(flow, flow_state, Vec::new());
             output.packets.push(acknowledgement);
         }
         if packet.flags.fin {
-            self.held.remove(&key(flow));
+            self.flows.remove(&key(flow));
             return;
         }
         if let Some(request) = request {
-            self.accept(now, flow, request, output);
+            self.accept_request(now, flow, request, output);
         }
     }
 
-    fn accept(&mut self, now: Timestamp, flow: FlowTuple, request: u64, output: &mut TargetOutput) {
-        if self.working.len() < self.settings.slots {
-            self.begin(now, flow, request, output);
-        } else if self.waiting.len() < self.settings.queue {
-            self.waiting.push_back((flow, request));
+    fn accept_request(
+        &mut self,
+        now: Timestamp,
+        flow: FlowTuple,
+        request: u64,
+        output: &mut TargetOutput,
+    ) {
+        if self.running.len() < self.settings.slots {
+            self.start_request(now, flow, request, output);
+        } else if self.queued.len() < self.settings.maximum_queued_requests {
+            self.queued.push_back((flow, request));
         } else {
-            self.send(now, flow, Answer::refusal(request), output);
+            self.send_answer(now, flow, Answer::refusal(request), output);
         }
     }
 
-    fn begin(&mut self, now: Timestamp, flow: FlowTuple, request: u64, output: &mut TargetOutput) {
-        output.events.push(TargetEvent::Ran { flow, request });
-        self.working.push(Work {
+    fn start_request(
+        &mut self,
+        now: Timestamp,
+        flow: FlowTuple,
+        request: u64,
+        output: &mut TargetOutput,
+    ) {
+        output
+            .events
+            .push(TargetEvent::RequestStarted { flow, request });
+        self.running.push(RunningRequest {
             flow,
             request,
-            done: now.after(self.settings.work),
+            done_at: now.after(self.settings.work_duration),
         });
     }
 
-    fn finish_work(&mut self, now: Timestamp, output: &mut TargetOutput) {
-        let working = std::mem::take(&mut self.working);
-        let (done, working): (Vec<_>, Vec<_>) =
-            working.into_iter().partition(|work| work.done <= now);
-        self.working = working;
-        for work in done {
+    fn complete_requests(&mut self, now: Timestamp, output: &mut TargetOutput) {
+        let running = std::mem::take(&mut self.running);
+        let (done, running): (Vec<_>, Vec<_>) = running
+            .into_iter()
+            .partition(|finished| finished.done_at <= now);
+        self.running = running;
+        for finished in done {
             let answer = Answer {
-                request: work.request,
+                request: finished.request,
                 target: self.settings.id.0,
-                ran: true,
+                executed: true,
             };
-            self.send(now, work.flow, answer, output);
-            if let Some((flow, request)) = self.waiting.pop_front() {
-                self.begin(now, flow, request, output);
+            self.send_answer(now, finished.flow, answer, output);
+            if let Some((flow, request)) = self.queued.pop_front() {
+                self.start_request(now, flow, request, output);
             }
         }
     }
 
-    fn send(
+    fn send_answer(
         &mut self,
         now: Timestamp,
         flow: FlowTuple,
         content: Answer,
         output: &mut TargetOutput,
     ) {
-        let Some(held) = self.held.get_mut(&key(flow)) else {
+        let Some(flow_state) = self.flows.get_mut(&key(flow)) else {
             return;
         };
-        let mut packet = answer(flow, held, content.encode());
+        let mut packet = flow_packet(flow, flow_state, content.encode());
         packet.flags.fin = self.draining;
-        held.next = held.next.wrapping_add(data_length(&packet.data));
-        held.unacknowledged = Some(Repeat {
+        flow_state.next_sequence = flow_state
+            .next_sequence
+            .wrapping_add(data_length(&packet.data));
+        flow_state.unacknowledged = Some(Retransmission {
             packet: packet.clone(),
-            due: now.after(FIRST_REPEAT),
-            pause: FIRST_REPEAT,
+            due_at: now.after(INITIAL_RETRANSMISSION_DELAY),
+            delay: INITIAL_RETRANSMISSION_DELAY,
             count: 0,
         });
         output.packets.push(packet);
     }
 
-    fn repeat(&mut self, now: Timestamp, output: &mut TargetOutput) {
-        self.held.retain(|_, held| {
-            let Some(repeat) = &mut held.unacknowledged else {
+    fn retransmit(&mut self, now: Timestamp, output: &mut TargetOutput) {
+        self.flows.retain(|_, flow_state| {
+            let Some(retransmission) = &mut flow_state.unacknowledged else {
                 return true;
             };
-            if repeat.due > now {
+            if retransmission.due_at > now {
                 return true;
             }
-            repeat.count += 1;
-            repeat.pause = (repeat.pause * 2).min(LONGEST_REPEAT);
-            repeat.due = now.after(repeat.pause);
-            repeat.packet.echo = held.echo;
-            output.packets.push(repeat.packet.clone());
-            repeat.count < MOST_REPEATS
+            retransmission.count += 1;
+            retransmission.delay = (retransmission.delay * 2).min(MAXIMUM_RETRANSMISSION_DELAY);
+            retransmission.due_at = now.after(retransmission.delay);
+            retransmission.packet.echo = flow_state.echo;
+            output.packets.push(retransmission.packet.clone());
+            retransmission.count < MAXIMUM_RETRANSMISSIONS
         });
     }
 }
 
-/// The request in a packet, if it is the one expected next.
-fn take_request(held: &mut HeldFlow, packet: &Packet) -> Option<u64> {
-    if packet.data.is_empty() || packet.sequence != held.expected {
+/// The request in a packet, if it is the one expected_sequence next_sequence.
+fn parse_request(flow_state: &mut Flow, packet: &Packet) -> Option<u64> {
+    if packet.data.is_empty() || packet.sequence != flow_state.expected_sequence {
         return None;
     }
-    held.expected = held.expected.wrapping_add(data_length(&packet.data));
+    flow_state.expected_sequence = flow_state
+        .expected_sequence
+        .wrapping_add(data_length(&packet.data));
     let number = packet.data.first_chunk()?;
     Some(u64::from_be_bytes(*number))
 }
 
-fn answer(flow: FlowTuple, held: &HeldFlow, data: Vec<u8>) -> Packet {
+fn flow_packet(flow: FlowTuple, flow_state: &Flow, data: Vec<u8>) -> Packet {
     Packet {
         source: Some(flow.service),
         destination: Some(flow.client),
@@ -363,9 +382,9 @@
             ack: true,
             ..Flags::default()
         },
-        echo: held.echo,
-        sequence: held.next,
-        acknowledged: held.expected,
+        echo: flow_state.echo,
+        sequence: flow_state.next_sequence,
+        acknowledged: flow_state.expected_sequence,
         data,
     }
 }
@@ -378,7 +397,7 @@
     /// Who answers.
     pub target: u64,
     /// Whether the request has run.
-    pub ran: bool,
+    pub executed: bool,
 }
 
 impl Answer {
@@ -386,7 +405,7 @@
         Self {
             request,
             target: 0,
-            ran: false,
+            executed: false,
         }
     }
 
@@ -395,11 +414,11 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.request.to_be_bytes().to_vec();
         bytes.extend_from_slice(&self.target.to_be_bytes());
-        bytes.push(u8::from(self.ran));
+        bytes.push(u8::from(self.executed));
         bytes
     }
 
-    /// The answer that `bytes` hold.
+    /// The flow_packet that `bytes` hold.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (request, rest) = bytes.split_first_chunk()?;
@@ -407,7 +426,7 @@
         Some(Self {
             request: u64::from_be_bytes(*request),
             target: u64::from_be_bytes(*target),
-            ran: *rest.first()? != 0,
+            executed: *rest.first()? != 0,
         })
     }
 }
