--- a/crates/bellyoke-lab/src/cookie/client.rs
+++ b/crates/bellyoke-lab/src/cookie/client.rs
@@ -1,6 +1,6 @@
 //! A client: one user who sends requests over flows, one latency the other.
 
-use super::packet::{Flags, Packet, data_length};
+use super::packet::{Flags, Packet, sequence_length};
 use super::target::{Answer, INITIAL_RETRANSMISSION_DELAY, MAXIMUM_RETRANSMISSION_DELAY};
 use bellyoke_core::cookie::packet::FlowTuple;
 use bellyoke_core::time::Timestamp;
@@ -310,7 +310,7 @@
             return;
         };
         sent.echo = packet.echo;
-        if packet.acknowledged == sent.sequence.wrapping_add(data_length(&sent.data)) {
+        if packet.acknowledged == sent.sequence.wrapping_add(sequence_length(&sent.data)) {
             *acknowledged = true;
         }
         if packet.data.is_empty() {
@@ -320,10 +320,10 @@
             output.packets.push(flow_packet(flow, open, Vec::new()));
             return;
         }
-        open.next_sequence = sent.sequence.wrapping_add(data_length(&sent.data));
+        open.next_sequence = sent.sequence.wrapping_add(sequence_length(&sent.data));
         open.expected_sequence = open
             .expected_sequence
-            .wrapping_add(data_length(&packet.data));
+            .wrapping_add(sequence_length(&packet.data));
         output.packets.push(flow_packet(flow, open, Vec::new()));
         if packet.flags.fin {
             open.requests = self.settings.requests_per_flow;
--- a/crates/bellyoke-lab/src/cookie/link.rs
+++ b/crates/bellyoke-lab/src/cookie/link.rs
@@ -43,15 +43,15 @@
 
     /// A packet of so many bytes is sent. Returns when its last byte has left, from now on; none
     /// if it is dropped.
-    pub fn send(&mut self, now: Timestamp, length: usize) -> Option<Duration> {
-        let waits = self.free_at.since(now);
-        if waits > self.settings.maximum_queueing_delay {
+    pub fn send(&mut self, now: Timestamp, bytes: usize) -> Option<Duration> {
+        let queueing_delay = self.free_at.since(now);
+        if queueing_delay > self.settings.maximum_queueing_delay {
             return None;
         }
-        let length = u32::try_from(length).unwrap_or(u32::MAX);
+        let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         let rate = f64::from(self.settings.bytes_per_second);
-        let leaves = waits + Duration::from_secs_f64(f64::from(length) / rate);
-        self.free_at = now.after(leaves);
-        Some(leaves)
+        let sent_after = queueing_delay + Duration::from_secs_f64(f64::from(bytes) / rate);
+        self.free_at = now.after(sent_after);
+        Some(sent_after)
     }
 }
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -41,20 +41,20 @@
 const LEAVE_GRACE: Duration = Duration::from_millis(1_100);
 
 /// How long a node waits for an answer beyond what it let the store wait.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long it waits where that is taken out.
-const FOREVER: Duration = Duration::from_secs(3_600);
+const ABLATED_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// What a node does with a packet.
 #[derive(Debug)]
-pub enum Forwarded {
+pub enum PacketOutcome {
     /// It goes to an instance.
-    To(Destination, Packet),
+    Forward(Destination, Packet),
     /// Its sender gets a reset.
     Reset(Packet),
     /// Nothing.
-    Dropped,
+    Drop,
 }
 
 /// A call that a node makes to the store.
@@ -67,7 +67,7 @@
     /// Its number, to tell its answer from those of calls that were given up.
     pub number: u64,
     /// How long the node waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A call that is not answered yet.
@@ -79,7 +79,7 @@
 }
 
 /// A node that knows nothing yet.
-fn replica(exchange: &ExchangeSettings, tombstone_lifetime: Duration) -> Replica {
+fn new_replica(exchange: &ExchangeSettings, tombstone_lifetime: Duration) -> Replica {
     if exchange.reads_zones {
         Replica::reading_zones(tombstone_lifetime)
     } else {
@@ -87,7 +87,7 @@
     }
 }
 
-const fn nothing_drained(at: Revision) -> Update<DrainedZone, ZoneEvent> {
+const fn empty_zone_list(at: Revision) -> Update<DrainedZone, ZoneEvent> {
     Update::List {
         at,
         items: Vec::new(),
@@ -103,15 +103,15 @@
     forwarder: Forwarder,
     lifecycle: Lifecycle,
     ticks: TickReport,
-    guard: BacklogGuard,
+    backlog_guard: BacklogGuard,
     reads_zones: bool,
     instances: Follower<InstanceRecord>,
     configurations: Follower<Configuration>,
     zones: Follower<DrainedZone>,
-    calls: [Option<PendingCall>; ObjectKind::COUNT],
-    next_call: u64,
+    pending_calls: [Option<PendingCall>; ObjectKind::COUNT],
+    last_call_number: u64,
     random: ChaCha8Rng,
-    told_failing: Vec<Cookie>,
+    reported_failing: Vec<Cookie>,
 }
 
 impl Node {
@@ -131,25 +131,25 @@
         } else {
             TOMBSTONE_LIFETIME
         };
-        let usual = HealthSettings::default();
+        let defaults = HealthSettings::default();
         let health = if ablations.contains(&Ablation::NoSuspicion) {
             HealthSettings {
                 idle_preference_threshold: u32::MAX,
                 failure_threshold: u32::MAX,
-                ..usual
+                ..defaults
             }
         } else if ablations.contains(&Ablation::IgnoreLoad) {
             HealthSettings {
                 idle_preference_threshold: 0,
-                ..usual
+                ..defaults
             }
         } else {
-            usual
+            defaults
         };
         let follower = FollowerSettings::default();
         Self {
             coordinator: Coordinator::new(
-                replica(&exchange, tombstone_lifetime),
+                new_replica(&exchange, tombstone_lifetime),
                 Exchange::new(exchange, address, seeds, seed).with_place(place),
             ),
             table: ForwardingTable::default(),
@@ -162,15 +162,15 @@
                 last: now,
                 stalls: 0,
             },
-            guard: BacklogGuard::default(),
+            backlog_guard: BacklogGuard::default(),
             reads_zones: exchange.reads_zones,
             instances: Follower::new(follower),
             configurations: Follower::new(follower),
             zones: Follower::new(follower),
-            calls: [const { None }; ObjectKind::COUNT],
-            next_call: 0,
+            pending_calls: [const { None }; ObjectKind::COUNT],
+            last_call_number: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            told_failing: Vec::new(),
+            reported_failing: Vec::new(),
             ablations,
         }
     }
@@ -189,7 +189,7 @@
 
     /// Whether its grace time is over.
     #[must_use]
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    pub fn has_stopped(&self, now: Timestamp) -> bool {
         self.lifecycle.stop_at().is_some_and(|stop| now >= stop)
     }
 
@@ -212,19 +212,24 @@
     }
 
     /// A packet has come. `last` tells that the socket is empty after it.
-    pub fn handle_packet(&mut self, now: Timestamp, packet: &Packet, last: bool) -> Forwarded {
-        let Some(view) = packet.product_view() else {
-            return Forwarded::Dropped;
+    pub fn handle_packet(
+        &mut self,
+        now: Timestamp,
+        packet: &Packet,
+        is_last: bool,
+    ) -> PacketOutcome {
+        let Some(view) = packet.to_flow_packet() else {
+            return PacketOutcome::Drop;
         };
-        let mut backlog = self.guard.may_have_waited(now, self.ticks);
-        if self.lacks(Ablation::NoBacklogGuard) {
+        let mut backlog = self.backlog_guard.may_have_waited(now, self.ticks);
+        if self.is_ablated(Ablation::NoBacklogGuard) {
             backlog = false;
         }
-        if last {
-            self.guard.emptied();
+        if is_last {
+            self.backlog_guard.emptied();
         }
         let mut view = view;
-        if self.lacks(Ablation::HashEveryPacket) && view.role == PacketRole::Later {
+        if self.is_ablated(Ablation::HashEveryPacket) && view.role == PacketRole::Later {
             view.role = PacketRole::Opening { attempt: 0 };
         }
         let decision = self.forwarder.decide(now, &self.table, &view, backlog);
@@ -232,37 +237,37 @@
             Decision::Place { destination, .. } | Decision::Follow { destination, .. } => {
                 let mut forwarded = packet.clone();
                 forwarded.echo = destination.cookie.bits();
-                if self.lacks(Ablation::CorruptData)
+                if self.is_ablated(Ablation::CorruptData)
                     && let Some(last) = forwarded.data.last_mut()
                 {
                     *last ^= 0x80;
                 }
-                Forwarded::To(destination, forwarded)
+                PacketOutcome::Forward(destination, forwarded)
             }
-            Decision::Reset(_) if self.lacks(Ablation::NoResets) => Forwarded::Dropped,
-            Decision::Refuse(_) | Decision::Reset(_) => Forwarded::Reset(packet.reset()),
+            Decision::Reset(_) if self.is_ablated(Ablation::NoResets) => PacketOutcome::Drop,
+            Decision::Refuse(_) | Decision::Reset(_) => PacketOutcome::Reset(packet.reset_reply()),
             Decision::Drop(DropReason::UnknownCookie)
-                if self.lacks(Ablation::ResetUnknownCookies) =>
+                if self.is_ablated(Ablation::ResetUnknownCookies) =>
             {
-                Forwarded::Reset(packet.reset())
+                PacketOutcome::Reset(packet.reset_reply())
             }
-            Decision::Drop(_) => Forwarded::Dropped,
+            Decision::Drop(_) => PacketOutcome::Drop,
         }
     }
 
     /// A datagram of a peer has come.
-    pub fn datagram(
+    pub fn handle_datagram(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
         datagram: PeerDatagram,
     ) -> Vec<ExchangeEffect> {
         let outcome = self.coordinator.handle_datagram(now, from, datagram);
-        self.publish(outcome)
+        self.apply_outcome(outcome)
     }
 
     /// A snapshot has come, or none.
-    pub fn fetched(
+    pub fn handle_snapshot(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
@@ -273,7 +278,7 @@
             return Vec::new();
         };
         let outcome = self.coordinator.apply_snapshot(now, from, snapshot);
-        self.publish(outcome)
+        self.apply_outcome(outcome)
     }
 
     /// Time has passed.
@@ -286,7 +291,7 @@
             last: now,
             stalls: self.ticks.stalls + u64::from(stalled.is_some()),
         };
-        let mut effects = self.publish(outcome);
+        let mut effects = self.apply_outcome(outcome);
         self.forwarder.review(now, &self.table);
         let failed = self.forwarder.take_suspects(now);
         self.coordinator.suspect(now, &failed);
@@ -294,17 +299,17 @@
         let avoided = self.coordinator.avoided(now);
         self.forwarder.set_unreachable(&unreachable, &avoided);
         self.forwarder.set_ended(&self.coordinator.ended(now));
-        let questioned = self.coordinator.under_verification(now);
-        let living = self.forwarder.alive_instances(now, &questioned);
-        if !self.lacks(Ablation::NoPeers) && !self.lacks(Ablation::NoRefutations) {
-            effects.extend(self.coordinator.report_alive(now, &living).1);
+        let under_verification = self.coordinator.under_verification(now);
+        let alive = self.forwarder.alive_instances(now, &under_verification);
+        if !self.is_ablated(Ablation::NoPeers) && !self.is_ablated(Ablation::NoRefutations) {
+            effects.extend(self.coordinator.report_alive(now, &alive).1);
         }
         let failing: Vec<_> = self.forwarder.failing_instances().collect();
-        if failing != self.told_failing && !self.lacks(Ablation::NoPeers) {
-            self.told_failing.clone_from(&failing);
+        if failing != self.reported_failing && !self.is_ablated(Ablation::NoPeers) {
+            self.reported_failing.clone_from(&failing);
             effects.extend(self.coordinator.set_failing(now, failing));
         }
-        if !self.lacks(Ablation::NoPeerSuspicions) {
+        if !self.is_ablated(Ablation::NoPeerSuspicions) {
             let suspected = self.coordinator.peer_suspicions();
             self.forwarder.set_peer_suspicions(&suspected);
         }
@@ -312,12 +317,12 @@
     }
 
     /// Resets of resting flows whose instances have ended.
-    pub fn end_resting(&mut self, now: Timestamp) -> Vec<Packet> {
-        let ends = std::iter::from_fn(|| self.forwarder.next_flow_reset(now, &self.table));
-        let resets: Vec<Packet> = ends
-            .map(|end| Packet::reset_of(&end.flow, end.acknowledged))
+    pub fn take_flow_resets(&mut self, now: Timestamp) -> Vec<Packet> {
+        let flow_resets = std::iter::from_fn(|| self.forwarder.next_flow_reset(now, &self.table));
+        let resets: Vec<Packet> = flow_resets
+            .map(|flow_reset| Packet::reset_for_flow(&flow_reset.flow, flow_reset.acknowledged))
             .collect();
-        if self.lacks(Ablation::NoResets) {
+        if self.is_ablated(Ablation::NoResets) {
             return Vec::new();
         }
         resets
@@ -325,21 +330,21 @@
 
     /// The probe that it wants to begin.
     pub fn next_probe(&mut self, now: Timestamp) -> Option<ProbeBatch> {
-        if self.lacks(Ablation::NoProbes) {
+        if self.is_ablated(Ablation::NoProbes) {
             return None;
         }
-        let sound = self.forwarder.healthy_instances(now);
-        self.coordinator.next_probe(now, &sound)
+        let healthy = self.forwarder.healthy_instances(now);
+        self.coordinator.next_probe(now, &healthy)
     }
 
     /// A probe is over.
-    pub fn probed(
+    pub fn handle_probe_outcomes(
         &mut self,
         now: Timestamp,
         outcomes: &[(Cookie, ProbeOutcome)],
     ) -> Vec<ExchangeEffect> {
         let (_, effects) = self.coordinator.record_probes(now, outcomes);
-        if self.lacks(Ablation::NoPeers) {
+        if self.is_ablated(Ablation::NoPeers) {
             return Vec::new();
         }
         effects
@@ -354,7 +359,9 @@
     }
 
     fn store_call(&mut self, now: Timestamp, kind: ObjectKind) -> Option<StoreCall> {
-        if self.calls[kind as usize].is_some() || !self.coordinator.may_call_store(now, kind) {
+        if self.pending_calls[kind as usize].is_some()
+            || !self.coordinator.may_call_store(now, kind)
+        {
             return None;
         }
         let plan = self.watch_plan(now, kind);
@@ -381,7 +388,7 @@
             return None;
         };
         if let Read::List { freshness, .. } = &mut read
-            && self.lacks(Ablation::NoStaleLists)
+            && self.is_ablated(Ablation::NoStaleLists)
         {
             *freshness = Freshness::Newest;
         }
@@ -392,9 +399,9 @@
             ObjectKind::Configuration => self.configurations.start_call(now, &read),
             ObjectKind::Zones => self.zones.start_call(now, &read),
         }
-        self.next_call += 1;
-        self.calls[kind as usize] = Some(PendingCall {
-            number: self.next_call,
+        self.last_call_number += 1;
+        self.pending_calls[kind as usize] = Some(PendingCall {
+            number: self.last_call_number,
             read: read.clone(),
             context: self.coordinator.call_context(),
         });
@@ -405,67 +412,67 @@
         Some(StoreCall {
             kind,
             read,
-            number: self.next_call,
-            patience: if self.lacks(Ablation::NoCallTimeout) {
-                FOREVER
+            number: self.last_call_number,
+            timeout: if self.is_ablated(Ablation::NoCallTimeout) {
+                ABLATED_TIMEOUT
             } else {
-                wait + PATIENCE
+                wait + RESPONSE_TIMEOUT
             },
         })
     }
 
     /// The answer to a call, or that none came. An answer to a call that was given up counts
     /// for nothing.
-    pub fn store_answer(
+    pub fn handle_store_answer(
         &mut self,
         now: Timestamp,
         number: u64,
         era: Option<StoreEra>,
         answer: StoreAnswer,
     ) -> Vec<ExchangeEffect> {
-        let pending = &mut self.calls[answer.kind() as usize];
+        let pending = &mut self.pending_calls[answer.kind() as usize];
         let Some(call) = pending.take_if(|call| call.number == number) else {
             return Vec::new();
         };
-        let (era, answer) = if self.lacks(Ablation::IgnoreEras) {
+        let (era, answer) = if self.is_ablated(Ablation::IgnoreEras) {
             (None, answer.in_era(StoreEra(0)))
         } else {
             (era, answer.in_era(era.unwrap_or(call.context.era)))
         };
         let outcome = match answer {
             StoreAnswer::Instances(answer) => {
-                let answer = self.counting_answer(now, &call, Reply { era, answer });
-                self.take_instances(now, answer)
+                let answer = self.usable_answer(now, &call, Reply { era, answer });
+                self.apply_instances(now, answer)
             }
             StoreAnswer::Configurations(answer) => {
-                let answer = self.counting_answer(now, &call, Reply { era, answer });
-                self.take_configurations(now, answer)
+                let answer = self.usable_answer(now, &call, Reply { era, answer });
+                self.apply_configurations(now, answer)
             }
             StoreAnswer::Zones(answer) => {
-                let answer = self.counting_answer(now, &call, Reply { era, answer });
-                self.take_zones(now, answer)
+                let answer = self.usable_answer(now, &call, Reply { era, answer });
+                self.apply_zones(now, answer)
             }
         };
-        self.publish(outcome)
+        self.apply_outcome(outcome)
     }
 
     /// The answer of a reply, as far as it counts.
-    fn counting_answer<Item, Event>(
+    fn usable_answer<Item, Event>(
         &mut self,
         now: Timestamp,
         call: &PendingCall,
         reply: Reply<Item, Event>,
     ) -> Answer<Item, Event> {
-        if self.lacks(Ablation::IgnoreEras) {
+        if self.is_ablated(Ablation::IgnoreEras) {
             return reply.answer;
         }
-        let standing = self
+        let validity = self
             .coordinator
             .classify_reply(now, call.context, &call.read, &reply);
-        standing.filter(reply.answer)
+        validity.filter(reply.answer)
     }
 
-    fn take_instances(
+    fn apply_instances(
         &mut self,
         now: Timestamp,
         answer: Answer<InstanceRecord, InstanceEvent>,
@@ -478,11 +485,13 @@
             return Outcome::default();
         };
         match &mut update {
-            Update::List { items, .. } => items.iter_mut().for_each(|record| self.taint(record)),
+            Update::List { items, .. } => items
+                .iter_mut()
+                .for_each(|record| self.apply_ablation(record)),
             Update::Changes { events, .. } => {
                 for event in events {
                     if let InstanceEvent::Put(record) = event {
-                        self.taint(record);
+                        self.apply_ablation(record);
                     }
                 }
             }
@@ -490,7 +499,7 @@
         self.coordinator.apply_instances(now, update)
     }
 
-    fn take_configurations(
+    fn apply_configurations(
         &mut self,
         now: Timestamp,
         answer: Answer<Configuration, Configuration>,
@@ -505,16 +514,16 @@
         }
     }
 
-    fn take_zones(&mut self, now: Timestamp, answer: Answer<DrainedZone, ZoneEvent>) -> Outcome {
+    fn apply_zones(&mut self, now: Timestamp, answer: Answer<DrainedZone, ZoneEvent>) -> Outcome {
         let update = self.zones.answer(now, answer, &mut self.random);
         let usable = self.zones.is_usable();
         self.coordinator
             .record_store_availability(now, ObjectKind::Zones, usable);
         match update {
-            Some(update) if !self.lacks(Ablation::IgnoreDrainedZones) => {
+            Some(update) if !self.is_ablated(Ablation::IgnoreDrainedZones) => {
                 self.coordinator.apply_zones(now, update)
             }
-            Some(Update::List { at, .. }) => self.coordinator.apply_zones(now, nothing_drained(at)),
+            Some(Update::List { at, .. }) => self.coordinator.apply_zones(now, empty_zone_list(at)),
             Some(_) | None => Outcome::default(),
         }
     }
@@ -528,37 +537,37 @@
     /// How it goes on reading objects of a kind.
     fn watch_plan(&self, now: Timestamp, kind: ObjectKind) -> WatchPlan {
         match self.coordinator.watch_plan(now, kind) {
-            WatchPlan::Watch(Freshness::Newest) if self.lacks(Ablation::NoReader) => {
+            WatchPlan::Watch(Freshness::Newest) if self.is_ablated(Ablation::NoReader) => {
                 WatchPlan::Watch(Freshness::MayBeStale)
             }
-            _ if self.lacks(Ablation::IdleForever) && self.was_confirmed(now) => {
-                WatchPlan::IdleUntil(now.after(FOREVER))
+            _ if self.is_ablated(Ablation::IdleForever) && self.has_confirmation(now) => {
+                WatchPlan::IdleUntil(now.after(ABLATED_TIMEOUT))
             }
             plan => plan,
         }
     }
 
     /// Whether it doesn't watch for others, and was told that its state is the newest.
-    fn was_confirmed(&self, now: Timestamp) -> bool {
+    fn has_confirmation(&self, now: Timestamp) -> bool {
         let exchange = self.coordinator.exchange();
         !self.watches(now) && exchange.confirmation_age(now).is_some()
     }
 
-    fn lacks(&self, ablation: Ablation) -> bool {
+    fn is_ablated(&self, ablation: Ablation) -> bool {
         self.ablations.contains(&ablation)
     }
 
-    fn taint(&self, record: &mut InstanceRecord) {
-        if self.lacks(Ablation::IgnoreDraining) {
+    fn apply_ablation(&self, record: &mut InstanceRecord) {
+        if self.is_ablated(Ablation::IgnoreDraining) {
             record.state = InstanceState::Ready;
         }
     }
 
-    fn publish(&mut self, outcome: Outcome) -> Vec<ExchangeEffect> {
+    fn apply_outcome(&mut self, outcome: Outcome) -> Vec<ExchangeEffect> {
         if outcome.change.any() {
             self.table = self.coordinator.replica().table();
         }
-        if self.lacks(Ablation::NoPeers) {
+        if self.is_ablated(Ablation::NoPeers) {
             return Vec::new();
         }
         outcome.effects
--- a/crates/bellyoke-lab/src/cookie/packet.rs
+++ b/crates/bellyoke-lab/src/cookie/packet.rs
@@ -37,13 +37,13 @@
 }
 
 /// Bytes of a packet's head, and of what stands before it on the way to a target.
-const HEAD: usize = 39;
+const HEADER_BYTES: usize = 39;
 
 impl Packet {
     /// Bytes that it takes on a link.
     #[must_use]
-    pub const fn wire_length(&self) -> usize {
-        HEAD + self.data.len()
+    pub const fn wire_bytes(&self) -> usize {
+        HEADER_BYTES + self.data.len()
     }
 
     /// The flow of a client's packet.
@@ -57,7 +57,7 @@
 
     /// A client's packet as the product sees it.
     #[must_use]
-    pub fn product_view(&self) -> Option<FlowPacket> {
+    pub fn to_flow_packet(&self) -> Option<FlowPacket> {
         let role = if self.flags.syn {
             PacketRole::Opening {
                 attempt: self.acknowledged,
@@ -80,7 +80,7 @@
 
     /// The reset that ends a client's flow, of which it acknowledged so much last.
     #[must_use]
-    pub fn reset_of(flow: &FlowTuple, acknowledged: u32) -> Self {
+    pub fn reset_for_flow(flow: &FlowTuple, acknowledged: u32) -> Self {
         Self {
             source: Some(flow.service),
             destination: Some(flow.client),
@@ -95,7 +95,7 @@
 
     /// The reset with which a node answers this packet of a client.
     #[must_use]
-    pub fn reset(&self) -> Self {
+    pub fn reset_reply(&self) -> Self {
         Self {
             source: self.destination,
             destination: self.source,
@@ -111,6 +111,6 @@
 
 /// Length of the data, as sequence numbers count it.
 #[must_use]
-pub fn data_length(data: &[u8]) -> u32 {
+pub fn sequence_length(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/bellyoke-lab/src/cookie/router.rs
+++ b/crates/bellyoke-lab/src/cookie/router.rs
@@ -12,20 +12,20 @@
 }
 
 /// Missed polls after which a node is out.
-pub const MISSES: u32 = 2;
+pub const UNREADY_AFTER_MISSED_POLLS: u32 = 2;
 
 /// What the routers believe of one node.
 #[derive(Clone, Copy, Debug, Default)]
-struct NodeView {
-    known: bool,
-    misses: u32,
+struct NodeStatus {
+    was_ready: bool,
+    missed_polls: u32,
 }
 
 /// The routers of one zone.
 #[derive(Debug)]
 pub struct Router {
     hash: RouterHash,
-    nodes: Vec<NodeView>,
+    nodes: Vec<NodeStatus>,
 }
 
 impl Router {
@@ -34,18 +34,18 @@
     pub fn new(hash: RouterHash, nodes: usize) -> Self {
         Self {
             hash,
-            nodes: vec![NodeView::default(); nodes],
+            nodes: vec![NodeStatus::default(); nodes],
         }
     }
 
     /// A node was asked whether it is ready.
     pub fn record_poll(&mut self, node: usize, ready: bool) {
-        let view = &mut self.nodes[node];
+        let status = &mut self.nodes[node];
         if ready {
-            view.known = true;
-            view.misses = 0;
+            status.was_ready = true;
+            status.missed_polls = 0;
         } else {
-            view.misses = view.misses.saturating_add(1);
+            status.missed_polls = status.missed_polls.saturating_add(1);
         }
     }
 
@@ -53,14 +53,16 @@
     /// nodes in, all are used.
     #[must_use]
     pub fn choose(&self, flow: FlowTuple) -> Option<usize> {
-        let known = self.nodes.iter().filter(|view| view.known).count();
-        let is_in = |view: &NodeView| view.known && view.misses < MISSES;
-        let ready = self.nodes.iter().filter(|view| is_in(view)).count();
-        let use_all = ready * 2 < known;
+        let ever_ready = self.nodes.iter().filter(|status| status.was_ready).count();
+        let is_ready = |status: &NodeStatus| {
+            status.was_ready && status.missed_polls < UNREADY_AFTER_MISSED_POLLS
+        };
+        let ready = self.nodes.iter().filter(|status| is_ready(status)).count();
+        let use_all = ready * 2 < ever_ready;
         let used: Vec<usize> = (0..self.nodes.len())
             .filter(|node| {
-                let view = &self.nodes[*node];
-                is_in(view) || (use_all && view.known)
+                let status = &self.nodes[*node];
+                is_ready(status) || (use_all && status.was_ready)
             })
             .collect();
         if used.is_empty() {
--- a/crates/bellyoke-lab/src/cookie/rules.rs
+++ b/crates/bellyoke-lab/src/cookie/rules.rs
@@ -37,11 +37,11 @@
     OnlyAsked,
     /// A request runs once.
     Once,
-    /// A request runs only at a service that its address was ever routed to.
+    /// A request runs only at a service that its address was ever routed_services to.
     Route,
     /// A leaving target gets no new flow.
     Drain,
-    /// The targets of a drained zone get no new flow.
+    /// The targets of a drained_since zone get no new flow.
     ZoneDrain,
     /// A configuration is in force within its bound.
     Configuration,
@@ -109,14 +109,14 @@
 #[derive(Debug, Default)]
 pub struct RuleChecker {
     violations: Vec<Violation>,
-    sent: BTreeSet<u64>,
-    ran: BTreeSet<u64>,
-    routed: BTreeSet<(SocketAddrV4, usize)>,
+    sent_requests: BTreeSet<u64>,
+    executed_requests: BTreeSet<u64>,
+    routed_services: BTreeSet<(SocketAddrV4, usize)>,
     versions: Vec<Version>,
     leaving: BTreeMap<InstanceId, Timestamp>,
     drained_zones: BTreeMap<usize, Timestamp>,
     open: BTreeMap<(SocketAddrV4, SocketAddrV4), OpenFlow>,
-    opening_sent: BTreeMap<(SocketAddrV4, SocketAddrV4), Timestamp>,
+    openings_sent_at: BTreeMap<(SocketAddrV4, SocketAddrV4), Timestamp>,
     all_killed_at: Option<Timestamp>,
     recovery_openings: u64,
     recovery_served: u64,
@@ -148,7 +148,7 @@
 
     /// The operator's configuration was accepted.
     pub fn record_configuration(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
-        self.routed.extend(routes);
+        self.routed_services.extend(routes);
         let probe = routes.iter().find(|(address, _)| *address == PROBE_ADDRESS);
         self.versions.push(Version {
             accepted_at: now,
@@ -166,7 +166,7 @@
         self.drained_zones.entry(zone).or_insert(now);
     }
 
-    /// A drained zone was taken back.
+    /// A drained_since zone was taken back.
     pub fn record_zone_undrain(&mut self, zone: usize) {
         self.drained_zones.remove(&zone);
     }
@@ -189,18 +189,26 @@
             zone,
             undisturbed,
         } = record_arrival;
-        if !self.routed.contains(&(flow.service, service)) {
-            let details = format!("an opening to {} ran at service {service}", flow.service);
+        if !self.routed_services.contains(&(flow.service, service)) {
+            let details = format!(
+                "an opening to {} executed_requests at service {service}",
+                flow.service
+            );
             self.add_violation(Rule::Route, now, details);
         }
-        let left = self.leaving.get(&target);
-        if undisturbed && left.is_some_and(|left| now.since(*left) > DRAIN_BOUND) {
-            let details = format!("an opening reached target {target}, which had left");
+        let leaving_since = self.leaving.get(&target);
+        if undisturbed
+            && leaving_since.is_some_and(|leaving_since| now.since(*leaving_since) > DRAIN_BOUND)
+        {
+            let details = format!("an opening reached target {target}, which had leaving_since");
             self.add_violation(Rule::Drain, now, details);
         }
-        let drained = self.drained_zones.get(&zone);
-        if undisturbed && drained.is_some_and(|drained| now.since(*drained) > DRAIN_BOUND) {
-            let details = format!("an opening reached target {target} in drained zone {zone}");
+        let drained_since = self.drained_zones.get(&zone);
+        if undisturbed
+            && drained_since.is_some_and(|drained_since| now.since(*drained_since) > DRAIN_BOUND)
+        {
+            let details =
+                format!("an opening reached target {target} in drained_since zone {zone}");
             self.add_violation(Rule::ZoneDrain, now, details);
         }
         if flow.service == PROBE_ADDRESS && undisturbed {
@@ -230,12 +238,12 @@
             }
             TargetEvent::UnknownFlowPacket(_) => {}
             TargetEvent::RequestStarted { request, .. } => {
-                if !self.sent.contains(request) {
+                if !self.sent_requests.contains(request) {
                     let details = format!("request {request} was never sent");
                     self.add_violation(Rule::OnlyAsked, now, details);
                 }
-                if !self.ran.insert(*request) {
-                    let details = format!("request {request} ran again");
+                if !self.executed_requests.insert(*request) {
+                    let details = format!("request {request} executed_requests again");
                     self.add_violation(Rule::Once, now, details);
                 }
             }
@@ -251,11 +259,11 @@
     ) {
         match event {
             ClientEvent::OpeningSent(flow) => {
-                self.opening_sent.insert(key(*flow), now);
+                self.openings_sent_at.insert(key(*flow), now);
                 self.count_after_recovery(now, false);
             }
             ClientEvent::RequestSent { request, .. } => {
-                self.sent.insert(*request);
+                self.sent_requests.insert(*request);
             }
             ClientEvent::Reset {
                 flow,
@@ -372,7 +380,7 @@
     /// An opening must not be handled_by as only a version allows that was overtaken when it was
     /// sent.
     fn check_probe(&mut self, now: Timestamp, flow: FlowTuple, handled_by: Option<usize>) {
-        let Some(sent) = self.opening_sent.get(&key(flow)) else {
+        let Some(sent) = self.openings_sent_at.get(&key(flow)) else {
             return;
         };
         let sent = *sent;
--- a/crates/bellyoke-lab/src/cookie/scenario.rs
+++ b/crates/bellyoke-lab/src/cookie/scenario.rs
@@ -254,7 +254,7 @@
 
     /// Whether a mechanism is taken out.
     #[must_use]
-    pub fn has_ablation(&self, ablation: Ablation) -> bool {
+    pub fn is_ablated(&self, ablation: Ablation) -> bool {
         self.ablations.contains(&ablation)
     }
 }
--- a/crates/bellyoke-lab/src/cookie/simulation.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation.rs
@@ -5,7 +5,7 @@
 mod machines;
 
 use super::client::Client;
-use super::node::{Forwarded, StoreCall};
+use super::node::{PacketOutcome, StoreCall};
 use super::packet::Packet;
 use super::router::Router;
 use super::rules::{Origin, RuleChecker, Violation};
@@ -26,25 +26,25 @@
 use std::time::Duration;
 
 /// Long before the run peers may have learned what they tell ages of.
-const CLOCK_START: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
+const START_TIME: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
 /// One way, between any two.
-const DELAY: Duration = Duration::from_millis(1);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
 /// Period of clients, targets and nodes.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Period of a node's control thread.
-const NODE_TICK: Duration = Duration::from_millis(100);
+const NODE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Period in which routers ask nodes.
-const POLL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bytes of a message between nodes, about.
-const PEER_DATAGRAM: usize = 400;
+const PEER_DATAGRAM_BYTES: usize = 400;
 
 /// Bytes of the packet that opens a connection, about.
-const CONNECTION_PACKET: usize = 60;
+const CONNECTION_PACKET_BYTES: usize = 60;
 
 /// Port of the exchange between nodes.
 const PEER_PORT: u16 = 7_000;
@@ -55,33 +55,33 @@
     NodeTicks,
     Poll,
     Action(usize),
-    AtNode {
+    PacketAtNode {
         node: usize,
         packet: Packet,
     },
-    AtTarget {
+    PacketAtTarget {
         address: SocketAddrV4,
-        meant: Option<InstanceId>,
+        intended_instance: Option<InstanceId>,
         packet: Packet,
         undisturbed: bool,
     },
-    AtClient {
+    PacketAtClient {
         packet: Packet,
         origin: Origin,
     },
     StoreCall {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: StoreCall,
     },
-    WatchExpires {
+    WatchTimeout {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: StoreCall,
     },
     StoreAnswer {
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         era: Option<StoreEra>,
         answer: StoreAnswer,
@@ -91,28 +91,28 @@
         to: usize,
         datagram: PeerDatagram,
     },
-    Fetched {
+    FetchDone {
         node: usize,
-        life: u64,
+        incarnation: u64,
         from: SocketAddrV4,
         snapshot: Option<Snapshot>,
     },
     ProbeAttempt {
         node: usize,
-        life: u64,
+        incarnation: u64,
         batch: ProbeBatch,
     },
-    Start {
+    StartNode {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
-    Thaw {
+    ResumeNode {
         node: usize,
     },
-    TargetEnds(InstanceId),
-    RecordGoes(InstanceId),
-    RecordReturns(InstanceId),
-    OperatorWritesAgain,
+    EndTarget(InstanceId),
+    RemoveRecord(InstanceId),
+    RewriteRecord(InstanceId),
+    RewriteOperatorObjects,
 }
 
 /// What came of a run.
@@ -146,7 +146,7 @@
     machines: Vec<Machine>,
     targets: Vec<RunningTarget>,
     clients: Vec<Client>,
-    waiting: Vec<(usize, u64, StoreCall)>,
+    pending_watches: Vec<(usize, u64, StoreCall)>,
     rules: RuleChecker,
     version: u64,
     /// What the operator has written last, for a store that has lost it.
@@ -181,7 +181,7 @@
         let router = Router::new(scenario.hash, scenario.nodes);
         let mut simulation = Self {
             router,
-            now: CLOCK_START,
+            now: START_TIME,
             events: BTreeMap::new(),
             next_event: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -189,7 +189,7 @@
             machines: Vec::new(),
             targets: Vec::new(),
             clients: Vec::new(),
-            waiting: Vec::new(),
+            pending_watches: Vec::new(),
             rules: RuleChecker::default(),
             version: 0,
             newest_configuration: None,
@@ -225,7 +225,7 @@
         }
         self.after(Duration::ZERO, Event::Tick);
         self.after(Duration::ZERO, Event::NodeTicks);
-        self.after(POLL, Event::Poll);
+        self.after(POLL_INTERVAL, Event::Poll);
     }
 
     fn run(&mut self) {
@@ -248,21 +248,21 @@
 
     /// The same, unless the datagram is lost.
     fn send(&mut self, event: Event) {
-        self.send_later(Duration::ZERO, event);
+        self.send_after(Duration::ZERO, event);
     }
 
     /// The same over the link of a node's machine.
     fn send_from(&mut self, node: usize, length: usize, event: Event) {
-        if let Some(leaves) = self.machines[node].send(self.now, length) {
-            self.send_later(leaves, event);
+        if let Some(departs_in) = self.machines[node].send(self.now, length) {
+            self.send_after(departs_in, event);
         }
     }
 
-    fn send_later(&mut self, leaves: Duration, event: Event) {
+    fn send_after(&mut self, departs_in: Duration, event: Event) {
         if self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss) {
             return;
         }
-        self.after(leaves + DELAY, event);
+        self.after(departs_in + NETWORK_DELAY, event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -270,42 +270,58 @@
             Event::Tick => self.tick(),
             Event::NodeTicks => self.node_ticks(),
             Event::Poll => self.poll(),
-            Event::Action(index) => self.act(self.scenario.actions[index].1.clone()),
-            Event::AtNode { node, packet } => self.at_node(node, packet),
-            Event::AtTarget {
+            Event::Action(index) => self.perform(self.scenario.actions[index].1.clone()),
+            Event::PacketAtNode { node, packet } => self.handle_packet_at_node(node, packet),
+            Event::PacketAtTarget {
                 address,
-                meant,
+                intended_instance,
                 packet,
                 undisturbed,
-            } => self.at_target(address, meant, &packet, undisturbed),
-            Event::AtClient { packet, origin } => self.at_client(&packet, origin),
-            Event::StoreCall { node, life, call } => self.store_call(node, life, call),
-            Event::WatchExpires { node, life, call } => self.watch_expires(node, life, &call),
+            } => self.handle_packet_at_target(address, intended_instance, &packet, undisturbed),
+            Event::PacketAtClient { packet, origin } => {
+                self.handle_packet_at_client(&packet, origin)
+            }
+            Event::StoreCall {
+                node,
+                incarnation,
+                call,
+            } => self.handle_store_call(node, incarnation, call),
+            Event::WatchTimeout {
+                node,
+                incarnation,
+                call,
+            } => self.expire_watch(node, incarnation, &call),
             Event::StoreAnswer {
                 node,
-                life,
+                incarnation,
                 number,
                 era,
                 answer,
-            } => self.store_answer(node, life, number, era, answer),
+            } => self.handle_store_answer(node, incarnation, number, era, answer),
             Event::Datagram { from, to, datagram } => self.datagram(from, to, datagram),
-            Event::Fetched {
+            Event::FetchDone {
                 node,
-                life,
+                incarnation,
                 from,
                 snapshot,
-            } => self.fetched(node, life, from, snapshot),
-            Event::ProbeAttempt { node, life, batch } => self.probe_attempt(node, life, batch),
-            Event::Start { node, life } => {
-                if self.machines[node].life == life {
+            } => self.handle_fetch(node, incarnation, from, snapshot),
+            Event::ProbeAttempt {
+                node,
+                incarnation,
+                batch,
+            } => self.probe_attempt(node, incarnation, batch),
+            Event::StartNode { node, incarnation } => {
+                if self.machines[node].incarnation == incarnation {
                     self.start_node(node);
                 }
             }
-            Event::Thaw { node } => self.thaw(node),
-            Event::TargetEnds(id) => self.end_target(id),
-            Event::RecordGoes(id) => self.store_change(|store, now| store.remove_instance(now, id)),
-            Event::RecordReturns(id) => self.return_record(id),
-            Event::OperatorWritesAgain => self.write_again(),
+            Event::ResumeNode { node } => self.resume(node),
+            Event::EndTarget(id) => self.end_target(id),
+            Event::RemoveRecord(id) => {
+                self.store_change(|store, now| store.remove_instance(now, id))
+            }
+            Event::RewriteRecord(id) => self.rewrite_record(id),
+            Event::RewriteOperatorObjects => self.rewrite_operator_objects(),
         }
     }
 
@@ -321,53 +337,54 @@
                 self.target_output(index, output, true);
             }
         }
-        self.serve_watches();
+        self.answer_watches();
         for node in 0..self.machines.len() {
-            self.make_store_calls(node);
-            self.begin_probe(node);
+            self.start_store_calls(node);
+            self.start_probes(node);
         }
-        self.after(TICK, Event::Tick);
+        self.after(TICK_INTERVAL, Event::Tick);
     }
 
     fn poll(&mut self) {
         for (number, machine) in self.machines.iter().enumerate() {
-            self.router.record_poll(number, machine.answers_ready());
+            self.router
+                .record_poll(number, machine.answers_readiness_probe());
         }
-        self.after(POLL, Event::Poll);
+        self.after(POLL_INTERVAL, Event::Poll);
     }
 
-    fn at_node(&mut self, node: usize, packet: Packet) {
+    fn handle_packet_at_node(&mut self, node: usize, packet: Packet) {
         match &mut self.machines[node].state {
             MachineState::Down => {}
             MachineState::Frozen { backlog, .. } => backlog.push(packet),
             MachineState::Running(process) => {
-                let forwarded = process.handle_packet(self.now, &packet, true);
-                self.forwarded(node, forwarded);
+                let outcome = process.handle_packet(self.now, &packet, true);
+                self.handle_packet_outcome(node, outcome);
             }
         }
     }
 
-    fn forwarded(&mut self, node: usize, forwarded: Forwarded) {
+    fn handle_packet_outcome(&mut self, node: usize, outcome: PacketOutcome) {
         let undisturbed = self.undisturbed(node);
-        match forwarded {
-            Forwarded::To(destination, packet) => {
-                let named = !self.scenario.has_ablation(Ablation::NoInstanceCheck);
-                let meant = named.then_some(destination.instance);
-                let length = packet.wire_length();
-                let event = Event::AtTarget {
+        match outcome {
+            PacketOutcome::Forward(destination, packet) => {
+                let checks_instance = !self.scenario.is_ablated(Ablation::NoInstanceCheck);
+                let intended_instance = checks_instance.then_some(destination.instance);
+                let length = packet.wire_bytes();
+                let event = Event::PacketAtTarget {
                     address: destination.address,
-                    meant,
+                    intended_instance,
                     packet,
                     undisturbed,
                 };
                 self.send_from(node, length, event);
             }
-            Forwarded::Reset(packet) => {
+            PacketOutcome::Reset(packet) => {
                 let origin = Origin::Node { undisturbed };
-                let length = packet.wire_length();
-                self.send_from(node, length, Event::AtClient { packet, origin });
+                let length = packet.wire_bytes();
+                self.send_from(node, length, Event::PacketAtClient { packet, origin });
             }
-            Forwarded::Dropped => {}
+            PacketOutcome::Drop => {}
         }
     }
 
@@ -402,7 +419,7 @@
                 ExchangeEffect::SendOutliers { to, message } => {
                     self.send_datagram(node, to, PeerDatagram::Outliers(message));
                 }
-                ExchangeEffect::Fetch { from } => self.fetch(node, from),
+                ExchangeEffect::Fetch { from } => self.start_fetch(node, from),
                 ExchangeEffect::PeerJoined(_) | ExchangeEffect::PeerLost(_) => {}
             }
         }
@@ -411,11 +428,15 @@
     fn send_datagram(&mut self, from: usize, to: SocketAddrV4, datagram: PeerDatagram) {
         self.peer_messages += 1;
         if let Some(to) = node_number(to, self.machines.len()) {
-            self.send_from(from, PEER_DATAGRAM, Event::Datagram { from, to, datagram });
+            self.send_from(
+                from,
+                PEER_DATAGRAM_BYTES,
+                Event::Datagram { from, to, datagram },
+            );
         }
     }
 
-    fn fetch(&mut self, node: usize, from: SocketAddrV4) {
+    fn start_fetch(&mut self, node: usize, from: SocketAddrV4) {
         let process = self.machines[node].running();
         let request = process.map(super::node::Node::fetch_request);
         let source = node_number(from, self.machines.len());
@@ -423,12 +444,12 @@
         let snapshot = request
             .zip(source)
             .map(|(request, source)| source.snapshot_for(self.now, request));
-        let life = self.machines[node].life;
+        let incarnation = self.machines[node].incarnation;
         self.after(
-            DELAY * 4,
-            Event::Fetched {
+            NETWORK_DELAY * 4,
+            Event::FetchDone {
                 node,
-                life,
+                incarnation,
                 from,
                 snapshot,
             },
--- a/crates/bellyoke-lab/src/cookie/simulation/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/actions.rs
@@ -12,23 +12,23 @@
 use std::time::Duration;
 
 /// Silence after which the store drops a target's record.
-const HEARTBEATS_MISSED: Duration = Duration::from_millis(3_600);
+const RECORD_EXPIRY: Duration = Duration::from_millis(3_600);
 
 /// Time after which the operator writes again what a restored store has lost.
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Time after which a target writes its record again.
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
+const RECORD_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 impl Simulation {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::Configure { probe } => self.configure(probe),
-            Action::Drain { target, serves_for } => self.drain(target, serves_for),
-            Action::Unregister { target, serves_for } => self.vanish(target, serves_for),
-            Action::Crash { target } => self.crash(target),
-            Action::WriteStaleRecord { target } => self.write_late(target),
-            Action::RefuseConnections { target } => self.targets[target].deaf = true,
+            Action::Drain { target, serves_for } => self.drain_target(target, serves_for),
+            Action::Unregister { target, serves_for } => self.unregister(target, serves_for),
+            Action::Crash { target } => self.crash_target(target),
+            Action::WriteStaleRecord { target } => self.write_stale_record(target),
+            Action::RefuseConnections { target } => self.targets[target].refuses_connections = true,
             Action::Start {
                 service,
                 address_of,
@@ -46,7 +46,7 @@
                 self.store.undrain_zone(self.now, &zone_name(zone));
                 self.rules.record_zone_undrain(zone);
             }
-            Action::ExpireRecords => self.lapse(),
+            Action::ExpireRecords => self.expire_records(),
             Action::SetStoreMode(mode) => self.set_store_mode(mode),
             Action::Compact => {
                 self.store_disturbed_at = self.now;
@@ -111,7 +111,7 @@
         self.store.mode = mode;
         if mode == StoreMode::Silent {
             // Connections that lost an answer say nothing more, also when the store is back.
-            self.waiting.clear();
+            self.pending_watches.clear();
         }
         self.store_disturbed_at = match mode {
             // Until it is up again.
@@ -120,7 +120,7 @@
         };
     }
 
-    fn drain(&mut self, target: usize, serves_for: Duration) {
+    fn drain_target(&mut self, target: usize, serves_for: Duration) {
         let running = &mut self.targets[target];
         let Some(record) = &mut running.record else {
             return;
@@ -132,43 +132,44 @@
         }
         self.store.put_instance(self.now, record);
         self.rules.record_leaving(self.now, id);
-        self.after(serves_for, Event::RecordGoes(id));
-        self.after(serves_for, Event::TargetEnds(id));
+        self.after(serves_for, Event::RemoveRecord(id));
+        self.after(serves_for, Event::EndTarget(id));
     }
 
-    fn vanish(&mut self, target: usize, serves_for: Duration) {
+    fn unregister(&mut self, target: usize, serves_for: Duration) {
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.store.remove_instance(self.now, id);
         self.rules.record_leaving(self.now, id);
-        self.after(serves_for, Event::TargetEnds(id));
+        self.after(serves_for, Event::EndTarget(id));
     }
 
-    fn crash(&mut self, target: usize) {
+    fn crash_target(&mut self, target: usize) {
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.end_target(id);
-        self.after(HEARTBEATS_MISSED, Event::RecordGoes(id));
+        self.after(RECORD_EXPIRY, Event::RemoveRecord(id));
     }
 
-    fn write_late(&mut self, target: usize) {
+    fn write_stale_record(&mut self, target: usize) {
         let running = &self.targets[target];
         let settings = TargetSettings::with_defaults(running.id, service_name(running.service));
         let record = settings.record(running.address, zone_name(target % TARGET_ZONES));
         self.store.put_instance(self.now, record);
-        self.after(HEARTBEATS_MISSED, Event::RecordGoes(settings.id));
+        self.after(RECORD_EXPIRY, Event::RemoveRecord(settings.id));
     }
 
     /// As after an outage of the store: the records went meanwhile, and the targets write them
     /// again one after the other.
-    fn lapse(&mut self) {
+    fn expire_records(&mut self) {
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
-        let pause = HEARTBEAT / u32::try_from(ids.len().max(1)).unwrap_or(u32::MAX);
+        let interval =
+            RECORD_HEARTBEAT_INTERVAL / u32::try_from(ids.len().max(1)).unwrap_or(u32::MAX);
         self.store_disturbed_at = self.now;
         for (index, id) in ids.into_iter().enumerate() {
             self.store.remove_instance(self.now, id);
-            let place = u32::try_from(index).unwrap_or_default();
-            self.after(pause * place, Event::RecordReturns(id));
+            let position = u32::try_from(index).unwrap_or_default();
+            self.after(interval * position, Event::RewriteRecord(id));
         }
     }
 
@@ -176,17 +177,18 @@
     fn restore_store(&mut self) {
         self.store.restore();
         self.set_store_mode(StoreMode::Up);
-        self.after(REWRITE_DELAY, Event::OperatorWritesAgain);
-        let pause = HEARTBEAT / u32::try_from(self.targets.len().max(1)).unwrap_or(u32::MAX);
+        self.after(REWRITE_DELAY, Event::RewriteOperatorObjects);
+        let interval = RECORD_HEARTBEAT_INTERVAL
+            / u32::try_from(self.targets.len().max(1)).unwrap_or(u32::MAX);
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
         for (index, id) in ids.into_iter().enumerate() {
-            let place = u32::try_from(index).unwrap_or_default();
-            self.after(pause * place, Event::RecordReturns(id));
+            let position = u32::try_from(index).unwrap_or_default();
+            self.after(interval * position, Event::RewriteRecord(id));
         }
         let listed = self.store.instances();
-        let lapsing: Vec<_> = listed.filter(|id| !self.is_running(*id)).collect();
-        for id in lapsing {
-            self.after(HEARTBEATS_MISSED, Event::RecordGoes(id));
+        let expiring: Vec<_> = listed.filter(|id| !self.is_running(*id)).collect();
+        for id in expiring {
+            self.after(RECORD_EXPIRY, Event::RemoveRecord(id));
         }
     }
 
@@ -199,17 +201,17 @@
     }
 
     /// Writes the newest configuration and the drained zones again, as far as the store has lost them.
-    pub(super) fn write_again(&mut self) {
+    pub(super) fn rewrite_operator_objects(&mut self) {
         let newest = self.newest_configuration.clone();
-        let held = self.store.configuration().map(|held| held.version);
-        if let Some(newest) = newest.filter(|newest| held != Some(newest.version)) {
+        let stored = self.store.configuration().map(|stored| stored.version);
+        if let Some(newest) = newest.filter(|newest| stored != Some(newest.version)) {
             self.store.put_configuration(self.now, newest);
         }
-        let held: BTreeSet<String> = self.store.drained_zones().map(str::to_owned).collect();
-        for zone in self.drained_zones.difference(&held) {
+        let stored: BTreeSet<String> = self.store.drained_zones().map(str::to_owned).collect();
+        for zone in self.drained_zones.difference(&stored) {
             self.store.drain_zone(self.now, zone);
         }
-        for zone in held.difference(&self.drained_zones) {
+        for zone in stored.difference(&self.drained_zones) {
             self.store.undrain_zone(self.now, zone);
         }
     }
--- a/crates/bellyoke-lab/src/cookie/simulation/clients.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/clients.rs
@@ -56,12 +56,12 @@
         for packet in output.packets {
             let node = packet.flow().and_then(|flow| self.router.choose(flow));
             if let Some(node) = node {
-                self.send(Event::AtNode { node, packet });
+                self.send(Event::PacketAtNode { node, packet });
             }
         }
     }
 
-    pub(super) fn at_client(&mut self, packet: &Packet, origin: Origin) {
+    pub(super) fn handle_packet_at_client(&mut self, packet: &Packet, origin: Origin) {
         let now = self.now;
         let Some(destination) = packet.destination else {
             return;
--- a/crates/bellyoke-lab/src/cookie/simulation/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/machines.rs
@@ -1,8 +1,8 @@
 //! The machines of the simulation: nodes that run, stand still or are down, and targets.
 
-use super::{CONNECTION_PACKET, Event, NODE_TICK, Simulation, peer_address};
+use super::{CONNECTION_PACKET_BYTES, Event, NODE_TICK_INTERVAL, Simulation, peer_address};
 use crate::cookie::link::{Link, LinkSettings};
-use crate::cookie::node::{Forwarded, Node, StoreCall};
+use crate::cookie::node::{Node, PacketOutcome, StoreCall};
 use crate::cookie::packet::Packet;
 use crate::cookie::rules::{Arrival, Origin, UNDISTURBED_PERIOD};
 use crate::cookie::scenario::{TARGET_ZONES, service_name, zone_name};
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Time between a planned stop and the next start.
-const PLANNED_PAUSE: Duration = Duration::from_millis(500);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 /// What a node's machine does.
 #[derive(Debug)]
@@ -40,8 +40,8 @@
 #[derive(Debug)]
 pub(super) struct Machine {
     pub state: MachineState,
-    /// Counts processes, so that nothing meant for one reaches the next.
-    pub life: u64,
+    /// Counts processes, so that nothing intended_instance for one reaches the next.
+    pub incarnation: u64,
     /// When it was last harmed.
     pub disturbed_at: Timestamp,
     pub cut_from_store: bool,
@@ -52,7 +52,7 @@
     pub(super) fn new(now: Timestamp, link: Option<LinkSettings>) -> Self {
         Self {
             state: MachineState::Down,
-            life: 0,
+            incarnation: 0,
             disturbed_at: now,
             cut_from_store: false,
             link: link.map(Link::new),
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(super) fn answers_ready(&self) -> bool {
+    pub(super) fn answers_readiness_probe(&self) -> bool {
         self.running().is_some_and(Node::is_ready)
     }
 }
@@ -89,13 +89,13 @@
     pub target: Option<Target>,
     /// The record that it writes again when it was lost.
     pub record: Option<InstanceRecord>,
-    /// Whether it takes no connections, though it serves its flows.
-    pub deaf: bool,
+    /// Whether it accepts no connections, though it serves its flows.
+    pub refuses_connections: bool,
 }
 
 impl RunningTarget {
-    const fn listens(&self) -> bool {
-        self.target.is_some() && !self.deaf
+    const fn accepts_connections(&self) -> bool {
+        self.target.is_some() && !self.refuses_connections
     }
 }
 
@@ -103,8 +103,10 @@
     /// Whether nothing has happened to a node or the store of late.
     pub(super) fn undisturbed(&self, node: usize) -> bool {
         let machine = &self.machines[node];
-        let quiet = |since: Timestamp| self.now.since(since) >= UNDISTURBED_PERIOD;
-        quiet(machine.disturbed_at) && quiet(self.store_disturbed_at) && !machine.cut_from_store
+        let long_since = |since: Timestamp| self.now.since(since) >= UNDISTURBED_PERIOD;
+        long_since(machine.disturbed_at)
+            && long_since(self.store_disturbed_at)
+            && !machine.cut_from_store
     }
 
     pub(super) fn start_node(&mut self, node: usize) {
@@ -119,7 +121,7 @@
             self.random.random(),
         );
         let machine = &mut self.machines[node];
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.state = MachineState::Running(Box::new(process));
     }
 
@@ -128,26 +130,26 @@
             let MachineState::Running(process) = &mut self.machines[node].state else {
                 continue;
             };
-            if process.is_over(self.now) {
-                self.stop_node(node, PLANNED_PAUSE);
+            if process.has_stopped(self.now) {
+                self.stop_node(node, RESTART_DELAY);
                 continue;
             }
             let effects = process.tick(self.now);
-            let resets = process.end_resting(self.now);
+            let resets = process.take_flow_resets(self.now);
             self.effects(node, effects);
             for reset in resets {
-                self.forwarded(node, Forwarded::Reset(reset));
+                self.handle_packet_outcome(node, PacketOutcome::Reset(reset));
             }
         }
-        self.after(NODE_TICK, Event::NodeTicks);
+        self.after(NODE_TICK_INTERVAL, Event::NodeTicks);
     }
 
     /// Ends a node's process and starts the next one after `down`.
     pub(super) fn stop_node(&mut self, node: usize, down: Duration) {
         let machine = &mut self.machines[node];
         machine.state = MachineState::Down;
-        let life = machine.life;
-        self.after(down, Event::Start { node, life });
+        let incarnation = machine.incarnation;
+        self.after(down, Event::StartNode { node, incarnation });
     }
 
     pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
@@ -161,11 +163,11 @@
             other => other,
         };
         machine.disturbed_at = self.now.after(duration);
-        self.after(duration, Event::Thaw { node });
+        self.after(duration, Event::ResumeNode { node });
     }
 
     /// The traffic thread runs first: the worst case for what waited in its socket.
-    pub(super) fn thaw(&mut self, node: usize) {
+    pub(super) fn resume(&mut self, node: usize) {
         let machine = &mut self.machines[node];
         let state = std::mem::replace(&mut machine.state, MachineState::Down);
         let MachineState::Frozen {
@@ -178,179 +180,197 @@
         };
         machine.disturbed_at = self.now;
         let count = backlog.len();
-        let forwarded: Vec<_> = backlog
+        let outcomes: Vec<_> = backlog
             .iter()
             .enumerate()
             .map(|(index, packet)| process.handle_packet(self.now, packet, index + 1 == count))
             .collect();
         self.machines[node].state = MachineState::Running(process);
-        for forwarded in forwarded {
-            self.forwarded(node, forwarded);
+        for outcome in outcomes {
+            self.handle_packet_outcome(node, outcome);
         }
     }
 
     /// Begins the probe that a node wants, if it wants one.
-    pub(super) fn begin_probe(&mut self, node: usize) {
+    pub(super) fn start_probes(&mut self, node: usize) {
         let machine = &mut self.machines[node];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         let mut batches = Vec::new();
         if let MachineState::Running(process) = &mut machine.state {
             batches.extend(std::iter::from_fn(|| process.next_probe(self.now)));
         }
         for batch in batches {
-            self.probe_attempt(node, life, batch);
+            self.probe_attempt(node, incarnation, batch);
         }
     }
 
     /// Makes an attempt of a probe, and the next one when its time is over.
-    pub(super) fn probe_attempt(&mut self, node: usize, life: u64, mut batch: ProbeBatch) {
-        if self.machines[node].life != life {
+    pub(super) fn probe_attempt(&mut self, node: usize, incarnation: u64, mut batch: ProbeBatch) {
+        if self.machines[node].incarnation != incarnation {
             return;
         }
         if batch.is_complete() {
             if let MachineState::Running(process) = &mut self.machines[node].state {
-                let effects = process.probed(self.now, &batch.outcomes());
+                let effects = process.handle_probe_outcomes(self.now, &batch.outcomes());
                 self.effects(node, effects);
             }
             return;
         }
         let addresses = batch.next_addresses().into_iter();
-        let opened = addresses.filter(|address| self.connects(node, *address));
+        let opened = addresses.filter(|address| self.opens_connection(node, *address));
         batch.record_attempt(&opened.collect());
-        let event = Event::ProbeAttempt { node, life, batch };
+        let event = Event::ProbeAttempt {
+            node,
+            incarnation,
+            batch,
+        };
         self.after(ATTEMPT_TIMEOUT, event);
     }
 
     /// Whether a connection from a node to an address opens.
-    fn connects(&mut self, node: usize, address: SocketAddrV4) -> bool {
-        let sent = self.machines[node].send(self.now, CONNECTION_PACKET);
+    fn opens_connection(&mut self, node: usize, address: SocketAddrV4) -> bool {
+        let sent = self.machines[node].send(self.now, CONNECTION_PACKET_BYTES);
         let lost = self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss);
         let mut targets = self.targets.iter();
-        let listens = targets.any(|target| target.address == address && target.listens());
-        sent.is_some() && !lost && listens
+        let accepts_connections =
+            targets.any(|target| target.address == address && target.accepts_connections());
+        sent.is_some() && !lost && accepts_connections
     }
 
     pub(super) fn datagram(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
         if let MachineState::Running(process) = &mut self.machines[to].state {
-            let effects = process.datagram(self.now, peer_address(from), datagram);
+            let effects = process.handle_datagram(self.now, peer_address(from), datagram);
             self.effects(to, effects);
         }
     }
 
-    pub(super) fn fetched(
+    pub(super) fn handle_fetch(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         from: SocketAddrV4,
         snapshot: Option<Snapshot>,
     ) {
         let machine = &mut self.machines[node];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         if let MachineState::Running(process) = &mut machine.state {
-            let effects = process.fetched(self.now, from, snapshot);
+            let effects = process.handle_snapshot(self.now, from, snapshot);
             self.effects(node, effects);
         }
     }
 
-    pub(super) fn make_store_calls(&mut self, node: usize) {
+    pub(super) fn start_store_calls(&mut self, node: usize) {
         let now = self.now;
         let machine = &mut self.machines[node];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         let MachineState::Running(process) = &mut machine.state else {
             return;
         };
         for call in process.store_calls(now) {
             self.store_calls += 1;
-            let given_up = Event::StoreAnswer {
+            let timed_out = Event::StoreAnswer {
                 node,
-                life,
+                incarnation,
                 number: call.number,
                 era: None,
                 answer: StoreAnswer::failed(call.kind),
             };
-            self.after(call.patience, given_up);
+            self.after(call.timeout, timed_out);
             if !self.machines[node].cut_from_store {
-                self.after(super::DELAY, Event::StoreCall { node, life, call });
+                self.after(
+                    super::NETWORK_DELAY,
+                    Event::StoreCall {
+                        node,
+                        incarnation,
+                        call,
+                    },
+                );
             }
         }
     }
 
-    pub(super) fn store_call(&mut self, node: usize, life: u64, call: StoreCall) {
+    pub(super) fn handle_store_call(&mut self, node: usize, incarnation: u64, call: StoreCall) {
         if self.store.mode == StoreMode::Silent {
             return;
         }
         match self.store.answer(self.now, call.kind, &call.read, false) {
-            Some(answer) => self.answer_call(node, life, &call, answer),
+            Some(answer) => self.send_store_answer(node, incarnation, &call, answer),
             None => {
                 if let Read::Watch { wait, .. } = &call.read {
-                    let expires = Event::WatchExpires {
+                    let expires = Event::WatchTimeout {
                         node,
-                        life,
+                        incarnation,
                         call: call.clone(),
                     };
                     self.after(*wait, expires);
                 }
-                self.waiting.push((node, life, call));
+                self.pending_watches.push((node, incarnation, call));
             }
         }
     }
 
-    pub(super) fn watch_expires(&mut self, node: usize, life: u64, call: &StoreCall) {
-        let is_it = |(waiting, its_life, its): &(usize, u64, StoreCall)| {
-            *waiting == node && *its_life == life && its.number == call.number
+    pub(super) fn expire_watch(&mut self, node: usize, incarnation: u64, call: &StoreCall) {
+        let is_same_call = |(watch_node, watch_incarnation, watch): &(usize, u64, StoreCall)| {
+            *watch_node == node && *watch_incarnation == incarnation && watch.number == call.number
         };
-        let Some(index) = self.waiting.iter().position(is_it) else {
+        let Some(index) = self.pending_watches.iter().position(is_same_call) else {
             return;
         };
-        self.waiting.swap_remove(index);
+        self.pending_watches.swap_remove(index);
         let answer = self.store.answer(self.now, call.kind, &call.read, true);
         if let Some(answer) = answer {
-            self.answer_call(node, life, call, answer);
+            self.send_store_answer(node, incarnation, call, answer);
         }
     }
 
     /// Answers the watches that have news.
-    pub(super) fn serve_watches(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for (node, life, call) in waiting {
+    pub(super) fn answer_watches(&mut self) {
+        let pending_watches = std::mem::take(&mut self.pending_watches);
+        for (node, incarnation, call) in pending_watches {
             match self.store.answer(self.now, call.kind, &call.read, false) {
-                Some(answer) => self.answer_call(node, life, &call, answer),
-                None => self.waiting.push((node, life, call)),
+                Some(answer) => self.send_store_answer(node, incarnation, &call, answer),
+                None => self.pending_watches.push((node, incarnation, call)),
             }
         }
     }
 
-    fn answer_call(&mut self, node: usize, life: u64, call: &StoreCall, answer: StoreAnswer) {
+    fn send_store_answer(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: &StoreCall,
+        answer: StoreAnswer,
+    ) {
         if self.machines[node].cut_from_store {
             return;
         }
         let event = Event::StoreAnswer {
             node,
-            life,
+            incarnation,
             number: call.number,
             era: self.store.reported_era(),
             answer,
         };
-        self.after(super::DELAY, event);
+        self.after(super::NETWORK_DELAY, event);
     }
 
-    pub(super) fn store_answer(
+    pub(super) fn handle_store_answer(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         era: Option<StoreEra>,
         answer: StoreAnswer,
     ) {
         let now = self.now;
         let machine = &mut self.machines[node];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         if let MachineState::Running(process) = &mut machine.state {
-            let effects = process.store_answer(now, number, era, answer);
+            let effects = process.handle_store_answer(now, number, era, answer);
             self.effects(node, effects);
         }
     }
@@ -374,7 +394,7 @@
             address,
             target: Some(Target::new(settings)),
             record: Some(record),
-            deaf: false,
+            refuses_connections: false,
         });
     }
 
@@ -385,24 +405,26 @@
         }
     }
 
-    pub(super) fn return_record(&mut self, id: InstanceId) {
+    pub(super) fn rewrite_record(&mut self, id: InstanceId) {
         let target = self.targets.iter().find(|target| target.id == id);
         let record = target
             .filter(|target| target.target.is_some())
             .and_then(|target| target.record.clone());
-        let held = self.store.instance(id);
-        let tells = |record: &InstanceRecord| {
-            held.is_some_and(|held| held.state == record.state && held.started == record.started)
+        let stored = self.store.instance(id);
+        let matches = |record: &InstanceRecord| {
+            stored.is_some_and(|stored| {
+                stored.state == record.state && stored.started == record.started
+            })
         };
-        if let Some(record) = record.filter(|record| !tells(record)) {
+        if let Some(record) = record.filter(|record| !matches(record)) {
             self.store.put_instance(self.now, record);
         }
     }
 
-    pub(super) fn at_target(
+    pub(super) fn handle_packet_at_target(
         &mut self,
         address: SocketAddrV4,
-        meant: Option<InstanceId>,
+        intended_instance: Option<InstanceId>,
         packet: &Packet,
         undisturbed: bool,
     ) {
@@ -416,14 +438,14 @@
             return;
         };
         let running = &mut self.targets[index];
-        let takes = meant.is_none_or(|meant| meant == running.id);
+        let accepts = intended_instance.is_none_or(|intended| intended == running.id);
         let Some(target) = &mut running.target else {
             return;
         };
-        let output = target.handle_packet(now, meant, packet);
+        let output = target.handle_packet(now, intended_instance, packet);
         if let Some(flow) = packet.flow()
             && packet.flags.syn
-            && takes
+            && accepts
         {
             let arrival = Arrival {
                 target: running.id,
@@ -444,7 +466,7 @@
         }
         for packet in output.packets {
             let origin = Origin::Target { id, undisturbed };
-            self.send(Event::AtClient { packet, origin });
+            self.send(Event::PacketAtClient { packet, origin });
         }
     }
 }
--- a/crates/bellyoke-lab/src/cookie/store.rs
+++ b/crates/bellyoke-lab/src/cookie/store.rs
@@ -62,7 +62,8 @@
                 }))
             }
             Self::Configurations(answer) => {
-                let put_configuration = |held: &mut Configuration| put(&mut held.revision);
+                let put_configuration =
+                    |configuration: &mut Configuration| put(&mut configuration.revision);
                 Self::Configurations(with_revisions(
                     answer,
                     put,
@@ -101,7 +102,7 @@
 
 /// The objects of the store at some moment.
 #[derive(Clone, Debug)]
-struct Copy {
+struct Backup {
     revision: Revision,
     instances: BTreeMap<InstanceId, InstanceRecord>,
     configuration: Option<Configuration>,
@@ -113,8 +114,8 @@
 pub struct Store {
     /// How it answers.
     pub mode: StoreMode,
-    /// Instances in a page of a list.
-    pub page: usize,
+    /// Instances in a page_size of a list.
+    pub page_size: usize,
     /// How much older than the newest state a stale read is.
     pub staleness: Duration,
     /// Whether answers tell the era.
@@ -125,15 +126,15 @@
     configuration: Option<Configuration>,
     drained_zones: BTreeMap<String, Revision>,
     history: VecDeque<(Timestamp, Revision, Change)>,
-    forgotten: Revision,
-    copy: Option<Copy>,
+    compacted_revision: Revision,
+    backup: Option<Backup>,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
             mode: StoreMode::Up,
-            page: 50,
+            page_size: 50,
             staleness: Duration::ZERO,
             reports_era: true,
             era: StoreEra(0),
@@ -142,8 +143,8 @@
             configuration: None,
             drained_zones: BTreeMap::new(),
             history: VecDeque::new(),
-            forgotten: Revision::new(0),
-            copy: None,
+            compacted_revision: Revision::new(0),
+            backup: None,
         }
     }
 }
@@ -151,10 +152,10 @@
 impl Store {
     /// Writes a target's record. One that isn't there, or has gone, is created.
     pub fn put_instance(&mut self, now: Timestamp, mut record: InstanceRecord) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         record.revision = revision;
-        let held = self.instances.get(&record.id);
-        record.created = held.map_or(Some(revision), |held| held.created);
+        let existing = self.instances.get(&record.id);
+        record.created = existing.map_or(Some(revision), |existing| existing.created);
         self.instances.insert(record.id, record.clone());
         let change = Change::Instance(InstanceEvent::Put(record));
         self.history.push_back((now, revision, change));
@@ -163,7 +164,7 @@
     /// Removes a target's record.
     pub fn remove_instance(&mut self, now: Timestamp, id: InstanceId) {
         if self.instances.remove(&id).is_some() {
-            let revision = self.advance();
+            let revision = self.advance_revision();
             let change = Change::Instance(InstanceEvent::Gone(id));
             self.history.push_back((now, revision, change));
         }
@@ -177,7 +178,7 @@
 
     /// Writes the configuration.
     pub fn put_configuration(&mut self, now: Timestamp, mut configuration: Configuration) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         configuration.revision = revision;
         self.configuration = Some(configuration.clone());
         let change = Change::Configuration(configuration);
@@ -186,7 +187,7 @@
 
     /// Drains a zone.
     pub fn drain_zone(&mut self, now: Timestamp, zone: &str) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         self.drained_zones.insert(zone.to_owned(), revision);
         let drained = DrainedZone {
             zone: zone.to_owned(),
@@ -199,7 +200,7 @@
     /// Takes a drained zone back.
     pub fn undrain_zone(&mut self, now: Timestamp, zone: &str) {
         if self.drained_zones.remove(zone).is_some() {
-            let revision = self.advance();
+            let revision = self.advance_revision();
             let change = Change::Zone(ZoneEvent::Undrained(zone.to_owned()));
             self.history.push_back((now, revision, change));
         }
@@ -207,7 +208,7 @@
 
     /// Copies all objects, for [`Self::restore`].
     pub fn back_up(&mut self) {
-        self.copy = Some(Copy {
+        self.backup = Some(Backup {
             revision: self.revision,
             instances: self.instances.clone(),
             configuration: self.configuration.clone(),
@@ -215,28 +216,28 @@
         });
     }
 
-    /// Comes back from the last copy, if there is one: what was written since is lost, and revisions are
+    /// Comes back from the last backup, if there is one: what was written since is lost, and revisions are
     /// given out again.
     pub fn restore(&mut self) {
-        let Some(copy) = self.copy.clone() else {
+        let Some(backup) = self.backup.clone() else {
             return;
         };
         let era = self.era.next();
-        let restored = |revision: Revision| in_era(era, revision);
+        let in_new_era = |revision: Revision| in_era(era, revision);
         self.era = era;
-        self.revision = restored(copy.revision);
-        self.instances = copy.instances;
+        self.revision = in_new_era(backup.revision);
+        self.instances = backup.instances;
         for record in self.instances.values_mut() {
-            record.revision = restored(record.revision);
-            record.created = record.created.map(restored);
+            record.revision = in_new_era(record.revision);
+            record.created = record.created.map(in_new_era);
         }
-        self.configuration = copy.configuration;
+        self.configuration = backup.configuration;
         if let Some(configuration) = &mut self.configuration {
-            configuration.revision = restored(configuration.revision);
+            configuration.revision = in_new_era(configuration.revision);
         }
-        self.drained_zones = copy.drained_zones;
+        self.drained_zones = backup.drained_zones;
         for revision in self.drained_zones.values_mut() {
-            *revision = restored(*revision);
+            *revision = in_new_era(*revision);
         }
         self.compact();
     }
@@ -265,11 +266,11 @@
 
     /// Forgets all history.
     pub fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
         self.history.clear();
     }
 
-    /// The answer to a read, if there is one now. A watch without news has none until it is
+    /// The answer to a read, if there is one now. A watch without new_changes has none until it is
     /// `expired`.
     #[must_use]
     pub fn answer(
@@ -288,7 +289,7 @@
         match read {
             Read::List { after, .. } => Some(self.list(kind, after.as_deref())),
             Read::Watch { from, .. }
-                if from.number() < self.forgotten.number()
+                if from.number() < self.compacted_revision.number()
                     || from.number() > self.revision.number() =>
             {
                 Some(history_gone(kind))
@@ -307,7 +308,7 @@
         }
     }
 
-    fn advance(&mut self) -> Revision {
+    fn advance_revision(&mut self) -> Revision {
         let next = Revision::in_era(self.era, self.revision.number() + 1);
         self.revision = next.unwrap_or(self.revision);
         self.revision
@@ -335,13 +336,14 @@
             }
             ObjectKind::Instances => {
                 let after = after.and_then(|name| u64::from_str_radix(name, 16).ok());
-                let rest = self
+                let remaining = self
                     .instances
                     .values()
                     .filter(|record| after.is_none_or(|after| record.id.0 > after));
-                let mut items: Vec<InstanceRecord> = rest.take(self.page + 1).cloned().collect();
-                let more = items.len() > self.page;
-                items.truncate(self.page);
+                let mut items: Vec<InstanceRecord> =
+                    remaining.take(self.page_size + 1).cloned().collect();
+                let more = items.len() > self.page_size;
+                items.truncate(self.page_size);
                 let last = items.last().map(|record| record.id.to_string());
                 StoreAnswer::Instances(Answer::Page {
                     items,
@@ -360,16 +362,16 @@
         staleness: Duration,
         expired: bool,
     ) -> Option<StoreAnswer> {
-        let news = || {
+        let new_changes = || {
             self.history
                 .iter()
                 .filter(move |(at, revision, _)| *revision > from && now.since(*at) >= staleness)
         };
-        let at = news().map(|(_, revision, _)| *revision).max();
+        let at = new_changes().map(|(_, revision, _)| *revision).max();
         let at = at.unwrap_or(from);
         match kind {
             ObjectKind::Instances => {
-                let events: Vec<InstanceEvent> = news()
+                let events: Vec<InstanceEvent> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Instance(event) => Some(event.clone()),
                         Change::Configuration(_) | Change::Zone(_) => None,
@@ -379,7 +381,7 @@
                 due.then_some(StoreAnswer::Instances(Answer::Changes { events, at }))
             }
             ObjectKind::Configuration => {
-                let events: Vec<Configuration> = news()
+                let events: Vec<Configuration> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Configuration(configuration) => Some(configuration.clone()),
                         Change::Instance(_) | Change::Zone(_) => None,
@@ -389,7 +391,7 @@
                 due.then_some(StoreAnswer::Configurations(Answer::Changes { events, at }))
             }
             ObjectKind::Zones => {
-                let events: Vec<ZoneEvent> = news()
+                let events: Vec<ZoneEvent> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Zone(event) => Some(event.clone()),
                         Change::Configuration(_) | Change::Instance(_) => None,
--- a/crates/bellyoke-lab/src/cookie/target.rs
+++ b/crates/bellyoke-lab/src/cookie/target.rs
@@ -1,6 +1,6 @@
 //! A target: a backend that takes packets of flow_state and answers its clients directly.
 
-use super::packet::{Flags, Packet, data_length};
+use super::packet::{Flags, Packet, sequence_length};
 use bellyoke_core::cookie::instance::{InstanceId, InstanceRecord, InstanceState};
 use bellyoke_core::cookie::packet::FlowTuple;
 use bellyoke_core::cookie::revision::Revision;
@@ -174,8 +174,7 @@
         let Some(flow) = packet.flow() else {
             return output;
         };
-        if intended_instance.is_some_and(|intended_instance| intended_instance != self.settings.id)
-        {
+        if intended_instance.is_some_and(|intended| intended != self.settings.id) {
             return output;
         }
         if packet.flags.syn {
@@ -231,13 +230,13 @@
         packet: &Packet,
         output: &mut TargetOutput,
     ) {
-        let known = self.flows.get_mut(&key(flow)).filter(|flow_state| {
+        let known_flow = self.flows.get_mut(&key(flow)).filter(|flow_state| {
             flow_state.established || packet.acknowledged == flow_state.next_sequence
         });
-        let Some(flow_state) = known else {
+        let Some(flow_state) = known_flow else {
             output.events.push(TargetEvent::UnknownFlowPacket(flow));
             if !packet.flags.rst {
-                output.packets.push(packet.reset());
+                output.packets.push(packet.reset_reply());
             }
             return;
         };
@@ -324,17 +323,17 @@
         &mut self,
         now: Timestamp,
         flow: FlowTuple,
-        content: Answer,
+        answer: Answer,
         output: &mut TargetOutput,
     ) {
         let Some(flow_state) = self.flows.get_mut(&key(flow)) else {
             return;
         };
-        let mut packet = flow_packet(flow, flow_state, content.encode());
+        let mut packet = flow_packet(flow, flow_state, answer.encode());
         packet.flags.fin = self.draining;
         flow_state.next_sequence = flow_state
             .next_sequence
-            .wrapping_add(data_length(&packet.data));
+            .wrapping_add(sequence_length(&packet.data));
         flow_state.unacknowledged = Some(Retransmission {
             packet: packet.clone(),
             due_at: now.after(INITIAL_RETRANSMISSION_DELAY),
@@ -369,7 +368,7 @@
     }
     flow_state.expected_sequence = flow_state
         .expected_sequence
-        .wrapping_add(data_length(&packet.data));
+        .wrapping_add(sequence_length(&packet.data));
     let number = packet.data.first_chunk()?;
     Some(u64::from_be_bytes(*number))
 }
