--- a/crates/bellyoke-lab/src/cookie/client.rs
+++ b/crates/bellyoke-lab/src/cookie/client.rs
@@ -1,4 +1,4 @@
-//! A client: one user who sends requests over flows, one latency the other.
+//! A client: a user who sends requests over flows, one at a time.
 
 use super::packet::{Flags, Packet, sequence_length};
 use super::target::{Answer, INITIAL_RETRANSMISSION_DELAY, MAXIMUM_RETRANSMISSION_DELAY};
@@ -7,31 +7,31 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// When retransmissions of an opening are sent, latency the first.
+/// Delays after the first packet of an opening at which it is retransmitted.
 const OPENING_RETRANSMISSION_DELAYS: [Duration; 2] =
     [Duration::from_millis(200), Duration::from_millis(600)];
 
-/// When an opening is given up.
+/// Time after which an opening that has not been answered fails.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// How a client behaves.
+/// Settings of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientSettings {
-    /// Its address.
+    /// Address of the client.
     pub address: Ipv4Addr,
-    /// The service that it uses.
+    /// Address of the service.
     pub service: SocketAddrV4,
-    /// Requests over one flow before it is closed.
+    /// Number of requests after which the client closes a flow.
     pub requests_per_flow: u32,
-    /// Rest between two requests.
+    /// Pause between two requests.
     pub think_time: Duration,
-    /// How long it waits for an answer, from its first try.
+    /// Maximum time to wait for an answer, counted from the first attempt.
     pub deadline: Duration,
-    /// How often it tries a request again over a new flow when its flow was reset.
+    /// Maximum number of times that a request is retried over a new flow after its flow was reset.
     pub retries: u32,
 }
 
-/// What happened to a client.
+/// An event at a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
     /// The first packet of a flow was sent.
@@ -40,46 +40,47 @@
     RequestSent {
         /// The flow.
         flow: FlowTuple,
-        /// The request's number.
+        /// Number of the request.
         request: u64,
     },
-    /// A reset has come.
+    /// A reset was received.
     Reset {
         /// The flow.
         flow: FlowTuple,
-        /// Whether it was open.
+        /// Whether the flow was open.
         open: bool,
-        /// Whether no request was lost by it: it is tried again, or the flow was_idle.
+        /// Whether no request failed because of the reset: the request is retried, or the flow was
+        /// idle.
         without_loss: bool,
     },
-    /// An answer has come.
+    /// An answer was received.
     Answered {
         /// The flow.
         flow: FlowTuple,
-        /// The request that was waited for.
+        /// Number of the pending request.
         request: u64,
-        /// What the answer says.
+        /// Content of the answer.
         answer: Answer,
-        /// Time started_at the request was first tried.
+        /// Time since the first attempt of the request.
         latency: Duration,
     },
-    /// Something that is no answer to what was asked has come.
+    /// Data was received that can't be decoded as an answer.
     MalformedAnswer(FlowTuple),
-    /// The request was given up.
+    /// The request timed out.
     TimedOut {
         /// The flow.
         flow: FlowTuple,
-        /// The request's number; none if the flow never opened.
+        /// Number of the request, or `None` if the flow never opened.
         request: Option<u64>,
     },
 }
 
-/// What a client wants done.
+/// Output of a client.
 #[derive(Debug, Default)]
 pub struct ClientOutput {
-    /// Packets to a router.
+    /// Packets for a router.
     pub packets: Vec<Packet>,
-    /// What happened.
+    /// Events in the order in which they occurred.
     pub events: Vec<ClientEvent>,
 }
 
@@ -111,22 +112,22 @@
     requests: u32,
 }
 
-/// One user.
+/// A client.
 #[derive(Debug)]
 pub struct Client {
-    /// How it behaves.
+    /// Settings of the client.
     pub settings: ClientSettings,
     port: u16,
     state: State,
     open: Option<OpenFlow>,
     next_request: u64,
-    /// Times that the request under way was tried again.
+    /// Number of retries of the pending request.
     retries: u32,
 }
 
 impl Client {
-    /// A client that sends its first request at `start`. Its requests are numbered from
-    /// `first_request` on.
+    /// Creates a client that sends its first request at `start`. Its requests are numbered
+    /// consecutively from `first_request`.
     #[must_use]
     pub const fn new(settings: ClientSettings, start: Timestamp, first_request: u64) -> Self {
         Self {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Timestamp) -> ClientOutput {
         let mut output = ClientOutput::default();
         match &mut self.state {
@@ -197,7 +198,7 @@
         output
     }
 
-    /// A packet has come.
+    /// Handles a received packet.
     pub fn handle_packet(&mut self, now: Timestamp, packet: &Packet) -> ClientOutput {
         let mut output = ClientOutput::default();
         let flow = self.flow();
@@ -247,8 +248,8 @@
         u32::from(self.port) << 12
     }
 
-    /// The first answer to an opening wins; the echo of a later one is taken over all the same,
-    /// as both ends always repeat the last they got.
+    /// Handles an answer to the opening. The first one opens the flow. The echo of later ones is
+    /// adopted as well, since both endpoints always send back the last value that they received.
     fn opened(&mut self, now: Timestamp, packet: &Packet, output: &mut ClientOutput) {
         if let Some(open) = &mut self.open {
             open.echo = packet.echo;
@@ -303,7 +304,7 @@
             ..
         } = &mut self.state
         else {
-            // A repeat of the last answer: its acknowledgement was lost.
+            // The target retransmitted its last answer, since the acknowledgement was lost.
             if !packet.data.is_empty() {
                 output.packets.push(flow_packet(flow, open, Vec::new()));
             }
--- a/crates/bellyoke-lab/src/cookie/link.rs
+++ b/crates/bellyoke-lab/src/cookie/link.rs
@@ -1,18 +1,18 @@
-//! The link of a machine: a rate, and a queue that drops what comes while it is full.
+//! The link of a machine: a limited rate, and a queue that drops packets while it is full.
 
 use bellyoke_core::time::Timestamp;
 use std::time::Duration;
 
-/// How wide a link is.
+/// Capacity of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Bytes that it carries in a second.
+    /// Rate of the link.
     pub bytes_per_second: u32,
-    /// Packets that would wait longer are dropped.
+    /// Maximum time that a packet waits in the queue. Packets that would wait longer are dropped.
     pub maximum_queueing_delay: Duration,
 }
 
-/// One link, in the direction away from the machine.
+/// The outgoing link of a machine.
 ///
 /// ```
 /// use bellyoke_core::time::Timestamp;
@@ -20,10 +20,13 @@
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
-/// let mut link = Link::new(LinkSettings { bytes_per_second: 1_000, maximum_queueing_delay: ms(150) });
+/// let mut link = Link::new(LinkSettings {
+///     bytes_per_second: 1_000,
+///     maximum_queueing_delay: ms(150),
+/// });
 /// assert_eq!(link.send(Timestamp::ZERO, 100), Some(ms(100)));
-/// assert_eq!(link.send(Timestamp::ZERO, 100), Some(ms(200)), "after the first");
-/// assert_eq!(link.send(Timestamp::ZERO, 100), None, "it would wait 200 ms");
+/// assert_eq!(link.send(Timestamp::ZERO, 100), Some(ms(200)), "queued after the first");
+/// assert_eq!(link.send(Timestamp::ZERO, 100), None, "would wait 200 ms");
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
@@ -32,7 +35,7 @@
 }
 
 impl Link {
-    /// A link with nothing on it.
+    /// Creates an idle link.
     #[must_use]
     pub const fn new(settings: LinkSettings) -> Self {
         Self {
@@ -41,8 +44,8 @@
         }
     }
 
-    /// A packet of so many bytes is sent. Returns when its last byte has left, from now on; none
-    /// if it is dropped.
+    /// Queues a packet of `bytes` bytes. Returns the time from `now` until its last byte has been
+    /// sent, or `None` if the packet is dropped.
     pub fn send(&mut self, now: Timestamp, bytes: usize) -> Option<Duration> {
         let queueing_delay = self.free_at.since(now);
         if queueing_delay > self.settings.maximum_queueing_delay {
--- a/crates/bellyoke-lab/src/cookie/mod.rs
+++ b/crates/bellyoke-lab/src/cookie/mod.rs
@@ -1,9 +1,9 @@
-//! A model of a network in which packets carry the identity of their backend.
+//! Model of a network in which packets carry the identity of their backend.
 //!
-//! The parts are state machines without sockets: [`packet`], [`target`] (a backend), [`client`],
-//! [`store`] (lists, watches, faults) and [`router`]. [`simulation`] runs them with many nodes in
-//! virtual time, and [`rules`] judges what clients, targets and operators have seen. A run with
-//! the same seed is the same run.
+//! The components are state machines without sockets: [`packet`], [`target`] (a backend),
+//! [`client`], [`store`] (lists, watches, faults) and [`router`]. [`simulation`] runs them together
+//! with many nodes in virtual time, and [`rules`] checks the observations of clients, targets and
+//! operators. Runs with the same seed are identical.
 
 pub mod client;
 pub mod link;
--- a/crates/bellyoke-lab/src/cookie/node.rs
+++ b/crates/bellyoke-lab/src/cookie/node.rs
@@ -1,4 +1,4 @@
-//! A node of the model: the product's state machines, wired as the daemon wires them.
+//! A node of the model: the product's state machines, connected as in the daemon.
 
 use super::packet::Packet;
 use super::scenario::Ablation;
@@ -31,46 +31,46 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long gone instances are remembered.
+/// Time for which deleted instances are kept as tombstones.
 const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(70);
 
-/// Flows that a node remembers.
+/// Maximum number of flows that a node tracks.
 const FLOW_CAPACITY: usize = 8_192;
 
-/// How long a leaving node goes on.
+/// Time for which a terminated node still forwards packets.
 const LEAVE_GRACE: Duration = Duration::from_millis(1_100);
 
-/// How long a node waits for an answer beyond what it let the store wait.
+/// Time that a node waits for an answer, in addition to the time for which the store may delay it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long it waits where that is taken out.
+/// Timeout with [`Ablation::NoCallTimeout`] and [`Ablation::IdleForever`], longer than any run.
 const ABLATED_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// What a node does with a packet.
+/// Result of handling a packet.
 #[derive(Debug)]
 pub enum PacketOutcome {
-    /// It goes to an instance.
+    /// The packet is forwarded to an instance.
     Forward(Destination, Packet),
-    /// Its sender gets a reset.
+    /// A reset is sent to the client.
     Reset(Packet),
-    /// Nothing.
+    /// The packet is dropped.
     Drop,
 }
 
-/// A call that a node makes to the store.
+/// A call of a node to the store.
 #[derive(Clone, Debug)]
 pub struct StoreCall {
-    /// What it asks for.
+    /// Kind of the objects to read.
     pub kind: ObjectKind,
-    /// How.
+    /// The read to perform.
     pub read: Read,
-    /// Its number, to tell its answer from those of calls that were given up.
+    /// Number of the call, by which answers to calls that timed out are recognized.
     pub number: u64,
-    /// How long the node waits.
+    /// Time after which the call times out.
     pub timeout: Duration,
 }
 
-/// A call that is not answered yet.
+/// A call without an answer yet.
 #[derive(Debug)]
 struct PendingCall {
     number: u64,
@@ -78,7 +78,7 @@
     context: CallContext,
 }
 
-/// A node that knows nothing yet.
+/// Creates an empty replica.
 fn new_replica(exchange: &ExchangeSettings, tombstone_lifetime: Duration) -> Replica {
     if exchange.reads_zones {
         Replica::reading_zones(tombstone_lifetime)
@@ -115,7 +115,7 @@
 }
 
 impl Node {
-    /// A process that starts now.
+    /// Creates a node whose process starts at `now`.
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -175,43 +175,43 @@
         }
     }
 
-    /// Whether it takes new flows.
+    /// Returns whether the node is ready for new flows.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.coordinator.replica().versions();
         self.lifecycle.ready(known).is_ok()
     }
 
-    /// It is asked to stop.
+    /// Starts a graceful stop.
     pub fn terminate(&mut self, now: Timestamp) {
         self.lifecycle.leave(now);
     }
 
-    /// Whether its grace time is over.
+    /// Returns whether the grace period of a graceful stop is over.
     #[must_use]
     pub fn has_stopped(&self, now: Timestamp) -> bool {
         self.lifecycle.stop_at().is_some_and(|stop| now >= stop)
     }
 
-    /// The answer to a peer's request.
+    /// Returns the snapshot for a peer's request.
     #[must_use]
     pub fn snapshot_for(&self, now: Timestamp, request: FetchRequest) -> Snapshot {
         self.coordinator.snapshot_for(now, request)
     }
 
-    /// What it asks a peer that is ahead.
+    /// Returns the request for a peer whose state is newer.
     #[must_use]
     pub fn fetch_request(&self) -> FetchRequest {
         self.coordinator.fetch_request()
     }
 
-    /// The message for a peer that knows `known`, if there is one.
+    /// Returns the delta for a peer whose versions are `known`, if there is one.
     #[must_use]
     pub fn delta_for(&self, now: Timestamp, known: Versions) -> Option<DeltaMessage> {
         self.coordinator.delta_for(now, known)
     }
 
-    /// A packet has come. `last` tells that the socket is empty after it.
+    /// Handles a packet of a client. `is_last` means that the socket is empty after it.
     pub fn handle_packet(
         &mut self,
         now: Timestamp,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// A datagram of a peer has come.
+    /// Handles a datagram of a peer.
     pub fn handle_datagram(
         &mut self,
         now: Timestamp,
@@ -266,7 +266,7 @@
         self.apply_outcome(outcome)
     }
 
-    /// A snapshot has come, or none.
+    /// Handles the end of a fetch; `snapshot` is `None` if the fetch failed.
     pub fn handle_snapshot(
         &mut self,
         now: Timestamp,
@@ -281,7 +281,7 @@
         self.apply_outcome(outcome)
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ExchangeEffect> {
         let (outcome, stalled) = self.coordinator.tick(now);
         if stalled.is_some() {
@@ -316,7 +316,7 @@
         effects
     }
 
-    /// Resets of resting flows whose instances have ended.
+    /// Returns resets of idle flows whose instances have ended.
     pub fn take_flow_resets(&mut self, now: Timestamp) -> Vec<Packet> {
         let flow_resets = std::iter::from_fn(|| self.forwarder.next_flow_reset(now, &self.table));
         let resets: Vec<Packet> = flow_resets
@@ -328,7 +328,7 @@
         resets
     }
 
-    /// The probe that it wants to begin.
+    /// Returns the next batch of probes to start.
     pub fn next_probe(&mut self, now: Timestamp) -> Option<ProbeBatch> {
         if self.is_ablated(Ablation::NoProbes) {
             return None;
@@ -337,7 +337,7 @@
         self.coordinator.next_probe(now, &healthy)
     }
 
-    /// A probe is over.
+    /// Handles the outcomes of a batch of probes.
     pub fn handle_probe_outcomes(
         &mut self,
         now: Timestamp,
@@ -350,7 +350,7 @@
         effects
     }
 
-    /// The calls to make now.
+    /// Returns the calls to the store that are due.
     pub fn store_calls(&mut self, now: Timestamp) -> Vec<StoreCall> {
         let kinds = ObjectKind::read(self.reads_zones).iter();
         kinds
@@ -421,8 +421,7 @@
         })
     }
 
-    /// The answer to a call, or that none came. An answer to a call that was given up counts
-    /// for nothing.
+    /// Handles the answer to a call, or its failure. Answers to calls that timed out are ignored.
     pub fn handle_store_answer(
         &mut self,
         now: Timestamp,
@@ -456,7 +455,7 @@
         self.apply_outcome(outcome)
     }
 
-    /// The answer of a reply, as far as it counts.
+    /// Returns the part of a reply that is valid in the current era.
     fn usable_answer<Item, Event>(
         &mut self,
         now: Timestamp,
@@ -528,13 +527,13 @@
         }
     }
 
-    /// Whether it watches the store for others.
+    /// Returns whether the node watches the store on behalf of others.
     #[must_use]
     pub fn watches(&self, now: Timestamp) -> bool {
         self.coordinator.duty(now) != StoreDuty::Listener
     }
 
-    /// How it goes on reading objects of a kind.
+    /// Returns how to keep reading objects of a kind.
     fn watch_plan(&self, now: Timestamp, kind: ObjectKind) -> WatchPlan {
         match self.coordinator.watch_plan(now, kind) {
             WatchPlan::Watch(Freshness::Newest) if self.is_ablated(Ablation::NoReader) => {
@@ -547,7 +546,8 @@
         }
     }
 
-    /// Whether it doesn't watch for others, and was told that its state is the newest.
+    /// Returns whether the node doesn't watch on behalf of others and its state was confirmed as
+    /// the newest.
     fn has_confirmation(&self, now: Timestamp) -> bool {
         let exchange = self.coordinator.exchange();
         !self.watches(now) && exchange.confirmation_age(now).is_some()
--- a/crates/bellyoke-lab/src/cookie/packet.rs
+++ b/crates/bellyoke-lab/src/cookie/packet.rs
@@ -1,52 +1,53 @@
-//! Packets of the model, and their product view.
+//! Packets of the model, and their conversion to the types of the product.
 
 use bellyoke_core::cookie::instance::Cookie;
 use bellyoke_core::cookie::packet::{FlowPacket, FlowTuple, PacketRole};
 use std::net::SocketAddrV4;
 
-/// What a packet says besides its data.
+/// Flags of a packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
     /// Opens a flow, or answers an opening.
     pub syn: bool,
-    /// The acknowledgement counts.
+    /// The acknowledgement number is valid.
     pub ack: bool,
-    /// The sender has nothing more to say.
+    /// The sender has no more data.
     pub fin: bool,
-    /// The flow is over.
+    /// Resets the flow.
     pub rst: bool,
 }
 
-/// One packet of a flow.
+/// A packet of a flow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Packet {
-    /// The sender's end. None in a packet that is being built.
+    /// Address of the sender. `None` while the packet is being built.
     pub source: Option<SocketAddrV4>,
-    /// The other end.
+    /// Address of the receiver. `None` while the packet is being built.
     pub destination: Option<SocketAddrV4>,
-    /// What it says.
+    /// Flags of the packet.
     pub flags: Flags,
-    /// The field that both ends repeat.
+    /// Value that both endpoints send back to each other. It carries the cookie.
     pub echo: u32,
-    /// Number of the first byte of data.
+    /// Sequence number of the first byte of data.
     pub sequence: u32,
-    /// Number of the next byte expected; in an opening the count of copies sent before.
+    /// Sequence number of the next byte expected. In an opening, the number of earlier
+    /// transmissions.
     pub acknowledged: u32,
-    /// The data.
+    /// Payload.
     pub data: Vec<u8>,
 }
 
-/// Bytes of a packet's head, and of what stands before it on the way to a target.
+/// Size of the packet header and of the encapsulation on the way to a target.
 const HEADER_BYTES: usize = 39;
 
 impl Packet {
-    /// Bytes that it takes on a link.
+    /// Returns the number of bytes that the packet occupies on a link.
     #[must_use]
     pub const fn wire_bytes(&self) -> usize {
         HEADER_BYTES + self.data.len()
     }
 
-    /// The flow of a client's packet.
+    /// Returns the flow of a packet that a client sent.
     #[must_use]
     pub fn flow(&self) -> Option<FlowTuple> {
         Some(FlowTuple {
@@ -55,7 +56,7 @@
         })
     }
 
-    /// A client's packet as the product sees it.
+    /// Converts a packet that a client sent to the product's type.
     #[must_use]
     pub fn to_flow_packet(&self) -> Option<FlowPacket> {
         let role = if self.flags.syn {
@@ -78,7 +79,8 @@
         })
     }
 
-    /// The reset that ends a client's flow, of which it acknowledged so much last.
+    /// Returns the packet that resets a client's flow. `acknowledged` is the last sequence number
+    /// that the client acknowledged.
     #[must_use]
     pub fn reset_for_flow(flow: &FlowTuple, acknowledged: u32) -> Self {
         Self {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The reset with which a node answers this packet of a client.
+    /// Returns the reset with which this packet of a client is answered.
     #[must_use]
     pub fn reset_reply(&self) -> Self {
         Self {
@@ -109,7 +111,7 @@
     }
 }
 
-/// Length of the data, as sequence numbers count it.
+/// Returns the length of `data` in sequence numbers.
 #[must_use]
 pub fn sequence_length(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
--- a/crates/bellyoke-lab/src/cookie/router.rs
+++ b/crates/bellyoke-lab/src/cookie/router.rs
@@ -1,27 +1,28 @@
-//! The platform's routers: which node gets a packet.
+//! The platform's routers, which choose the node for each packet.
 
 use bellyoke_core::cookie::packet::FlowTuple;
 
-/// How a packet's flow chooses among the nodes that are in.
+/// Hash that maps flows to ready nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterHash {
-    /// By remainder: nearly all flows meet another node when one comes or goes.
+    /// Hash modulo the number of nodes: nearly all flows move to another node when a node is added
+    /// or removed.
     Modulo,
-    /// By rendezvous: only the flows of that node do.
+    /// Rendezvous hashing: only the flows of the added or removed node move.
     Rendezvous,
 }
 
-/// Missed polls after which a node is out.
+/// Number of consecutive failed polls after which a node counts as not ready.
 pub const UNREADY_AFTER_MISSED_POLLS: u32 = 2;
 
-/// What the routers believe of one node.
+/// Readiness of a node as seen by the routers.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeStatus {
     was_ready: bool,
     missed_polls: u32,
 }
 
-/// The routers of one zone.
+/// The routers of a zone.
 #[derive(Debug)]
 pub struct Router {
     hash: RouterHash,
@@ -29,7 +30,7 @@
 }
 
 impl Router {
-    /// Routers that have asked nobody yet.
+    /// Creates routers that have not polled any node.
     #[must_use]
     pub fn new(hash: RouterHash, nodes: usize) -> Self {
         Self {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A node was asked whether it is ready.
+    /// Records the result of polling the readiness of a node.
     pub fn record_poll(&mut self, node: usize, ready: bool) {
         let status = &mut self.nodes[node];
         if ready {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// The node for a flow's packet; none if none was ever ready. With fewer than half of the
-    /// nodes in, all are used.
+    /// Returns the node for a packet of `flow`, or `None` if no node was ever ready. All nodes that
+    /// were ever ready are used if fewer than half of them are ready now.
     #[must_use]
     pub fn choose(&self, flow: FlowTuple) -> Option<usize> {
         let ever_ready = self.nodes.iter().filter(|status| status.was_ready).count();
--- a/crates/bellyoke-lab/src/cookie/rules.rs
+++ b/crates/bellyoke-lab/src/cookie/rules.rs
@@ -1,4 +1,5 @@
-//! What must hold, judged by details clients, targets and the operator have seen.
+//! Rules that every run must keep, checked against the observations of clients, targets and the
+//! operator.
 
 use super::client::ClientEvent;
 use super::scenario::PROBE_ADDRESS;
@@ -10,92 +11,93 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A configuration is in force so long latency it was accepted.
+/// Maximum time from the write of a configuration until all undisturbed nodes use it.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
-/// A leaving target gets no new flow so long latency its leaving was accepted.
+/// Maximum time after which a draining target, or one without a record, receives no new flow.
 pub const DRAIN_BOUND: Duration = Duration::from_secs(3);
 
-/// An undisturbed machine is one that was so for this long.
+/// A node counts as undisturbed if neither it nor the store had a fault for this long.
 pub const UNDISTURBED_PERIOD: Duration = Duration::from_secs(4);
 
-/// Nodes serve again so long latency all were killed.
+/// Time after a kill of all nodes from which they must serve again.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 
-/// Packets of a flow that go misrouted for so long break it.
+/// Period for which misrouted packets of a flow are counted. Reordered packets arrive within it.
 const REORDERING_WINDOW: Duration = Duration::from_secs(2);
 
-/// Packets misrouted that break a flow.
+/// Number of misrouted packets, with no correctly routed one among them, at which a flow counts as
+/// broken.
 const MISROUTED_PACKETS_THRESHOLD: usize = 3;
 
-/// A rule.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A client gets its is_own whole answer.
+    /// A client receives the complete answer to its own request.
     OwnAnswer,
-    /// Only requests that were sent run.
+    /// Only requests that clients sent are executed.
     OnlyAsked,
-    /// A request runs once.
+    /// A request is executed at most once.
     Once,
-    /// A request runs only at a service that its address was ever routed_services to.
+    /// A request is executed only at a service that its address was routed to at some time.
     Route,
-    /// A leaving target gets no new flow.
+    /// A target that is draining or has no record receives no new flow.
     Drain,
-    /// The targets of a drained_since zone get no new flow.
+    /// Targets in a drained zone receive no new flow.
     ZoneDrain,
-    /// A configuration is in force within its bound.
+    /// A configuration takes effect within [`CONFIGURATION_BOUND`].
     Configuration,
-    /// An open flow stays whole.
+    /// An open flow is neither reset nor misrouted.
     Flow,
-    /// After a kill of all nodes they serve again.
+    /// After a kill of all nodes, they serve again within [`RECOVERY_BOUND`].
     Recovery,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Timestamp,
-    /// How.
+    /// Description of the violation.
     pub details: String,
 }
 
-/// Who sent a packet to a client.
+/// Sender of a packet to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A node; whether it was undisturbed.
+    /// A node.
     Node {
-        /// Whether it was.
+        /// Whether the node was undisturbed.
         undisturbed: bool,
     },
-    /// A target, and whether the node that passed on details it answers was undisturbed.
+    /// A target.
     Target {
-        /// The target.
+        /// Identity of the target.
         id: InstanceId,
-        /// Whether the node was.
+        /// Whether the node that forwarded the client's packet was undisturbed.
         undisturbed: bool,
     },
 }
 
-/// Where an opening arrived, and by whom.
+/// Arrival of an opening at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The target.
+    /// Identity of the target.
     pub target: InstanceId,
-    /// Index of its service.
+    /// Index of the target's service.
     pub service: usize,
-    /// Index of its zone.
+    /// Index of the target's zone.
     pub zone: usize,
-    /// Whether the node that passed it on was undisturbed.
+    /// Whether the node that forwarded the opening was undisturbed.
     pub undisturbed: bool,
 }
 
 #[derive(Debug)]
 struct OpenFlow {
     target: InstanceId,
-    /// Arrivals of late: when, and whether at its is_own target.
+    /// Recent arrivals, each with its time and whether it reached the flow's own target.
     arrivals: VecDeque<(Timestamp, bool)>,
 }
 
@@ -105,7 +107,7 @@
     probe: Option<usize>,
 }
 
-/// Watches a run.
+/// Checks the rules during a run.
 #[derive(Debug, Default)]
 pub struct RuleChecker {
     violations: Vec<Violation>,
@@ -120,13 +122,13 @@
     all_killed_at: Option<Timestamp>,
     recovery_openings: u64,
     recovery_served: u64,
-    /// Requests that came to nothing, those included whose flow never opened.
+    /// Requests that failed, including those whose flow never opened.
     pub failed: u64,
-    /// Requests answered with success.
+    /// Requests that were executed and answered.
     pub served: u64,
-    /// Resets that nodes sent for open flows.
+    /// Resets of open flows that nodes sent.
     pub resets_by_nodes: u64,
-    /// Time to each answer.
+    /// Latency of each executed request.
     pub latencies: Vec<Duration>,
 }
 
@@ -135,18 +137,18 @@
 }
 
 impl RuleChecker {
-    /// What was broken.
+    /// Returns the violations found so far.
     #[must_use]
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Something was broken that only the host sees.
+    /// Records a violation that only the host can detect.
     pub fn record_violation(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
-    /// The operator's configuration was accepted.
+    /// Records that the operator's configuration was accepted by the store.
     pub fn record_configuration(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
         self.routed_services.extend(routes);
         let probe = routes.iter().find(|(address, _)| *address == PROBE_ADDRESS);
@@ -156,59 +158,57 @@
         });
     }
 
-    /// A target's leaving was accepted.
+    /// Records that the drain of a target, or the deletion of its record, was accepted by the
+    /// store.
     pub fn record_leaving(&mut self, now: Timestamp, id: InstanceId) {
         self.leaving.entry(id).or_insert(now);
     }
 
-    /// The operator's drain of a zone was accepted.
+    /// Records that the operator's drain of a zone was accepted by the store.
     pub fn record_zone_drain(&mut self, now: Timestamp, zone: usize) {
         self.drained_zones.entry(zone).or_insert(now);
     }
 
-    /// A drained_since zone was taken back.
+    /// Records that a zone was undrained.
     pub fn record_zone_undrain(&mut self, zone: usize) {
         self.drained_zones.remove(&zone);
     }
 
-    /// All nodes were killed.
+    /// Records that all nodes were killed.
     pub const fn record_kill_of_all(&mut self, now: Timestamp) {
         self.all_killed_at = Some(now);
     }
 
-    /// A target ended: details happens to its flows from here on is nobody's fault.
+    /// Records that a target stopped. Its flows are no longer checked.
     pub fn record_target_end(&mut self, id: InstanceId) {
         self.open.retain(|_, open| open.target != id);
     }
 
-    /// An opening reaches a target that takes it.
-    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, record_arrival: Arrival) {
+    /// Checks an opening that a target accepted.
+    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
         let Arrival {
             target,
             service,
             zone,
             undisturbed,
-        } = record_arrival;
+        } = arrival;
         if !self.routed_services.contains(&(flow.service, service)) {
-            let details = format!(
-                "an opening to {} executed_requests at service {service}",
-                flow.service
-            );
+            let details = format!("an opening to {} reached service {service}", flow.service);
             self.add_violation(Rule::Route, now, details);
         }
         let leaving_since = self.leaving.get(&target);
         if undisturbed
             && leaving_since.is_some_and(|leaving_since| now.since(*leaving_since) > DRAIN_BOUND)
         {
-            let details = format!("an opening reached target {target}, which had leaving_since");
+            let details =
+                format!("an opening reached target {target}, which was draining or had no record");
             self.add_violation(Rule::Drain, now, details);
         }
         let drained_since = self.drained_zones.get(&zone);
         if undisturbed
             && drained_since.is_some_and(|drained_since| now.since(*drained_since) > DRAIN_BOUND)
         {
-            let details =
-                format!("an opening reached target {target} in drained_since zone {zone}");
+            let details = format!("an opening reached target {target} in drained zone {zone}");
             self.add_violation(Rule::ZoneDrain, now, details);
         }
         if flow.service == PROBE_ADDRESS && undisturbed {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Something happened at a target.
+    /// Handles an event at a target.
     pub fn handle_target_event(
         &mut self,
         now: Timestamp,
@@ -232,25 +232,24 @@
                 };
                 self.open.insert(key(*flow), open);
             }
-            TargetEvent::KnownFlowPacket(flow) => self.record_arrival(now, *flow, true),
-            TargetEvent::UnknownFlowPacket(flow) if undisturbed => {
-                self.record_arrival(now, *flow, false)
-            }
-            TargetEvent::UnknownFlowPacket(_) => {}
+            TargetEvent::KnownFlow(flow) => self.record_arrival(now, *flow, true),
+            TargetEvent::UnknownFlow(flow) if undisturbed => self.record_arrival(now, *flow, false),
+            TargetEvent::UnknownFlow(_) => {}
             TargetEvent::RequestStarted { request, .. } => {
                 if !self.sent_requests.contains(request) {
                     let details = format!("request {request} was never sent");
                     self.add_violation(Rule::OnlyAsked, now, details);
                 }
                 if !self.executed_requests.insert(*request) {
-                    let details = format!("request {request} executed_requests again");
+                    let details = format!("request {request} was executed twice");
                     self.add_violation(Rule::Once, now, details);
                 }
             }
         }
     }
 
-    /// Something happened to a client, caused by a packet from `origin` if by one at all.
+    /// Handles an event at a client. `origin` is the sender of the packet that caused it, or `None`
+    /// if no packet did.
     pub fn handle_client_event(
         &mut self,
         now: Timestamp,
@@ -282,7 +281,9 @@
             } => {
                 if answer.request != *request || self.answered_by_other_target(*flow, answer.target)
                 {
-                    let details = format!("request {request} got another answer");
+                    let details = format!(
+                        "request {request} got the answer to another request or from another target"
+                    );
                     self.add_violation(Rule::OwnAnswer, now, details);
                 }
                 if answer.executed {
@@ -292,7 +293,7 @@
                 }
             }
             ClientEvent::MalformedAnswer(flow) => {
-                let details = format!("{} got no answer but bytes", flow.client);
+                let details = format!("{} received data that is not an answer", flow.client);
                 self.add_violation(Rule::OwnAnswer, now, details);
             }
             ClientEvent::TimedOut { flow, .. } => {
@@ -302,7 +303,7 @@
         }
     }
 
-    /// The run is over.
+    /// Ends the run and checks [`Rule::Recovery`].
     pub fn finish(&mut self, now: Timestamp) {
         let recovered = self.recovery_served * 4 >= self.recovery_openings;
         if self.all_killed_at.is_some() && !recovered {
@@ -320,8 +321,8 @@
     }
 
     fn count_after_recovery(&mut self, now: Timestamp, served: bool) {
-        let late = |killed: Timestamp| now.since(killed) > RECOVERY_BOUND;
-        if !self.all_killed_at.is_some_and(late) {
+        let is_recovered = |killed: Timestamp| now.since(killed) > RECOVERY_BOUND;
+        if !self.all_killed_at.is_some_and(is_recovered) {
             return;
         }
         if served {
@@ -343,7 +344,7 @@
         }
         let misrouted = open.arrivals.iter().filter(|(_, is_own)| !is_own).count();
         if misrouted >= MISROUTED_PACKETS_THRESHOLD && misrouted == open.arrivals.len() {
-            let details = format!("packets of {} go misrouted", flow.client);
+            let details = format!("packets of {} are misrouted", flow.client);
             self.open.remove(&key(flow));
             self.add_violation(Rule::Flow, now, details);
         }
@@ -368,7 +369,7 @@
             _ => false,
         };
         if open && flow_state.is_some() && is_violation {
-            let details = format!("{} was handle_reset by {origin:?}", flow.client);
+            let details = format!("{} was reset by {origin:?}", flow.client);
             self.add_violation(Rule::Flow, now, details);
         }
         let refused_by_node = matches!(origin, Some(Origin::Node { undisturbed: true }));
@@ -377,21 +378,21 @@
         }
     }
 
-    /// An opening must not be handled_by as only a version allows that was overtaken when it was
-    /// sent.
+    /// Checks that a probe was not handled in a way that only a superseded configuration allows. A
+    /// configuration is superseded if a newer one had to be in effect when the opening was sent.
     fn check_probe(&mut self, now: Timestamp, flow: FlowTuple, handled_by: Option<usize>) {
         let Some(sent) = self.openings_sent_at.get(&key(flow)) else {
             return;
         };
         let sent = *sent;
-        let in_force = |version: &Version| sent.since(version.accepted_at) > CONFIGURATION_BOUND;
-        let oldest = self.versions.iter().rposition(in_force).unwrap_or(0);
+        let in_effect = |version: &Version| sent.since(version.accepted_at) > CONFIGURATION_BOUND;
+        let oldest = self.versions.iter().rposition(in_effect).unwrap_or(0);
         let allowed = self.versions[oldest..]
             .iter()
             .any(|version| version.probe == handled_by);
         if !allowed {
             let details = format!(
-                "a probe was handled_by as {handled_by:?}, as only an older version allows"
+                "a probe was routed to {handled_by:?}, which only a superseded configuration allows"
             );
             self.add_violation(Rule::Configuration, now, details);
         }
--- a/crates/bellyoke-lab/src/cookie/scenario.rs
+++ b/crates/bellyoke-lab/src/cookie/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run plays: machines, load, and what happens when.
+//! Scenarios: the machines, the load and the timed actions of a run.
 
 use super::link::LinkSettings;
 use super::router::RouterHash;
@@ -9,190 +9,194 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// A mechanism that is taken out, to show that a rule needs it.
+/// A mechanism that is disabled to show that a rule depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ablation {
-    /// Instances whose records have gone are forgotten at once.
+    /// Nodes drop an instance as soon as its record is deleted.
     NoTombstones,
-    /// Nodes don't speak to each other.
+    /// Nodes exchange no messages.
     NoPeers,
-    /// Openings that waited through a stall are forwarded.
+    /// Nodes forward openings that waited through a stall.
     NoBacklogGuard,
-    /// A connection that says nothing is waited for.
+    /// Calls to the store have no effective timeout.
     NoCallTimeout,
-    /// Instances that drain take new flows.
+    /// Draining instances receive new flows.
     IgnoreDraining,
-    /// Packets name no instance, so that whoever has the address takes them.
+    /// Packets don't name an instance, and any target at the address accepts them.
     NoInstanceCheck,
-    /// A node writes into the data of a packet.
+    /// Nodes modify the data of the packets that they forward.
     CorruptData,
-    /// Later packets are placed by hash like openings.
+    /// Nodes place later packets by hash, like openings.
     HashEveryPacket,
-    /// A packet with an unknown cookie is answered with a reset.
+    /// Nodes reset packets with an unknown cookie.
     ResetUnknownCookies,
     /// No instance is ever suspected.
     NoSuspicion,
-    /// Flows are placed by hash alone, however busy an instance is.
+    /// Flows are placed by hash alone, regardless of the load of instances.
     IgnoreLoad,
-    /// Suspicions of peers count for nothing.
+    /// Nodes ignore the suspicions of their peers.
     NoPeerSuspicions,
-    /// Revisions are compared by their numbers alone, whether or not the store was restored.
+    /// Revisions are compared by number alone, also after the store was restored.
     IgnoreEras,
-    /// All nodes watch by stale reads.
+    /// All nodes watch with reads that may be stale.
     NoReader,
-    /// Lists are read as the newest state.
+    /// Every list reads the newest state.
     NoStaleLists,
-    /// A node that was told once that its state is the newest never asks again.
+    /// A node whose state was confirmed as the newest once never calls the store again.
     IdleForever,
-    /// Open flows of dead targets are left to their clients.
+    /// Nodes send no resets for open flows of dead targets.
     NoResets,
-    /// Only flows whose clients send something are reset.
+    /// Only flows whose clients send packets are reset.
     NoIdleFlowResets,
-    /// Nobody objects to a question about an instance that lives.
+    /// Nodes don't refute the suspicion of an instance that is alive.
     NoRefutations,
     /// No instance is ever probed.
     NoProbes,
-    /// The instances of drained zones take new flows.
+    /// Instances in drained zones receive new flows.
     IgnoreDrainedZones,
 }
 
-/// Something that happens. Nodes and targets are numbered from zero.
+/// An action or fault of a scenario. Nodes and targets are numbered from zero.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A configuration is written. `probe` is the service that the probe route goes to.
+    /// Writes a configuration.
     Configure {
-        /// Index of the service; none drops the route.
+        /// Index of the service that the probe route leads to. `None` removes the route.
         probe: Option<usize>,
     },
-    /// A target says that it drains, and ends `serves_for` later.
+    /// Drains a target and stops it after `serves_for`.
     Drain {
-        /// The target.
+        /// Index of the target.
         target: usize,
-        /// How long it serves on.
+        /// Time for which the target still serves its flows.
         serves_for: Duration,
     },
-    /// A target's record goes without a word, and it ends `serves_for` later.
+    /// Deletes the record of a target without draining it first, and stops the target after
+    /// `serves_for`.
     Unregister {
-        /// The target.
+        /// Index of the target.
         target: usize,
-        /// How long it serves on.
+        /// Time for which the target still serves its flows.
         serves_for: Duration,
     },
-    /// A target dies without a word; the store notices 3.6 s later.
+    /// Stops a target without notice. The store deletes its record 3.6 s later.
     Crash {
-        /// The target.
+        /// Index of the target.
         target: usize,
     },
-    /// A target takes no connections any more, though it serves its flows and new ones.
+    /// Makes a target refuse connections, including probes. It still serves its flows and accepts
+    /// new ones.
     RefuseConnections {
-        /// The target.
+        /// Index of the target.
         target: usize,
     },
-    /// The record of a target that has ended is written once more, as by a call that was under way, and
-    /// lapses 3.6 s later.
+    /// Writes the record of a stopped target once more, as a delayed call of the target does. The
+    /// record expires 3.6 s later.
     WriteStaleRecord {
-        /// The target.
+        /// Index of the target.
         target: usize,
     },
-    /// A new target of a service starts, at the address of another one if that is named.
+    /// Starts a new target, at its own address or at the address of another target.
     Start {
         /// Index of the service.
         service: usize,
-        /// The target whose address it takes.
+        /// Index of the target whose address is reused.
         address_of: Option<usize>,
     },
-    /// A zone is drained. Targets stand in the zones 0 to [`TARGET_ZONES`] in turn.
+    /// Drains a zone. The targets are distributed round-robin over [`TARGET_ZONES`] zones, which
+    /// are numbered from zero.
     DrainZone(usize),
-    /// A drained zone is taken back.
+    /// Undrains a zone.
     UndrainZone(usize),
-    /// Records of all targets go, and come back when the targets next write.
+    /// Deletes the records of all targets. Each returns with the next heartbeat of its target.
     ExpireRecords,
-    /// The store changes its mode.
+    /// Sets the mode of the store.
     SetStoreMode(StoreMode),
-    /// The store forgets its history.
+    /// Discards the store's history.
     Compact,
-    /// The store's objects are copied.
+    /// Backs up the objects of the store.
     BackUpStore,
-    /// The store, which was away, comes back from its last copy. The operator and the targets then write again what it
-    /// has lost.
+    /// Brings the store back up from its last backup. The operator and the targets then rewrite
+    /// what was lost.
     RestoreStore,
-    /// Stale reads are so much older.
+    /// Sets how far stale reads lag behind the newest state.
     SetStaleness(Duration),
-    /// A node loses the store, or has it back.
+    /// Cuts a node off from the store, or reconnects it.
     CutFromStore {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// Whether it is cut off.
+        /// Whether the node is cut off.
         cut: bool,
     },
-    /// A node stands still.
+    /// Suspends a node's process.
     Freeze {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// For how long.
+        /// Time until the process resumes.
         duration: Duration,
     },
-    /// A node's process is killed and started again.
+    /// Kills a node's process and restarts it.
     Kill {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// After how long it starts.
+        /// Time until the restart.
         down: Duration,
     },
-    /// The nodes that watch the store for all are killed at once and start again.
+    /// Kills all nodes that watch the store on behalf of others at once, and restarts them.
     KillWatchers {
-        /// After how long they start.
+        /// Time until the restart.
         down: Duration,
     },
-    /// The node that watches the newest state and its backups lose the store, or it refuses them,
-    /// while it answers the others. It lasts.
+    /// Permanently cuts off from the store the nodes that watch it on behalf of others: the reader
+    /// of the newest state and its backups. The other nodes still reach the store.
     CutWatchers,
-    /// A node is asked to stop, and starts again half a second after it has.
+    /// Stops a node gracefully. It restarts half a second after it has stopped.
     Terminate {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// All nodes are killed at once. What is served from here on counts for recovery.
+    /// Kills all nodes at once. [`Rule::Recovery`](super::rules::Rule::Recovery) applies from here
+    /// on.
     KillAll {
-        /// After how long they start.
+        /// Time until the restart.
         down: Duration,
     },
 }
 
-/// A run's settings.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones in which they stand in turn.
+    /// Number of zones over which the nodes are distributed round-robin.
     pub node_zones: usize,
-    /// So many of the first are larger than the others.
+    /// Number of nodes that have the largest capacity class, counted from the first.
     pub large_nodes: usize,
-    /// How routers choose.
+    /// Hash by which the routers choose nodes.
     pub hash: RouterHash,
-    /// Targets of each service.
+    /// Number of targets of each service.
     pub targets: Vec<usize>,
-    /// Clients with flows of many requests, spread over the services.
+    /// Number of clients that send many requests over each flow, distributed over the services.
     pub long_clients: usize,
-    /// Requests over each of their flows.
+    /// Requests per flow of the long clients.
     pub requests_per_flow: u32,
-    /// Clients with a flow for each request, spread over the services.
+    /// Number of clients that open a flow for each request, distributed over the services.
     pub short_clients: usize,
-    /// Clients of the probe route.
+    /// Number of clients of the probe route.
     pub probe_clients: usize,
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The links of the nodes' machines; none are wide enough for all.
+    /// Links of the nodes' machines. `None` means unlimited bandwidth.
     pub node_links: Option<LinkSettings>,
-    /// Whether the store tells its era.
+    /// Whether the store's answers carry its era.
     pub store_reports_era: bool,
-    /// How nodes pace what they tell each other.
+    /// Settings of the exchange between nodes.
     pub exchange: ExchangeSettings,
-    /// How long it lasts.
+    /// Duration of the run.
     pub duration: Duration,
-    /// What happens, and when, milliseconds from the start.
+    /// Actions with their times, in milliseconds from the start.
     pub actions: Vec<(u64, Action)>,
-    /// What is taken out.
+    /// Mechanisms that are disabled.
     pub ablations: Vec<Ablation>,
 }
 
@@ -224,21 +228,21 @@
 }
 
 impl Scenario {
-    /// The same, with something happening.
+    /// Adds an action at a time.
     #[must_use]
     pub fn at(mut self, milliseconds: u64, action: Action) -> Self {
         self.actions.push((milliseconds, action));
         self
     }
 
-    /// The same without a mechanism.
+    /// Disables a mechanism.
     #[must_use]
     pub fn without(mut self, ablation: Ablation) -> Self {
         self.ablations.push(ablation);
         self
     }
 
-    /// Where a node stands.
+    /// Returns the zone and capacity class of a node.
     #[must_use]
     pub fn place_of(&self, node: usize) -> NodePlace {
         let class = if node < self.large_nodes {
@@ -252,39 +256,39 @@
         }
     }
 
-    /// Whether a mechanism is taken out.
+    /// Returns whether a mechanism is disabled.
     #[must_use]
     pub fn is_ablated(&self, ablation: Ablation) -> bool {
         self.ablations.contains(&ablation)
     }
 }
 
-/// Zones that targets stand in.
+/// Number of zones over which the targets are distributed.
 pub const TARGET_ZONES: usize = 3;
 
-/// Name of a zone.
+/// Returns the name of a zone.
 #[must_use]
 pub fn zone_name(index: usize) -> String {
     format!("zone-{index}")
 }
 
-/// Name of a service.
+/// Returns the name of a service.
 #[must_use]
 pub fn service_name(index: usize) -> String {
     format!("service-{index}")
 }
 
-/// The address of a service's own route.
+/// Returns the address of a service's own route.
 #[must_use]
 pub fn service_address(index: usize) -> SocketAddrV4 {
     let last = u8::try_from(index + 1).unwrap_or(u8::MAX);
     SocketAddrV4::new(Ipv4Addr::new(198, 51, 100, last), 443)
 }
 
-/// The address of the probe route.
+/// Address of the probe route.
 pub const PROBE_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 51, 100, 200), 443);
 
-/// The configuration of a version. The store sets its revision.
+/// Returns the configuration with a version number. The store sets its revision.
 #[must_use]
 pub fn configuration(version: u64, services: usize, probe: Option<usize>) -> Configuration {
     let route = |address, index| Route {
--- a/crates/bellyoke-lab/src/cookie/simulation.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation.rs
@@ -25,25 +25,27 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Long before the run peers may have learned what they tell ages of.
+/// Start of virtual time. It is not zero since peers report ages that may reach back to before the
+/// start of the run.
 const START_TIME: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
-/// One way, between any two.
+/// One-way delay between any two endpoints.
 const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
-/// Period of clients, targets and nodes.
+/// Tick interval of clients and targets, and interval at which nodes check for store calls and
+/// probes.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Period of a node's control thread.
+/// Tick interval of a node's control thread.
 const NODE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Period in which routers ask nodes.
+/// Interval at which routers poll the readiness of nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bytes of a message between nodes, about.
+/// Approximate size of a message between nodes.
 const PEER_DATAGRAM_BYTES: usize = 400;
 
-/// Bytes of the packet that opens a connection, about.
+/// Approximate size of the packet that opens a connection.
 const CONNECTION_PACKET_BYTES: usize = 60;
 
 /// Port of the exchange between nodes.
@@ -52,7 +54,7 @@
 #[derive(Debug)]
 enum Event {
     Tick,
-    NodeTicks,
+    TickNodes,
     Poll,
     Action(usize),
     PacketAtNode {
@@ -115,26 +117,26 @@
     RewriteOperatorObjects,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// RuleChecker that were broken.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// Requests that came to nothing.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests answered with success.
+    /// Requests that were executed and answered.
     pub served: u64,
-    /// Time to each answer, ascending.
+    /// Latency of each executed request, in ascending order.
     pub latencies: Vec<Duration>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
-    /// Messages between nodes.
+    /// Number of messages between nodes.
     pub peer_messages: u64,
-    /// Resets that nodes sent for open flows.
+    /// Number of resets of open flows that nodes sent.
     pub resets_by_nodes: u64,
 }
 
-/// The simulation of one run.
+/// State of a run.
 pub struct Simulation {
     scenario: Scenario,
     now: Timestamp,
@@ -149,16 +151,16 @@
     pending_watches: Vec<(usize, u64, StoreCall)>,
     rules: RuleChecker,
     version: u64,
-    /// What the operator has written last, for a store that has lost it.
+    /// The operator's last configuration, which is rewritten to a restored store that lost it.
     newest_configuration: Option<Configuration>,
-    /// The zones that the operator has drained.
+    /// Zones that the operator has drained.
     drained_zones: BTreeSet<String>,
     store_disturbed_at: Timestamp,
     store_calls: u64,
     peer_messages: u64,
 }
 
-/// Plays `scenario` with the randomness of `seed`.
+/// Runs `scenario` with the random seed `seed`.
 #[must_use]
 pub fn simulate(scenario: Scenario, seed: u64) -> Report {
     let mut simulation = Simulation::new(scenario, seed);
@@ -223,9 +225,9 @@
             self.events
                 .insert((at, u64::MAX - index as u64), Event::Action(index));
         }
-        self.after(Duration::ZERO, Event::Tick);
-        self.after(Duration::ZERO, Event::NodeTicks);
-        self.after(POLL_INTERVAL, Event::Poll);
+        self.schedule(Duration::ZERO, Event::Tick);
+        self.schedule(Duration::ZERO, Event::TickNodes);
+        self.schedule(POLL_INTERVAL, Event::Poll);
     }
 
     fn run(&mut self) {
@@ -240,36 +242,37 @@
         self.rules.finish(end);
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.next_event += 1;
         let key = (self.now.after(delay), self.next_event);
         self.events.insert(key, event);
     }
 
-    /// The same, unless the datagram is lost.
+    /// Schedules the delivery of a datagram, unless it is lost.
     fn send(&mut self, event: Event) {
-        self.send_after(Duration::ZERO, event);
+        self.send_with_delay(Duration::ZERO, event);
     }
 
-    /// The same over the link of a node's machine.
-    fn send_from(&mut self, node: usize, length: usize, event: Event) {
-        if let Some(departs_in) = self.machines[node].send(self.now, length) {
-            self.send_after(departs_in, event);
+    /// Schedules the delivery of a datagram over the link of a node's machine, unless it is dropped
+    /// or lost.
+    fn send_from(&mut self, node: usize, bytes: usize, event: Event) {
+        if let Some(departs_in) = self.machines[node].send(self.now, bytes) {
+            self.send_with_delay(departs_in, event);
         }
     }
 
-    fn send_after(&mut self, departs_in: Duration, event: Event) {
+    fn send_with_delay(&mut self, departs_in: Duration, event: Event) {
         if self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss) {
             return;
         }
-        self.after(departs_in + NETWORK_DELAY, event);
+        self.schedule(departs_in + NETWORK_DELAY, event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
-            Event::NodeTicks => self.node_ticks(),
-            Event::Poll => self.poll(),
+            Event::TickNodes => self.tick_nodes(),
+            Event::Poll => self.poll_nodes(),
             Event::Action(index) => self.perform(self.scenario.actions[index].1.clone()),
             Event::PacketAtNode { node, packet } => self.handle_packet_at_node(node, packet),
             Event::PacketAtTarget {
@@ -298,7 +301,7 @@
                 era,
                 answer,
             } => self.handle_store_answer(node, incarnation, number, era, answer),
-            Event::Datagram { from, to, datagram } => self.datagram(from, to, datagram),
+            Event::Datagram { from, to, datagram } => self.handle_datagram(from, to, datagram),
             Event::FetchDone {
                 node,
                 incarnation,
@@ -309,7 +312,7 @@
                 node,
                 incarnation,
                 batch,
-            } => self.probe_attempt(node, incarnation, batch),
+            } => self.make_probe_attempt(node, incarnation, batch),
             Event::StartNode { node, incarnation } => {
                 if self.machines[node].incarnation == incarnation {
                     self.start_node(node);
@@ -318,7 +321,7 @@
             Event::ResumeNode { node } => self.resume(node),
             Event::EndTarget(id) => self.end_target(id),
             Event::RemoveRecord(id) => {
-                self.store_change(|store, now| store.remove_instance(now, id))
+                self.change_store(|store, now| store.remove_instance(now, id))
             }
             Event::RewriteRecord(id) => self.rewrite_record(id),
             Event::RewriteOperatorObjects => self.rewrite_operator_objects(),
@@ -329,12 +332,12 @@
         let now = self.now;
         for index in 0..self.clients.len() {
             let output = self.clients[index].tick(now);
-            self.client_output(output, None);
+            self.handle_client_output(output, None);
         }
         for index in 0..self.targets.len() {
             if let Some(target) = &mut self.targets[index].target {
                 let output = target.tick(now);
-                self.target_output(index, output, true);
+                self.handle_target_output(index, output, true);
             }
         }
         self.answer_watches();
@@ -342,15 +345,15 @@
             self.start_store_calls(node);
             self.start_probes(node);
         }
-        self.after(TICK_INTERVAL, Event::Tick);
+        self.schedule(TICK_INTERVAL, Event::Tick);
     }
 
-    fn poll(&mut self) {
+    fn poll_nodes(&mut self) {
         for (number, machine) in self.machines.iter().enumerate() {
             self.router
                 .record_poll(number, machine.answers_readiness_probe());
         }
-        self.after(POLL_INTERVAL, Event::Poll);
+        self.schedule(POLL_INTERVAL, Event::Poll);
     }
 
     fn handle_packet_at_node(&mut self, node: usize, packet: Packet) {
@@ -370,25 +373,25 @@
             PacketOutcome::Forward(destination, packet) => {
                 let checks_instance = !self.scenario.is_ablated(Ablation::NoInstanceCheck);
                 let intended_instance = checks_instance.then_some(destination.instance);
-                let length = packet.wire_bytes();
+                let bytes = packet.wire_bytes();
                 let event = Event::PacketAtTarget {
                     address: destination.address,
                     intended_instance,
                     packet,
                     undisturbed,
                 };
-                self.send_from(node, length, event);
+                self.send_from(node, bytes, event);
             }
             PacketOutcome::Reset(packet) => {
                 let origin = Origin::Node { undisturbed };
-                let length = packet.wire_bytes();
-                self.send_from(node, length, Event::PacketAtClient { packet, origin });
+                let bytes = packet.wire_bytes();
+                self.send_from(node, bytes, Event::PacketAtClient { packet, origin });
             }
             PacketOutcome::Drop => {}
         }
     }
 
-    fn effects(&mut self, node: usize, effects: Vec<ExchangeEffect>) {
+    fn apply_effects(&mut self, node: usize, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
                 ExchangeEffect::SendHeartbeat { to, heartbeat } => {
@@ -445,7 +448,7 @@
             .zip(source)
             .map(|(request, source)| source.snapshot_for(self.now, request));
         let incarnation = self.machines[node].incarnation;
-        self.after(
+        self.schedule(
             NETWORK_DELAY * 4,
             Event::FetchDone {
                 node,
@@ -457,7 +460,7 @@
     }
 }
 
-/// The peer address of a node.
+/// Returns the peer address of a node.
 fn peer_address(node: usize) -> SocketAddrV4 {
     let [_, _, high, low] = u32::try_from(node + 1).unwrap_or_default().to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), PEER_PORT)
--- a/crates/bellyoke-lab/src/cookie/simulation/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What a scenario makes happen.
+//! The actions of a scenario.
 
 use super::machines::RunningTarget;
 use super::{Event, Simulation};
@@ -11,13 +11,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Silence after which the store drops a target's record.
+/// Time without heartbeats after which the store deletes a target's record.
 const RECORD_EXPIRY: Duration = Duration::from_millis(3_600);
 
-/// Time after which the operator writes again what a restored store has lost.
+/// Time after which the operator rewrites the objects that a restored store has lost.
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time after which a target writes its record again.
+/// Interval at which a target rewrites its record.
 const RECORD_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 impl Simulation {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The nodes that watch the store for all.
+    /// Returns the nodes that watch the store on behalf of others.
     fn watchers(&self) -> Vec<usize> {
         let nodes = 0..self.machines.len();
         let watches = |node: &usize| {
@@ -110,11 +110,11 @@
     fn set_store_mode(&mut self, mode: StoreMode) {
         self.store.mode = mode;
         if mode == StoreMode::Silent {
-            // Connections that lost an answer say nothing more, also when the store is back.
+            // Connections whose answers were lost stay silent, even once the store is up again.
             self.pending_watches.clear();
         }
         self.store_disturbed_at = match mode {
-            // Until it is up again.
+            // The store counts as disturbed until its mode changes again.
             StoreMode::Silent | StoreMode::Busy => self.now.after(Duration::from_secs(3_600)),
             StoreMode::Up | StoreMode::Throttled => self.now,
         };
@@ -132,8 +132,8 @@
         }
         self.store.put_instance(self.now, record);
         self.rules.record_leaving(self.now, id);
-        self.after(serves_for, Event::RemoveRecord(id));
-        self.after(serves_for, Event::EndTarget(id));
+        self.schedule(serves_for, Event::RemoveRecord(id));
+        self.schedule(serves_for, Event::EndTarget(id));
     }
 
     fn unregister(&mut self, target: usize, serves_for: Duration) {
@@ -141,14 +141,14 @@
         self.targets[target].record = None;
         self.store.remove_instance(self.now, id);
         self.rules.record_leaving(self.now, id);
-        self.after(serves_for, Event::EndTarget(id));
+        self.schedule(serves_for, Event::EndTarget(id));
     }
 
     fn crash_target(&mut self, target: usize) {
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.end_target(id);
-        self.after(RECORD_EXPIRY, Event::RemoveRecord(id));
+        self.schedule(RECORD_EXPIRY, Event::RemoveRecord(id));
     }
 
     fn write_stale_record(&mut self, target: usize) {
@@ -156,11 +156,11 @@
         let settings = TargetSettings::with_defaults(running.id, service_name(running.service));
         let record = settings.record(running.address, zone_name(target % TARGET_ZONES));
         self.store.put_instance(self.now, record);
-        self.after(RECORD_EXPIRY, Event::RemoveRecord(settings.id));
+        self.schedule(RECORD_EXPIRY, Event::RemoveRecord(settings.id));
     }
 
-    /// As after an outage of the store: the records went meanwhile, and the targets write them
-    /// again one after the other.
+    /// Deletes all records, as if they had expired in an outage of the store. The targets rewrite
+    /// them one after another.
     fn expire_records(&mut self) {
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
         let interval =
@@ -169,30 +169,30 @@
         for (index, id) in ids.into_iter().enumerate() {
             self.store.remove_instance(self.now, id);
             let position = u32::try_from(index).unwrap_or_default();
-            self.after(interval * position, Event::RewriteRecord(id));
+            self.schedule(interval * position, Event::RewriteRecord(id));
         }
     }
 
-    /// The operator and the targets find out what is missing, and write it again.
+    /// Restores the store. The operator and the targets then rewrite the objects that it has lost.
     fn restore_store(&mut self) {
         self.store.restore();
         self.set_store_mode(StoreMode::Up);
-        self.after(REWRITE_DELAY, Event::RewriteOperatorObjects);
+        self.schedule(REWRITE_DELAY, Event::RewriteOperatorObjects);
         let interval = RECORD_HEARTBEAT_INTERVAL
             / u32::try_from(self.targets.len().max(1)).unwrap_or(u32::MAX);
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
         for (index, id) in ids.into_iter().enumerate() {
             let position = u32::try_from(index).unwrap_or_default();
-            self.after(interval * position, Event::RewriteRecord(id));
+            self.schedule(interval * position, Event::RewriteRecord(id));
         }
         let listed = self.store.instances();
         let expiring: Vec<_> = listed.filter(|id| !self.is_running(*id)).collect();
         for id in expiring {
-            self.after(RECORD_EXPIRY, Event::RemoveRecord(id));
+            self.schedule(RECORD_EXPIRY, Event::RemoveRecord(id));
         }
     }
 
-    /// Whether a target that still writes its record has this id.
+    /// Returns whether `id` belongs to a running target that still writes its record.
     fn is_running(&self, id: InstanceId) -> bool {
         let running = |target: &RunningTarget| target.target.is_some() && target.record.is_some();
         self.targets
@@ -200,7 +200,7 @@
             .any(|target| target.id == id && running(target))
     }
 
-    /// Writes the newest configuration and the drained zones again, as far as the store has lost them.
+    /// Rewrites the newest configuration and the drained zones where the store has lost them.
     pub(super) fn rewrite_operator_objects(&mut self) {
         let newest = self.newest_configuration.clone();
         let stored = self.store.configuration().map(|stored| stored.version);
--- a/crates/bellyoke-lab/src/cookie/simulation/clients.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/clients.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Clients begin when the nodes have had time to start.
+    /// Adds the clients. They start after the nodes have had time to start.
     pub(super) fn add_clients(&mut self) {
         let services = self.scenario.targets.len();
         let counts = [
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn client_output(&mut self, output: ClientOutput, origin: Option<Origin>) {
+    pub(super) fn handle_client_output(&mut self, output: ClientOutput, origin: Option<Origin>) {
         for event in &output.events {
             self.rules.handle_client_event(self.now, event, origin);
         }
@@ -72,7 +72,7 @@
             .position(|client| client.settings.address == *destination.ip());
         if let Some(index) = index {
             let output = self.clients[index].handle_packet(now, packet);
-            self.client_output(output, Some(origin));
+            self.handle_client_output(output, Some(origin));
         }
     }
 }
--- a/crates/bellyoke-lab/src/cookie/simulation/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of the simulation: nodes that run, stand still or are down, and targets.
+//! The nodes' machines and the targets of the simulation.
 
 use super::{CONNECTION_PACKET_BYTES, Event, NODE_TICK_INTERVAL, Simulation, peer_address};
 use crate::cookie::link::{Link, LinkSettings};
@@ -19,17 +19,17 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Time between a planned stop and the next start.
+/// Time between a graceful stop and the restart.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// What a node's machine does.
+/// State of a node's machine.
 #[derive(Debug)]
 pub(super) enum MachineState {
-    /// No process.
+    /// No process is running.
     Down,
-    /// The process runs.
+    /// The process is running.
     Running(Box<Node>),
-    /// The process stands still; its socket fills.
+    /// The process is suspended, and packets queue in its socket.
     Frozen {
         process: Box<Node>,
         backlog: Vec<Packet>,
@@ -40,9 +40,9 @@
 #[derive(Debug)]
 pub(super) struct Machine {
     pub state: MachineState,
-    /// Counts processes, so that nothing intended_instance for one reaches the next.
+    /// Number of processes started so far, by which events for an earlier process are discarded.
     pub incarnation: u64,
-    /// When it was last harmed.
+    /// Time of the last fault, or the end of one in progress.
     pub disturbed_at: Timestamp,
     pub cut_from_store: bool,
     link: Option<Link>,
@@ -59,10 +59,11 @@
         }
     }
 
-    /// It sends so many bytes. Returns when they have left; none if its link is full.
-    pub(super) fn send(&mut self, now: Timestamp, length: usize) -> Option<Duration> {
+    /// Sends `bytes` bytes. Returns the time until they have left, or `None` if the link's queue
+    /// is full.
+    pub(super) fn send(&mut self, now: Timestamp, bytes: usize) -> Option<Duration> {
         match &mut self.link {
-            Some(link) => link.send(now, length),
+            Some(link) => link.send(now, bytes),
             None => Some(Duration::ZERO),
         }
     }
@@ -79,17 +80,17 @@
     }
 }
 
-/// A target and where it is.
+/// A target with its address.
 #[derive(Debug)]
 pub(super) struct RunningTarget {
     pub id: InstanceId,
     pub service: usize,
     pub address: SocketAddrV4,
-    /// None once it has ended.
+    /// `None` once the target has stopped.
     pub target: Option<Target>,
-    /// The record that it writes again when it was lost.
+    /// The record that the target rewrites if the store has lost it.
     pub record: Option<InstanceRecord>,
-    /// Whether it accepts no connections, though it serves its flows.
+    /// Whether the target accepts no connections. It still serves its flows.
     pub refuses_connections: bool,
 }
 
@@ -100,7 +101,7 @@
 }
 
 impl Simulation {
-    /// Whether nothing has happened to a node or the store of late.
+    /// Returns whether neither the node nor the store had a fault recently.
     pub(super) fn undisturbed(&self, node: usize) -> bool {
         let machine = &self.machines[node];
         let long_since = |since: Timestamp| self.now.since(since) >= UNDISTURBED_PERIOD;
@@ -125,7 +126,7 @@
         machine.state = MachineState::Running(Box::new(process));
     }
 
-    pub(super) fn node_ticks(&mut self) {
+    pub(super) fn tick_nodes(&mut self) {
         for node in 0..self.machines.len() {
             let MachineState::Running(process) = &mut self.machines[node].state else {
                 continue;
@@ -136,20 +137,20 @@
             }
             let effects = process.tick(self.now);
             let resets = process.take_flow_resets(self.now);
-            self.effects(node, effects);
+            self.apply_effects(node, effects);
             for reset in resets {
                 self.handle_packet_outcome(node, PacketOutcome::Reset(reset));
             }
         }
-        self.after(NODE_TICK_INTERVAL, Event::NodeTicks);
+        self.schedule(NODE_TICK_INTERVAL, Event::TickNodes);
     }
 
-    /// Ends a node's process and starts the next one after `down`.
+    /// Stops a node's process and starts the next one after `down`.
     pub(super) fn stop_node(&mut self, node: usize, down: Duration) {
         let machine = &mut self.machines[node];
         machine.state = MachineState::Down;
         let incarnation = machine.incarnation;
-        self.after(down, Event::StartNode { node, incarnation });
+        self.schedule(down, Event::StartNode { node, incarnation });
     }
 
     pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
@@ -163,10 +164,11 @@
             other => other,
         };
         machine.disturbed_at = self.now.after(duration);
-        self.after(duration, Event::ResumeNode { node });
+        self.schedule(duration, Event::ResumeNode { node });
     }
 
-    /// The traffic thread runs first: the worst case for what waited in its socket.
+    /// Resumes a node's process. The traffic thread runs first, which is the worst case for the
+    /// packets that waited in its socket.
     pub(super) fn resume(&mut self, node: usize) {
         let machine = &mut self.machines[node];
         let state = std::mem::replace(&mut machine.state, MachineState::Down);
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Begins the probe that a node wants, if it wants one.
+    /// Starts the batches of probes that are due at a node.
     pub(super) fn start_probes(&mut self, node: usize) {
         let machine = &mut self.machines[node];
         let incarnation = machine.incarnation;
@@ -200,35 +202,40 @@
             batches.extend(std::iter::from_fn(|| process.next_probe(self.now)));
         }
         for batch in batches {
-            self.probe_attempt(node, incarnation, batch);
+            self.make_probe_attempt(node, incarnation, batch);
         }
     }
 
-    /// Makes an attempt of a probe, and the next one when its time is over.
-    pub(super) fn probe_attempt(&mut self, node: usize, incarnation: u64, mut batch: ProbeBatch) {
+    /// Makes one attempt of a batch of probes, and schedules the next one.
+    pub(super) fn make_probe_attempt(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        mut batch: ProbeBatch,
+    ) {
         if self.machines[node].incarnation != incarnation {
             return;
         }
         if batch.is_complete() {
             if let MachineState::Running(process) = &mut self.machines[node].state {
                 let effects = process.handle_probe_outcomes(self.now, &batch.outcomes());
-                self.effects(node, effects);
+                self.apply_effects(node, effects);
             }
             return;
         }
         let addresses = batch.next_addresses().into_iter();
-        let opened = addresses.filter(|address| self.opens_connection(node, *address));
+        let opened = addresses.filter(|address| self.try_connect(node, *address));
         batch.record_attempt(&opened.collect());
         let event = Event::ProbeAttempt {
             node,
             incarnation,
             batch,
         };
-        self.after(ATTEMPT_TIMEOUT, event);
+        self.schedule(ATTEMPT_TIMEOUT, event);
     }
 
-    /// Whether a connection from a node to an address opens.
-    fn opens_connection(&mut self, node: usize, address: SocketAddrV4) -> bool {
+    /// Returns whether a connection from a node to an address opens.
+    fn try_connect(&mut self, node: usize, address: SocketAddrV4) -> bool {
         let sent = self.machines[node].send(self.now, CONNECTION_PACKET_BYTES);
         let lost = self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss);
         let mut targets = self.targets.iter();
@@ -237,10 +244,10 @@
         sent.is_some() && !lost && accepts_connections
     }
 
-    pub(super) fn datagram(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
+    pub(super) fn handle_datagram(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
         if let MachineState::Running(process) = &mut self.machines[to].state {
             let effects = process.handle_datagram(self.now, peer_address(from), datagram);
-            self.effects(to, effects);
+            self.apply_effects(to, effects);
         }
     }
 
@@ -257,7 +264,7 @@
         }
         if let MachineState::Running(process) = &mut machine.state {
             let effects = process.handle_snapshot(self.now, from, snapshot);
-            self.effects(node, effects);
+            self.apply_effects(node, effects);
         }
     }
 
@@ -277,9 +284,9 @@
                 era: None,
                 answer: StoreAnswer::failed(call.kind),
             };
-            self.after(call.timeout, timed_out);
+            self.schedule(call.timeout, timed_out);
             if !self.machines[node].cut_from_store {
-                self.after(
+                self.schedule(
                     super::NETWORK_DELAY,
                     Event::StoreCall {
                         node,
@@ -299,12 +306,12 @@
             Some(answer) => self.send_store_answer(node, incarnation, &call, answer),
             None => {
                 if let Read::Watch { wait, .. } = &call.read {
-                    let expires = Event::WatchTimeout {
+                    let expiry = Event::WatchTimeout {
                         node,
                         incarnation,
                         call: call.clone(),
                     };
-                    self.after(*wait, expires);
+                    self.schedule(*wait, expiry);
                 }
                 self.pending_watches.push((node, incarnation, call));
             }
@@ -325,7 +332,7 @@
         }
     }
 
-    /// Answers the watches that have news.
+    /// Answers the watches for which there are changes.
     pub(super) fn answer_watches(&mut self) {
         let pending_watches = std::mem::take(&mut self.pending_watches);
         for (node, incarnation, call) in pending_watches {
@@ -353,7 +360,7 @@
             era: self.store.reported_era(),
             answer,
         };
-        self.after(super::NETWORK_DELAY, event);
+        self.schedule(super::NETWORK_DELAY, event);
     }
 
     pub(super) fn handle_store_answer(
@@ -371,11 +378,11 @@
         }
         if let MachineState::Running(process) = &mut machine.state {
             let effects = process.handle_store_answer(now, number, era, answer);
-            self.effects(node, effects);
+            self.apply_effects(node, effects);
         }
     }
 
-    pub(super) fn store_change(&mut self, change: impl FnOnce(&mut Store, Timestamp)) {
+    pub(super) fn change_store(&mut self, change: impl FnOnce(&mut Store, Timestamp)) {
         change(&mut self.store, self.now);
     }
 
@@ -429,7 +436,7 @@
         undisturbed: bool,
     ) {
         let now = self.now;
-        // The last one that took the address has it.
+        // The last running target that took the address owns it.
         let index = self
             .targets
             .iter()
@@ -455,10 +462,15 @@
             };
             self.rules.check_opening(now, flow, arrival);
         }
-        self.target_output(index, output, undisturbed);
+        self.handle_target_output(index, output, undisturbed);
     }
 
-    pub(super) fn target_output(&mut self, index: usize, output: TargetOutput, undisturbed: bool) {
+    pub(super) fn handle_target_output(
+        &mut self,
+        index: usize,
+        output: TargetOutput,
+        undisturbed: bool,
+    ) {
         let id = self.targets[index].id;
         for event in &output.events {
             self.rules
--- a/crates/bellyoke-lab/src/cookie/store.rs
+++ b/crates/bellyoke-lab/src/cookie/store.rs
@@ -1,4 +1,5 @@
-//! The store: objects at revisions, lists, watches, a bounded history, and faults on switches.
+//! Model of the store: revisioned objects, lists, watches, a history that can be compacted, and
+//! fault modes.
 
 use bellyoke_core::cookie::follower::{Answer, Freshness, Read};
 use bellyoke_core::cookie::freshness::ObjectKind;
@@ -10,32 +11,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How the store answers.
+/// Fault mode of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// The store works normally.
     Up,
-    /// Not at all.
+    /// The store doesn't answer.
     Silent,
-    /// With an error, and nothing done.
+    /// The store answers with an error and changes nothing.
     Busy,
-    /// With a refusal for too many calls, but for reads that may be stale.
+    /// The store rejects reads of the newest state as too many calls. Reads that may be stale are
+    /// answered.
     Throttled,
 }
 
-/// The answer to a read of any kind.
+/// Answer to a read.
 #[derive(Clone, Debug)]
 pub enum StoreAnswer {
-    /// Of instances.
+    /// Answer to a read of instances.
     Instances(Answer<InstanceRecord, InstanceEvent>),
-    /// Of the configuration.
+    /// Answer to a read of the configuration.
     Configurations(Answer<Configuration, Configuration>),
-    /// Of the drained zones.
+    /// Answer to a read of the drained zones.
     Zones(Answer<DrainedZone, ZoneEvent>),
 }
 
 impl StoreAnswer {
-    /// What it tells of.
+    /// Returns the kind of the objects.
     #[must_use]
     pub const fn kind(&self) -> ObjectKind {
         match self {
@@ -45,44 +47,45 @@
         }
     }
 
-    /// The answer with its revisions in an era, as whoever is not told the store's takes them.
+    /// Returns the answer with all revisions placed in `era`, as interpreted by a node to which
+    /// the store doesn't report its era.
     #[must_use]
     pub fn in_era(self, era: StoreEra) -> Self {
-        let put = |revision: &mut Revision| *revision = in_era(era, *revision);
-        let put_record = |record: &mut InstanceRecord| {
-            put(&mut record.revision);
-            record.created.as_mut().map(put);
+        let set_era = |revision: &mut Revision| *revision = in_era(era, *revision);
+        let set_record_era = |record: &mut InstanceRecord| {
+            set_era(&mut record.revision);
+            record.created.as_mut().map(set_era);
         };
         match self {
             Self::Instances(answer) => {
-                Self::Instances(with_revisions(answer, put, put_record, |event| {
+                Self::Instances(with_revisions(answer, set_era, set_record_era, |event| {
                     if let InstanceEvent::Put(record) = event {
-                        put_record(record);
+                        set_record_era(record);
                     }
                 }))
             }
             Self::Configurations(answer) => {
-                let put_configuration =
-                    |configuration: &mut Configuration| put(&mut configuration.revision);
+                let set_configuration_era =
+                    |configuration: &mut Configuration| set_era(&mut configuration.revision);
                 Self::Configurations(with_revisions(
                     answer,
-                    put,
-                    put_configuration,
-                    put_configuration,
+                    set_era,
+                    set_configuration_era,
+                    set_configuration_era,
                 ))
             }
             Self::Zones(answer) => {
-                let put_zone = |zone: &mut DrainedZone| put(&mut zone.revision);
-                Self::Zones(with_revisions(answer, put, put_zone, |event| {
+                let set_zone_era = |zone: &mut DrainedZone| set_era(&mut zone.revision);
+                Self::Zones(with_revisions(answer, set_era, set_zone_era, |event| {
                     if let ZoneEvent::Drained(zone) = event {
-                        put_zone(zone);
+                        set_zone_era(zone);
                     }
                 }))
             }
         }
     }
 
-    /// The answer that is none.
+    /// Returns the answer that stands for a failed call.
     #[must_use]
     pub const fn failed(kind: ObjectKind) -> Self {
         match kind {
@@ -100,7 +103,7 @@
     Zone(ZoneEvent),
 }
 
-/// The objects of the store at some moment.
+/// A backup of the store's objects.
 #[derive(Clone, Debug)]
 struct Backup {
     revision: Revision,
@@ -109,16 +112,16 @@
     drained_zones: BTreeMap<String, Revision>,
 }
 
-/// The store.
+/// Model of the store.
 #[derive(Debug)]
 pub struct Store {
-    /// How it answers.
+    /// Fault mode.
     pub mode: StoreMode,
-    /// Instances in a page_size of a list.
+    /// Maximum number of instances per page of a list.
     pub page_size: usize,
-    /// How much older than the newest state a stale read is.
+    /// Lag of stale reads behind the newest state.
     pub staleness: Duration,
-    /// Whether answers tell the era.
+    /// Whether answers carry the era.
     pub reports_era: bool,
     era: StoreEra,
     revision: Revision,
@@ -150,7 +153,7 @@
 }
 
 impl Store {
-    /// Writes a target's record. One that isn't there, or has gone, is created.
+    /// Writes the record of an instance. A record that doesn't exist, or was deleted, is created.
     pub fn put_instance(&mut self, now: Timestamp, mut record: InstanceRecord) {
         let revision = self.advance_revision();
         record.revision = revision;
@@ -161,7 +164,7 @@
         self.history.push_back((now, revision, change));
     }
 
-    /// Removes a target's record.
+    /// Deletes the record of an instance.
     pub fn remove_instance(&mut self, now: Timestamp, id: InstanceId) {
         if self.instances.remove(&id).is_some() {
             let revision = self.advance_revision();
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The record of a target.
+    /// Returns the record of an instance.
     #[must_use]
     pub fn instance(&self, id: InstanceId) -> Option<&InstanceRecord> {
         self.instances.get(&id)
@@ -197,7 +200,7 @@
         self.history.push_back((now, revision, change));
     }
 
-    /// Takes a drained zone back.
+    /// Undrains a zone.
     pub fn undrain_zone(&mut self, now: Timestamp, zone: &str) {
         if self.drained_zones.remove(zone).is_some() {
             let revision = self.advance_revision();
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Copies all objects, for [`Self::restore`].
+    /// Backs up all objects for [`Self::restore`].
     pub fn back_up(&mut self) {
         self.backup = Some(Backup {
             revision: self.revision,
@@ -216,8 +219,8 @@
         });
     }
 
-    /// Comes back from the last backup, if there is one: what was written since is lost, and revisions are
-    /// given out again.
+    /// Restores the last backup, if there is one, in a new era. Later writes are lost, and their
+    /// revision numbers are assigned again.
     pub fn restore(&mut self) {
         let Some(backup) = self.backup.clone() else {
             return;
@@ -242,36 +245,35 @@
         self.compact();
     }
 
-    /// The era that answers tell, if they do.
+    /// Returns the era that answers carry, or `None` if they don't carry one.
     #[must_use]
     pub fn reported_era(&self) -> Option<StoreEra> {
         self.reports_era.then_some(self.era)
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub const fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// Names of the drained zones.
+    /// Returns the names of the drained zones.
     pub fn drained_zones(&self) -> impl Iterator<Item = &str> {
         self.drained_zones.keys().map(String::as_str)
     }
 
-    /// The instances that have records.
+    /// Returns the instances that have records.
     pub fn instances(&self) -> impl Iterator<Item = InstanceId> {
         self.instances.keys().copied()
     }
 
-    /// Forgets all history.
+    /// Discards the history.
     pub fn compact(&mut self) {
         self.compacted_revision = self.revision;
         self.history.clear();
     }
 
-    /// The answer to a read, if there is one now. A watch without new_changes has none until it is
-    /// `expired`.
+    /// Returns the answer to a read, or `None` while a watch has no changes and is not `expired`.
     #[must_use]
     pub fn answer(
         &self,
@@ -301,7 +303,7 @@
                     Freshness::Newest => Duration::ZERO,
                     Freshness::MayBeStale => self.staleness,
                 };
-                // A call names a number alone.
+                // A call contains only the number of a revision, not its era.
                 let from = in_era(self.era, *from);
                 self.changes(now, kind, from, staleness, expired)
             }
@@ -404,7 +406,7 @@
     }
 }
 
-/// The revision with the same number in an era.
+/// Returns the revision with the same number in `era`.
 fn in_era(era: StoreEra, revision: Revision) -> Revision {
     Revision::in_era(era, revision.number()).unwrap_or(revision)
 }
@@ -415,7 +417,7 @@
     }
 }
 
-/// Changes each revision of an answer.
+/// Applies a change to each revision of an answer.
 fn with_revisions<Item, Event>(
     mut answer: Answer<Item, Event>,
     change: impl Fn(&mut Revision),
--- a/crates/bellyoke-lab/src/cookie/target.rs
+++ b/crates/bellyoke-lab/src/cookie/target.rs
@@ -1,4 +1,4 @@
-//! A target: a backend that takes packets of flow_state and answers its clients directly.
+//! A target: a backend that receives the packets of flows and answers its clients directly.
 
 use super::packet::{Flags, Packet, sequence_length};
 use bellyoke_core::cookie::instance::{InstanceId, InstanceRecord, InstanceState};
@@ -9,34 +9,35 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Time after which unacknowledged data is sent again; doubles up to [`MAXIMUM_RETRANSMISSION_DELAY`].
+/// Time until the first retransmission of unacknowledged data. It doubles up to
+/// [`MAXIMUM_RETRANSMISSION_DELAY`].
 pub const INITIAL_RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest time between two repeats.
+/// Maximum time between two retransmissions.
 pub const MAXIMUM_RETRANSMISSION_DELAY: Duration = Duration::from_millis(1_600);
 
-/// Repeats after which a target gives a flow up.
+/// Number of retransmissions after which a target drops a flow.
 const MAXIMUM_RETRANSMISSIONS: u32 = 8;
 
-/// What a target is built from.
+/// Settings of a target.
 #[derive(Clone, Debug)]
 pub struct TargetSettings {
-    /// Its identity.
+    /// Identity of the target.
     pub id: InstanceId,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it executes concurrently.
     pub slots: usize,
-    /// Requests that wait; further ones are answered with a refusal.
+    /// Maximum number of queued requests. Further ones are answered with a refusal.
     pub maximum_queued_requests: usize,
-    /// Flows that it holds; beyond them it is silent to openings.
+    /// Maximum number of flows. Openings of further ones are ignored.
     pub maximum_flows: usize,
-    /// How long a request takes.
+    /// Execution time of a request.
     pub work_duration: Duration,
 }
 
 impl TargetSettings {
-    /// The settings that runs use: two slots, a short maximum_queued_requests, finished of 10 ms.
+    /// Returns the settings that runs use: two slots, a short queue and an execution time of 10 ms.
     #[must_use]
     pub fn with_defaults(id: InstanceId, service: String) -> Self {
         Self {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The record of a ready target with these settings in a zone. The store sets its revision.
+    /// Returns the record of a ready target with these settings in `zone`. The store sets its
+    /// revision.
     #[must_use]
     pub fn record(&self, address: SocketAddrV4, zone: String) -> InstanceRecord {
         InstanceRecord {
@@ -67,38 +69,38 @@
     }
 }
 
-/// What happened at a target.
+/// An event at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetEvent {
     /// A flow opened.
     FlowOpened(FlowTuple),
-    /// A packet of a flow that is not flow_state here.
-    UnknownFlowPacket(FlowTuple),
-    /// A packet of a flow that is flow_state here.
-    KnownFlowPacket(FlowTuple),
-    /// It has begun to finished on a request.
+    /// A packet of an unknown flow was received.
+    UnknownFlow(FlowTuple),
+    /// A packet of an existing flow was received.
+    KnownFlow(FlowTuple),
+    /// The execution of a request started.
     RequestStarted {
-        /// The flow that brought it.
+        /// Flow of the request.
         flow: FlowTuple,
-        /// The request's number.
+        /// Number of the request.
         request: u64,
     },
 }
 
-/// What a target wants done_at.
+/// Output of a target.
 #[derive(Debug, Default)]
 pub struct TargetOutput {
-    /// Packets to clients.
+    /// Packets for clients.
     pub packets: Vec<Packet>,
-    /// What happened.
+    /// Events in the order in which they occurred.
     pub events: Vec<TargetEvent>,
 }
 
 #[derive(Debug)]
 struct Flow {
-    /// Number of the next_sequence byte expected_sequence.
+    /// Sequence number of the next byte expected.
     expected_sequence: u32,
-    /// Number of the next_sequence byte to send_answer.
+    /// Sequence number of the next byte to send.
     next_sequence: u32,
     echo: u32,
     established: bool,
@@ -123,9 +125,9 @@
 /// A running target.
 #[derive(Debug)]
 pub struct Target {
-    /// What it was built from.
+    /// Settings of the target.
     pub settings: TargetSettings,
-    /// It closes each flow with its next_sequence flow_packet.
+    /// Whether the target closes each flow with its next answer.
     pub draining: bool,
     flows: BTreeMap<FlowKey, Flow>,
     running: Vec<RunningRequest>,
@@ -133,7 +135,7 @@
     next_sequence: u32,
 }
 
-/// A flow as a key that can be ordered.
+/// A flow as an ordered key.
 type FlowKey = (SocketAddrV4, SocketAddrV4);
 
 const fn key(flow: FlowTuple) -> FlowKey {
@@ -141,7 +143,7 @@
 }
 
 impl Target {
-    /// A target that holds no flow.
+    /// Creates a target without flows.
     #[must_use]
     pub fn new(settings: TargetSettings) -> Self {
         let [_, _, _, _, high, middle, low, last] = settings.id.0.to_be_bytes();
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Whether the flow is handle_opening here.
+    /// Returns whether `flow` is open at this target.
     #[must_use]
     pub fn has_open_flow(&self, flow: FlowTuple) -> bool {
         self.flows
@@ -163,7 +165,8 @@
             .is_some_and(|flow_state| flow_state.established)
     }
 
-    /// A packet has come, intended_instance for `intended_instance` (none: for whoever takes it).
+    /// Handles a received packet. A packet for another `intended_instance` is ignored; with `None`,
+    /// any target accepts it.
     pub fn handle_packet(
         &mut self,
         now: Timestamp,
@@ -185,7 +188,7 @@
         output
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Timestamp) -> TargetOutput {
         let mut output = TargetOutput::default();
         self.complete_requests(now, &mut output);
@@ -234,7 +237,7 @@
             flow_state.established || packet.acknowledged == flow_state.next_sequence
         });
         let Some(flow_state) = known_flow else {
-            output.events.push(TargetEvent::UnknownFlowPacket(flow));
+            output.events.push(TargetEvent::UnknownFlow(flow));
             if !packet.flags.rst {
                 output.packets.push(packet.reset_reply());
             }
@@ -249,7 +252,7 @@
             flow_state.established = true;
             output.events.push(TargetEvent::FlowOpened(flow));
         }
-        output.events.push(TargetEvent::KnownFlowPacket(flow));
+        output.events.push(TargetEvent::KnownFlow(flow));
         if packet.acknowledged == flow_state.next_sequence {
             flow_state.unacknowledged = None;
         }
@@ -361,7 +364,7 @@
     }
 }
 
-/// The request in a packet, if it is the one expected_sequence next_sequence.
+/// Returns the request in a packet if its data is the next expected.
 fn parse_request(flow_state: &mut Flow, packet: &Packet) -> Option<u64> {
     if packet.data.is_empty() || packet.sequence != flow_state.expected_sequence {
         return None;
@@ -388,14 +391,14 @@
     }
 }
 
-/// What a target answers to a request.
+/// Answer of a target to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The request's number.
+    /// Number of the request.
     pub request: u64,
-    /// Who answers.
+    /// Identity of the answering target; zero in a refusal.
     pub target: u64,
-    /// Whether the request has run.
+    /// Whether the request was executed.
     pub executed: bool,
 }
 
@@ -408,7 +411,7 @@
         }
     }
 
-    /// Its bytes.
+    /// Returns the encoded answer.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.request.to_be_bytes().to_vec();
@@ -417,7 +420,7 @@
         bytes
     }
 
-    /// The flow_packet that `bytes` hold.
+    /// Decodes an answer.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (request, rest) = bytes.split_first_chunk()?;
