--- a/crates/bellyoke-lab/src/cookie/router.rs
+++ b/crates/bellyoke-lab/src/cookie/router.rs
@@ -1,66 +1,69 @@
-//! The platform's routers: which node gets a packet.
+//! The platform's routers, which choose the node for each packet.
 
 use bellyoke_core::cookie::packet::FlowTuple;
 
-/// How a packet's flow chooses among the nodes that are in.
+/// Hash that maps flows to ready nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterHash {
-    /// By remainder: nearly all flows meet another node when one comes or goes.
+    /// Hash modulo the number of nodes: nearly all flows move to another node when a node is added
+    /// or removed.
     Modulo,
-    /// By rendezvous: only the flows of that node do.
-    Steady,
+    /// Rendezvous hashing: only the flows of the added or removed node move.
+    Rendezvous,
 }
 
-/// Missed polls after which a node is out.
-pub const MISSES: u32 = 2;
+/// Number of consecutive failed polls after which a node counts as not ready.
+pub const UNREADY_AFTER_MISSED_POLLS: u32 = 2;
 
-/// What the routers believe of one node.
+/// Readiness of a node as seen by the routers.
 #[derive(Clone, Copy, Debug, Default)]
-struct NodeView {
-    known: bool,
-    misses: u32,
+struct NodeStatus {
+    was_ready: bool,
+    missed_polls: u32,
 }
 
-/// The routers of one zone.
+/// The routers of a zone.
 #[derive(Debug)]
 pub struct Router {
     hash: RouterHash,
-    nodes: Vec<NodeView>,
+    nodes: Vec<NodeStatus>,
 }
 
 impl Router {
-    /// Routers that have asked nobody yet.
+    /// Creates routers that have not polled any node.
     #[must_use]
     pub fn new(hash: RouterHash, nodes: usize) -> Self {
         Self {
             hash,
-            nodes: vec![NodeView::default(); nodes],
+            nodes: vec![NodeStatus::default(); nodes],
         }
     }
 
-    /// A node was asked whether it is ready.
-    pub fn polled(&mut self, node: usize, ready: bool) {
-        let view = &mut self.nodes[node];
+    /// Records the result of polling the readiness of a node.
+    pub fn record_poll(&mut self, node: usize, ready: bool) {
+        let status = &mut self.nodes[node];
         if ready {
-            view.known = true;
-            view.misses = 0;
+            status.was_ready = true;
+            status.missed_polls = 0;
         } else {
-            view.misses = view.misses.saturating_add(1);
+            status.missed_polls = status.missed_polls.saturating_add(1);
         }
     }
 
-    /// The node for a flow's packet; none if none was ever ready. With fewer than half of the
-    /// nodes in, all are used.
+    /// Returns the node for a packet of `flow`, or `None` if no node was ever ready. All nodes that
+    /// were ever ready are used if fewer than half of them are ready now.
     #[must_use]
     pub fn choose(&self, flow: FlowTuple) -> Option<usize> {
-        let known = self.nodes.iter().filter(|view| view.known).count();
-        let is_in = |view: &NodeView| view.known && view.misses < MISSES;
-        let ready = self.nodes.iter().filter(|view| is_in(view)).count();
-        let use_all = ready * 2 < known;
+        let ever_ready = self.nodes.iter().filter(|status| status.was_ready).count();
+        let is_ready = |status: &NodeStatus| {
+            status.was_ready && status.missed_polls < UNREADY_AFTER_MISSED_POLLS
+        };
+        let ready = self.nodes.iter().filter(|status| is_ready(status)).count();
+        let use_all = ready * 2 < ever_ready;
         let used: Vec<usize> = (0..self.nodes.len())
             .filter(|node| {
-                let view = &self.nodes[*node];
-                is_in(view) || (use_all && view.known)
+                let status = &self.nodes[*node];
+                is_ready(status) || (use_all && status.was_ready)
             })
             .collect();
         if used.is_empty() {
@@ -72,7 +75,7 @@
                 let count = u64::try_from(used.len()).unwrap_or(u64::MAX);
                 usize::try_from(hash % count).ok().map(|index| used[index])
             }
-            RouterHash::Steady => used.into_iter().max_by_key(|node| {
+            RouterHash::Rendezvous => used.into_iter().max_by_key(|node| {
                 let salt = (*node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 (hash ^ salt).wrapping_mul(0xff51_afd7_ed55_8ccd) >> 7
             }),
--- a/crates/bellyoke-lab/src/cookie/rules.rs
+++ b/crates/bellyoke-lab/src/cookie/rules.rs
@@ -1,4 +1,5 @@
-//! What must hold, judged by what clients, targets and the operator have seen.
+//! Rules that every run must keep, checked against the observations of clients, targets and the
+//! operator.
 
 use super::client::ClientEvent;
 use super::scenario::PROBE_ADDRESS;
@@ -10,92 +11,93 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A configuration is in force so long after it was accepted.
+/// Maximum time from the write of a configuration until all undisturbed nodes use it.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
-/// A leaving target gets no new flow so long after its leaving was accepted.
+/// Maximum time after which a draining target, or one without a record, receives no new flow.
 pub const DRAIN_BOUND: Duration = Duration::from_secs(3);
 
-/// An undisturbed machine is one that was so for this long.
-pub const CONTACT: Duration = Duration::from_secs(4);
+/// A node counts as undisturbed if neither it nor the store had a fault for this long.
+pub const UNDISTURBED_PERIOD: Duration = Duration::from_secs(4);
 
-/// Nodes serve again so long after all were killed.
+/// Time after a kill of all nodes from which they must serve again.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 
-/// Packets of a flow that go astray for so long break it.
-const REORDERING: Duration = Duration::from_secs(2);
+/// Period for which misrouted packets of a flow are counted. Reordered packets arrive within it.
+const REORDERING_WINDOW: Duration = Duration::from_secs(2);
 
-/// Packets astray that break a flow.
-const ASTRAY: usize = 3;
+/// Number of misrouted packets, with no correctly routed one among them, at which a flow counts as
+/// broken.
+const MISROUTED_PACKETS_THRESHOLD: usize = 3;
 
-/// A rule.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A client gets its own whole answer.
+    /// A client receives the complete answer to its own request.
     OwnAnswer,
-    /// Only requests that were sent run.
+    /// Only requests that clients sent are executed.
     OnlyAsked,
-    /// A request runs once.
+    /// A request is executed at most once.
     Once,
-    /// A request runs only at a service that its address was ever routed to.
+    /// A request is executed only at a service that its address was routed to at some time.
     Route,
-    /// A leaving target gets no new flow.
+    /// A target that is draining or has no record receives no new flow.
     Drain,
-    /// The targets of a drained zone get no new flow.
+    /// Targets in a drained zone receive no new flow.
     ZoneDrain,
-    /// A configuration is in force within its bound.
+    /// A configuration takes effect within [`CONFIGURATION_BOUND`].
     Configuration,
-    /// An open flow stays whole.
+    /// An open flow is neither reset nor misrouted.
     Flow,
-    /// After a kill of all nodes they serve again.
+    /// After a kill of all nodes, they serve again within [`RECOVERY_BOUND`].
     Recovery,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Timestamp,
-    /// How.
-    pub what: String,
+    /// Description of the violation.
+    pub details: String,
 }
 
-/// Who sent a packet to a client.
+/// Sender of a packet to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A node; whether it was undisturbed.
+    /// A node.
     Node {
-        /// Whether it was.
-        in_touch: bool,
+        /// Whether the node was undisturbed.
+        undisturbed: bool,
     },
-    /// A target, and whether the node that passed on what it answers was undisturbed.
+    /// A target.
     Target {
-        /// The target.
+        /// Identity of the target.
         id: InstanceId,
-        /// Whether the node was.
-        in_touch: bool,
+        /// Whether the node that forwarded the client's packet was undisturbed.
+        undisturbed: bool,
     },
 }
 
-/// Where an opening arrived, and by whom.
+/// Arrival of an opening at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The target.
+    /// Identity of the target.
     pub target: InstanceId,
-    /// Index of its service.
+    /// Index of the target's service.
     pub service: usize,
-    /// Index of its zone.
+    /// Index of the target's zone.
     pub zone: usize,
-    /// Whether the node that passed it on was undisturbed.
-    pub in_touch: bool,
+    /// Whether the node that forwarded the opening was undisturbed.
+    pub undisturbed: bool,
 }
 
 #[derive(Debug)]
 struct OpenFlow {
     target: InstanceId,
-    /// Arrivals of late: when, and whether at its own target.
+    /// Recent arrivals, each with its time and whether it reached the flow's own target.
     arrivals: VecDeque<(Timestamp, bool)>,
 }
 
@@ -105,28 +107,28 @@
     probe: Option<usize>,
 }
 
-/// Watches a run.
+/// Checks the rules during a run.
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct RuleChecker {
     violations: Vec<Violation>,
-    sent: BTreeSet<u64>,
-    ran: BTreeSet<u64>,
-    routed: BTreeSet<(SocketAddrV4, usize)>,
+    sent_requests: BTreeSet<u64>,
+    executed_requests: BTreeSet<u64>,
+    routed_services: BTreeSet<(SocketAddrV4, usize)>,
     versions: Vec<Version>,
     leaving: BTreeMap<InstanceId, Timestamp>,
     drained_zones: BTreeMap<usize, Timestamp>,
     open: BTreeMap<(SocketAddrV4, SocketAddrV4), OpenFlow>,
-    opening_sent: BTreeMap<(SocketAddrV4, SocketAddrV4), Timestamp>,
-    killed_all_at: Option<Timestamp>,
-    late_asked: u64,
-    late_served: u64,
-    /// Requests that came to nothing, those included whose flow never opened.
+    openings_sent_at: BTreeMap<(SocketAddrV4, SocketAddrV4), Timestamp>,
+    all_killed_at: Option<Timestamp>,
+    recovery_openings: u64,
+    recovery_served: u64,
+    /// Requests that failed, including those whose flow never opened.
     pub failed: u64,
-    /// Requests answered with success.
+    /// Requests that were executed and answered.
     pub served: u64,
-    /// Resets that nodes sent for open flows.
+    /// Resets of open flows that nodes sent.
     pub resets_by_nodes: u64,
-    /// Time to each answer.
+    /// Latency of each executed request.
     pub latencies: Vec<Duration>,
 }
 
@@ -134,21 +136,21 @@
     (flow.client, flow.service)
 }
 
-impl Rules {
-    /// What was broken.
+impl RuleChecker {
+    /// Returns the violations found so far.
     #[must_use]
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Something was broken that only the host sees.
-    pub fn note(&mut self, violation: Violation) {
+    /// Records a violation that only the host can detect.
+    pub fn record_violation(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
-    /// The operator's configuration was accepted.
-    pub fn configured(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
-        self.routed.extend(routes);
+    /// Records that the operator's configuration was accepted by the store.
+    pub fn record_configuration(&mut self, now: Timestamp, routes: &[(SocketAddrV4, usize)]) {
+        self.routed_services.extend(routes);
         let probe = routes.iter().find(|(address, _)| *address == PROBE_ADDRESS);
         self.versions.push(Version {
             accepted_at: now,
@@ -156,214 +158,247 @@
         });
     }
 
-    /// A target's leaving was accepted.
-    pub fn leaving(&mut self, now: Timestamp, id: InstanceId) {
+    /// Records that the drain of a target, or the deletion of its record, was accepted by the
+    /// store.
+    pub fn record_leaving(&mut self, now: Timestamp, id: InstanceId) {
         self.leaving.entry(id).or_insert(now);
     }
 
-    /// The operator's drain of a zone was accepted.
-    pub fn zone_drained(&mut self, now: Timestamp, zone: usize) {
+    /// Records that the operator's drain of a zone was accepted by the store.
+    pub fn record_zone_drain(&mut self, now: Timestamp, zone: usize) {
         self.drained_zones.entry(zone).or_insert(now);
     }
 
-    /// A drained zone was taken back.
-    pub fn zone_restored(&mut self, zone: usize) {
+    /// Records that a zone was undrained.
+    pub fn record_zone_undrain(&mut self, zone: usize) {
         self.drained_zones.remove(&zone);
     }
 
-    /// All nodes were killed.
-    pub const fn killed_all(&mut self, now: Timestamp) {
-        self.killed_all_at = Some(now);
+    /// Records that all nodes were killed.
+    pub const fn record_kill_of_all(&mut self, now: Timestamp) {
+        self.all_killed_at = Some(now);
     }
 
-    /// A target ended: what happens to its flows from here on is nobody's fault.
-    pub fn target_ended(&mut self, id: InstanceId) {
+    /// Records that a target stopped. Its flows are no longer checked.
+    pub fn record_target_end(&mut self, id: InstanceId) {
         self.open.retain(|_, open| open.target != id);
     }
 
-    /// An opening reaches a target that takes it.
-    pub fn opening_arrives(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
+    /// Checks an opening that a target accepted.
+    pub fn check_opening(&mut self, now: Timestamp, flow: FlowTuple, arrival: Arrival) {
         let Arrival {
             target,
             service,
             zone,
-            in_touch,
+            undisturbed,
         } = arrival;
-        if !self.routed.contains(&(flow.service, service)) {
-            let what = format!("an opening to {} ran at service {service}", flow.service);
-            self.violate(Rule::Route, now, what);
+        if !self.routed_services.contains(&(flow.service, service)) {
+            let details = format!("an opening to {} reached service {service}", flow.service);
+            self.add_violation(Rule::Route, now, details);
         }
-        let left = self.leaving.get(&target);
-        if in_touch && left.is_some_and(|left| now.since(*left) > DRAIN_BOUND) {
-            let what = format!("an opening reached target {target}, which had left");
-            self.violate(Rule::Drain, now, what);
+        let leaving_since = self.leaving.get(&target);
+        if undisturbed
+            && leaving_since.is_some_and(|leaving_since| now.since(*leaving_since) > DRAIN_BOUND)
+        {
+            let details =
+                format!("an opening reached target {target}, which was draining or had no record");
+            self.add_violation(Rule::Drain, now, details);
         }
-        let drained = self.drained_zones.get(&zone);
-        if in_touch && drained.is_some_and(|drained| now.since(*drained) > DRAIN_BOUND) {
-            let what = format!("an opening reached target {target} in drained zone {zone}");
-            self.violate(Rule::ZoneDrain, now, what);
+        let drained_since = self.drained_zones.get(&zone);
+        if undisturbed
+            && drained_since.is_some_and(|drained_since| now.since(*drained_since) > DRAIN_BOUND)
+        {
+            let details = format!("an opening reached target {target} in drained zone {zone}");
+            self.add_violation(Rule::ZoneDrain, now, details);
         }
-        if flow.service == PROBE_ADDRESS && in_touch {
-            self.judge_probe(now, flow, Some(service));
+        if flow.service == PROBE_ADDRESS && undisturbed {
+            self.check_probe(now, flow, Some(service));
         }
     }
 
-    /// Something happened at a target.
-    pub fn target(&mut self, now: Timestamp, id: InstanceId, event: &TargetEvent, in_touch: bool) {
+    /// Handles an event at a target.
+    pub fn handle_target_event(
+        &mut self,
+        now: Timestamp,
+        id: InstanceId,
+        event: &TargetEvent,
+        undisturbed: bool,
+    ) {
         match event {
-            TargetEvent::Opened(flow) => {
+            TargetEvent::FlowOpened(flow) => {
                 let open = OpenFlow {
                     target: id,
                     arrivals: VecDeque::new(),
                 };
                 self.open.insert(key(*flow), open);
             }
-            TargetEvent::Own(flow) => self.arrival(now, *flow, true),
-            TargetEvent::Foreign(flow) if in_touch => self.arrival(now, *flow, false),
-            TargetEvent::Foreign(_) => {}
-            TargetEvent::Ran { request, .. } => {
-                if !self.sent.contains(request) {
-                    let what = format!("request {request} was never sent");
-                    self.violate(Rule::OnlyAsked, now, what);
+            TargetEvent::KnownFlow(flow) => self.record_arrival(now, *flow, true),
+            TargetEvent::UnknownFlow(flow) if undisturbed => self.record_arrival(now, *flow, false),
+            TargetEvent::UnknownFlow(_) => {}
+            TargetEvent::RequestStarted { request, .. } => {
+                if !self.sent_requests.contains(request) {
+                    let details = format!("request {request} was never sent");
+                    self.add_violation(Rule::OnlyAsked, now, details);
                 }
-                if !self.ran.insert(*request) {
-                    let what = format!("request {request} ran again");
-                    self.violate(Rule::Once, now, what);
+                if !self.executed_requests.insert(*request) {
+                    let details = format!("request {request} was executed twice");
+                    self.add_violation(Rule::Once, now, details);
                 }
             }
         }
     }
 
-    /// Something happened to a client, caused by a packet from `origin` if by one at all.
-    pub fn client(&mut self, now: Timestamp, event: &ClientEvent, origin: Option<Origin>) {
+    /// Handles an event at a client. `origin` is the sender of the packet that caused it, or `None`
+    /// if no packet did.
+    pub fn handle_client_event(
+        &mut self,
+        now: Timestamp,
+        event: &ClientEvent,
+        origin: Option<Origin>,
+    ) {
         match event {
             ClientEvent::OpeningSent(flow) => {
-                self.opening_sent.insert(key(*flow), now);
-                self.count_late(now, false);
+                self.openings_sent_at.insert(key(*flow), now);
+                self.count_after_recovery(now, false);
             }
             ClientEvent::RequestSent { request, .. } => {
-                self.sent.insert(*request);
+                self.sent_requests.insert(*request);
             }
             ClientEvent::Reset {
                 flow,
                 open,
-                retried,
+                without_loss,
             } => {
                 let probed_without_route = flow.service == PROBE_ADDRESS && !open;
-                self.failed += u64::from(!probed_without_route && !retried);
-                self.reset(now, *flow, *open, origin);
+                self.failed += u64::from(!probed_without_route && !without_loss);
+                self.handle_reset(now, *flow, *open, origin);
             }
             ClientEvent::Answered {
                 flow,
                 request,
                 answer,
-                after,
+                latency,
             } => {
-                if answer.request != *request || self.answered_by_another(*flow, answer.target) {
-                    let what = format!("request {request} got another answer");
-                    self.violate(Rule::OwnAnswer, now, what);
+                if answer.request != *request || self.answered_by_other_target(*flow, answer.target)
+                {
+                    let details = format!(
+                        "request {request} got the answer to another request or from another target"
+                    );
+                    self.add_violation(Rule::OwnAnswer, now, details);
                 }
-                if answer.ran {
+                if answer.executed {
                     self.served += 1;
-                    self.latencies.push(*after);
-                    self.count_late(now, true);
+                    self.latencies.push(*latency);
+                    self.count_after_recovery(now, true);
                 }
             }
-            ClientEvent::Garbled(flow) => {
-                let what = format!("{} got no answer but bytes", flow.client);
-                self.violate(Rule::OwnAnswer, now, what);
+            ClientEvent::MalformedAnswer(flow) => {
+                let details = format!("{} received data that is not an answer", flow.client);
+                self.add_violation(Rule::OwnAnswer, now, details);
             }
-            ClientEvent::GivenUp { flow, .. } => {
+            ClientEvent::TimedOut { flow, .. } => {
                 self.failed += 1;
                 self.open.remove(&key(*flow));
             }
         }
     }
 
-    /// The run is over.
+    /// Ends the run and checks [`Rule::Recovery`].
     pub fn finish(&mut self, now: Timestamp) {
-        let recovered = self.late_served * 4 >= self.late_asked;
-        if self.killed_all_at.is_some() && !recovered {
-            let what = format!("{} of {} served", self.late_served, self.late_asked);
-            self.violate(Rule::Recovery, now, what);
+        let recovered = self.recovery_served * 4 >= self.recovery_openings;
+        if self.all_killed_at.is_some() && !recovered {
+            let details = format!(
+                "{} of {} served",
+                self.recovery_served, self.recovery_openings
+            );
+            self.add_violation(Rule::Recovery, now, details);
         }
     }
 
-    fn answered_by_another(&self, flow: FlowTuple, target: u64) -> bool {
+    fn answered_by_other_target(&self, flow: FlowTuple, target: u64) -> bool {
         let open = self.open.get(&key(flow));
         target != 0 && open.is_some_and(|open| open.target.0 != target)
     }
 
-    fn count_late(&mut self, now: Timestamp, served: bool) {
-        let late = |killed: Timestamp| now.since(killed) > RECOVERY_BOUND;
-        if !self.killed_all_at.is_some_and(late) {
+    fn count_after_recovery(&mut self, now: Timestamp, served: bool) {
+        let is_recovered = |killed: Timestamp| now.since(killed) > RECOVERY_BOUND;
+        if !self.all_killed_at.is_some_and(is_recovered) {
             return;
         }
         if served {
-            self.late_served += 1;
+            self.recovery_served += 1;
         } else {
-            self.late_asked += 1;
+            self.recovery_openings += 1;
         }
     }
 
-    fn arrival(&mut self, now: Timestamp, flow: FlowTuple, own: bool) {
+    fn record_arrival(&mut self, now: Timestamp, flow: FlowTuple, is_own: bool) {
         let Some(open) = self.open.get_mut(&key(flow)) else {
             return;
         };
-        open.arrivals.push_back((now, own));
+        open.arrivals.push_back((now, is_own));
         while let Some((at, _)) = open.arrivals.front()
-            && now.since(*at) > REORDERING
+            && now.since(*at) > REORDERING_WINDOW
         {
             open.arrivals.pop_front();
         }
-        let astray = open.arrivals.iter().filter(|(_, own)| !own).count();
-        if astray >= ASTRAY && astray == open.arrivals.len() {
-            let what = format!("packets of {} go astray", flow.client);
+        let misrouted = open.arrivals.iter().filter(|(_, is_own)| !is_own).count();
+        if misrouted >= MISROUTED_PACKETS_THRESHOLD && misrouted == open.arrivals.len() {
+            let details = format!("packets of {} are misrouted", flow.client);
             self.open.remove(&key(flow));
-            self.violate(Rule::Flow, now, what);
+            self.add_violation(Rule::Flow, now, details);
         }
     }
 
-    fn reset(&mut self, now: Timestamp, flow: FlowTuple, open: bool, origin: Option<Origin>) {
-        let held = self.open.remove(&key(flow));
+    fn handle_reset(
+        &mut self,
+        now: Timestamp,
+        flow: FlowTuple,
+        open: bool,
+        origin: Option<Origin>,
+    ) {
+        let flow_state = self.open.remove(&key(flow));
         if open && matches!(origin, Some(Origin::Node { .. })) {
             self.resets_by_nodes += 1;
         }
-        let blamed = match (origin, &held) {
-            (Some(Origin::Node { in_touch }), _) => in_touch,
-            (Some(Origin::Target { id, in_touch }), Some(held)) => id != held.target && in_touch,
+        let is_violation = match (origin, &flow_state) {
+            (Some(Origin::Node { undisturbed }), _) => undisturbed,
+            (Some(Origin::Target { id, undisturbed }), Some(flow_state)) => {
+                id != flow_state.target && undisturbed
+            }
             _ => false,
         };
-        if open && held.is_some() && blamed {
-            let what = format!("{} was reset by {origin:?}", flow.client);
-            self.violate(Rule::Flow, now, what);
+        if open && flow_state.is_some() && is_violation {
+            let details = format!("{} was reset by {origin:?}", flow.client);
+            self.add_violation(Rule::Flow, now, details);
         }
-        let refused_by_node = matches!(origin, Some(Origin::Node { in_touch: true }));
+        let refused_by_node = matches!(origin, Some(Origin::Node { undisturbed: true }));
         if !open && refused_by_node && flow.service == PROBE_ADDRESS {
-            self.judge_probe(now, flow, None);
+            self.check_probe(now, flow, None);
         }
     }
 
-    /// An opening must not be handled as only a version allows that was overtaken when it was
-    /// sent.
-    fn judge_probe(&mut self, now: Timestamp, flow: FlowTuple, handled: Option<usize>) {
-        let Some(sent) = self.opening_sent.get(&key(flow)) else {
+    /// Checks that a probe was not handled in a way that only a superseded configuration allows. A
+    /// configuration is superseded if a newer one had to be in effect when the opening was sent.
+    fn check_probe(&mut self, now: Timestamp, flow: FlowTuple, handled_by: Option<usize>) {
+        let Some(sent) = self.openings_sent_at.get(&key(flow)) else {
             return;
         };
         let sent = *sent;
-        let in_force = |version: &Version| sent.since(version.accepted_at) > CONFIGURATION_BOUND;
-        let oldest = self.versions.iter().rposition(in_force).unwrap_or(0);
+        let in_effect = |version: &Version| sent.since(version.accepted_at) > CONFIGURATION_BOUND;
+        let oldest = self.versions.iter().rposition(in_effect).unwrap_or(0);
         let allowed = self.versions[oldest..]
             .iter()
-            .any(|version| version.probe == handled);
+            .any(|version| version.probe == handled_by);
         if !allowed {
-            let what =
-                format!("a probe was handled as {handled:?}, as only an older version allows");
-            self.violate(Rule::Configuration, now, what);
+            let details = format!(
+                "a probe was routed to {handled_by:?}, which only a superseded configuration allows"
+            );
+            self.add_violation(Rule::Configuration, now, details);
         }
     }
 
-    fn violate(&mut self, rule: Rule, at: Timestamp, what: String) {
-        self.violations.push(Violation { rule, at, what });
+    fn add_violation(&mut self, rule: Rule, at: Timestamp, details: String) {
+        self.violations.push(Violation { rule, at, details });
     }
 }
--- a/crates/bellyoke-lab/src/cookie/world.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation.rs
@@ -5,10 +5,10 @@
 mod machines;
 
 use super::client::Client;
-use super::node::{Forwarded, StoreCall};
+use super::node::{PacketOutcome, StoreCall};
 use super::packet::Packet;
 use super::router::Router;
-use super::rules::{Origin, Rules, Violation};
+use super::rules::{Origin, RuleChecker, Violation};
 use super::scenario::{Ablation, Scenario};
 use super::store::{Store, StoreAnswer};
 use bellyoke_core::cookie::exchange::{ExchangeEffect, PeerDatagram};
@@ -25,26 +25,28 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Long before the run peers may have learned what they tell ages of.
-const CLOCK_START: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
+/// Start of virtual time. It is not zero since peers report ages that may reach back to before the
+/// start of the run.
+const START_TIME: Timestamp = Timestamp::from_micros(24 * 3_600 * 1_000_000);
 
-/// One way, between any two.
-const DELAY: Duration = Duration::from_millis(1);
+/// One-way delay between any two endpoints.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
-/// Period of clients, targets and nodes.
-const TICK: Duration = Duration::from_millis(10);
+/// Tick interval of clients and targets, and interval at which nodes check for store calls and
+/// probes.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Period of a node's control thread.
-const NODE_TICK: Duration = Duration::from_millis(100);
+/// Tick interval of a node's control thread.
+const NODE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Period in which routers ask nodes.
-const POLL: Duration = Duration::from_millis(500);
+/// Interval at which routers poll the readiness of nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bytes of a message between nodes, about.
-const PEER_DATAGRAM: usize = 400;
+/// Approximate size of a message between nodes.
+const PEER_DATAGRAM_BYTES: usize = 400;
 
-/// Bytes of the packet that opens a connection, about.
-const CONNECTION_PACKET: usize = 60;
+/// Approximate size of the packet that opens a connection.
+const CONNECTION_PACKET_BYTES: usize = 60;
 
 /// Port of the exchange between nodes.
 const PEER_PORT: u16 = 7_000;
@@ -52,36 +54,36 @@
 #[derive(Debug)]
 enum Event {
     Tick,
-    NodeTicks,
+    TickNodes,
     Poll,
     Action(usize),
-    AtNode {
+    PacketAtNode {
         node: usize,
         packet: Packet,
     },
-    AtTarget {
+    PacketAtTarget {
         address: SocketAddrV4,
-        meant: Option<InstanceId>,
+        intended_instance: Option<InstanceId>,
         packet: Packet,
-        in_touch: bool,
+        undisturbed: bool,
     },
-    AtClient {
+    PacketAtClient {
         packet: Packet,
         origin: Origin,
     },
     StoreCall {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: StoreCall,
     },
-    WatchExpires {
+    WatchTimeout {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: StoreCall,
     },
     StoreAnswer {
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         era: Option<StoreEra>,
         answer: StoreAnswer,
@@ -91,51 +93,51 @@
         to: usize,
         datagram: PeerDatagram,
     },
-    Fetched {
+    FetchDone {
         node: usize,
-        life: u64,
+        incarnation: u64,
         from: SocketAddrV4,
         snapshot: Option<Snapshot>,
     },
     ProbeAttempt {
         node: usize,
-        life: u64,
+        incarnation: u64,
         batch: ProbeBatch,
     },
-    Start {
+    StartNode {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
-    Thaw {
+    ResumeNode {
         node: usize,
     },
-    TargetEnds(InstanceId),
-    RecordGoes(InstanceId),
-    RecordReturns(InstanceId),
-    OperatorWritesAgain,
+    EndTarget(InstanceId),
+    RemoveRecord(InstanceId),
+    RewriteRecord(InstanceId),
+    RewriteOperatorObjects,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// Requests that came to nothing.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests answered with success.
+    /// Requests that were executed and answered.
     pub served: u64,
-    /// Time to each answer, ascending.
+    /// Latency of each executed request, in ascending order.
     pub latencies: Vec<Duration>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
-    /// Messages between nodes.
-    pub heartbeats: u64,
-    /// Resets that nodes sent for open flows.
+    /// Number of messages between nodes.
+    pub peer_messages: u64,
+    /// Number of resets of open flows that nodes sent.
     pub resets_by_nodes: u64,
 }
 
-/// The world of one run.
-pub struct World {
+/// State of a run.
+pub struct Simulation {
     scenario: Scenario,
     now: Timestamp,
     events: BTreeMap<(Timestamp, u64), Event>,
@@ -146,42 +148,42 @@
     machines: Vec<Machine>,
     targets: Vec<RunningTarget>,
     clients: Vec<Client>,
-    waiting: Vec<(usize, u64, StoreCall)>,
-    rules: Rules,
+    pending_watches: Vec<(usize, u64, StoreCall)>,
+    rules: RuleChecker,
     version: u64,
-    /// What the operator has written last, for a store that has lost it.
+    /// The operator's last configuration, which is rewritten to a restored store that lost it.
     newest_configuration: Option<Configuration>,
-    /// The zones that the operator has drained.
+    /// Zones that the operator has drained.
     drained_zones: BTreeSet<String>,
     store_disturbed_at: Timestamp,
     store_calls: u64,
-    heartbeats: u64,
+    peer_messages: u64,
 }
 
-/// Plays `scenario` with the randomness of `seed`.
+/// Runs `scenario` with the random seed `seed`.
 #[must_use]
-pub fn play(scenario: Scenario, seed: u64) -> Report {
-    let mut world = World::new(scenario, seed);
-    world.run();
-    let mut latencies = std::mem::take(&mut world.rules.latencies);
+pub fn simulate(scenario: Scenario, seed: u64) -> Report {
+    let mut simulation = Simulation::new(scenario, seed);
+    simulation.run();
+    let mut latencies = std::mem::take(&mut simulation.rules.latencies);
     latencies.sort_unstable();
     Report {
-        violations: world.rules.violations().to_vec(),
-        failed: world.rules.failed,
-        served: world.rules.served,
+        violations: simulation.rules.violations().to_vec(),
+        failed: simulation.rules.failed,
+        served: simulation.rules.served,
         latencies,
-        store_calls: world.store_calls,
-        heartbeats: world.heartbeats,
-        resets_by_nodes: world.rules.resets_by_nodes,
+        store_calls: simulation.store_calls,
+        peer_messages: simulation.peer_messages,
+        resets_by_nodes: simulation.rules.resets_by_nodes,
     }
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario, seed: u64) -> Self {
         let router = Router::new(scenario.hash, scenario.nodes);
-        let mut world = Self {
+        let mut simulation = Self {
             router,
-            now: CLOCK_START,
+            now: START_TIME,
             events: BTreeMap::new(),
             next_event: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -189,19 +191,19 @@
             machines: Vec::new(),
             targets: Vec::new(),
             clients: Vec::new(),
-            waiting: Vec::new(),
-            rules: Rules::default(),
+            pending_watches: Vec::new(),
+            rules: RuleChecker::default(),
             version: 0,
             newest_configuration: None,
             drained_zones: BTreeSet::new(),
             store_disturbed_at: Timestamp::ZERO,
             store_calls: 0,
-            heartbeats: 0,
+            peer_messages: 0,
             scenario,
         };
-        world.store.tells_era = world.scenario.store_tells_era;
-        world.build();
-        world
+        simulation.store.reports_era = simulation.scenario.store_reports_era;
+        simulation.build();
+        simulation
     }
 
     fn build(&mut self) {
@@ -223,13 +225,13 @@
             self.events
                 .insert((at, u64::MAX - index as u64), Event::Action(index));
         }
-        self.after(Duration::ZERO, Event::Tick);
-        self.after(Duration::ZERO, Event::NodeTicks);
-        self.after(POLL, Event::Poll);
+        self.schedule(Duration::ZERO, Event::Tick);
+        self.schedule(Duration::ZERO, Event::TickNodes);
+        self.schedule(POLL_INTERVAL, Event::Poll);
     }
 
     fn run(&mut self) {
-        let end = self.now.after(self.scenario.length);
+        let end = self.now.after(self.scenario.duration);
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
@@ -240,72 +242,89 @@
         self.rules.finish(end);
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.next_event += 1;
         let key = (self.now.after(delay), self.next_event);
         self.events.insert(key, event);
     }
 
-    /// The same, unless the datagram is lost.
+    /// Schedules the delivery of a datagram, unless it is lost.
     fn send(&mut self, event: Event) {
-        self.send_later(Duration::ZERO, event);
+        self.send_with_delay(Duration::ZERO, event);
     }
 
-    /// The same over the link of a node's machine.
-    fn send_from(&mut self, node: usize, length: usize, event: Event) {
-        if let Some(leaves) = self.machines[node].send(self.now, length) {
-            self.send_later(leaves, event);
+    /// Schedules the delivery of a datagram over the link of a node's machine, unless it is dropped
+    /// or lost.
+    fn send_from(&mut self, node: usize, bytes: usize, event: Event) {
+        if let Some(departs_in) = self.machines[node].send(self.now, bytes) {
+            self.send_with_delay(departs_in, event);
         }
     }
 
-    fn send_later(&mut self, leaves: Duration, event: Event) {
+    fn send_with_delay(&mut self, departs_in: Duration, event: Event) {
         if self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss) {
             return;
         }
-        self.after(leaves + DELAY, event);
+        self.schedule(departs_in + NETWORK_DELAY, event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
-            Event::NodeTicks => self.node_ticks(),
-            Event::Poll => self.poll(),
-            Event::Action(index) => self.act(self.scenario.actions[index].1.clone()),
-            Event::AtNode { node, packet } => self.at_node(node, packet),
-            Event::AtTarget {
+            Event::TickNodes => self.tick_nodes(),
+            Event::Poll => self.poll_nodes(),
+            Event::Action(index) => self.perform(self.scenario.actions[index].1.clone()),
+            Event::PacketAtNode { node, packet } => self.handle_packet_at_node(node, packet),
+            Event::PacketAtTarget {
                 address,
-                meant,
+                intended_instance,
                 packet,
-                in_touch,
-            } => self.at_target(address, meant, &packet, in_touch),
-            Event::AtClient { packet, origin } => self.at_client(&packet, origin),
-            Event::StoreCall { node, life, call } => self.store_call(node, life, call),
-            Event::WatchExpires { node, life, call } => self.watch_expires(node, life, &call),
+                undisturbed,
+            } => self.handle_packet_at_target(address, intended_instance, &packet, undisturbed),
+            Event::PacketAtClient { packet, origin } => {
+                self.handle_packet_at_client(&packet, origin)
+            }
+            Event::StoreCall {
+                node,
+                incarnation,
+                call,
+            } => self.handle_store_call(node, incarnation, call),
+            Event::WatchTimeout {
+                node,
+                incarnation,
+                call,
+            } => self.expire_watch(node, incarnation, &call),
             Event::StoreAnswer {
                 node,
-                life,
+                incarnation,
                 number,
                 era,
                 answer,
-            } => self.store_answer(node, life, number, era, answer),
-            Event::Datagram { from, to, datagram } => self.datagram(from, to, datagram),
-            Event::Fetched {
+            } => self.handle_store_answer(node, incarnation, number, era, answer),
+            Event::Datagram { from, to, datagram } => self.handle_datagram(from, to, datagram),
+            Event::FetchDone {
                 node,
-                life,
+                incarnation,
                 from,
                 snapshot,
-            } => self.fetched(node, life, from, snapshot),
-            Event::ProbeAttempt { node, life, batch } => self.probe_attempt(node, life, batch),
-            Event::Start { node, life } => {
-                if self.machines[node].life == life {
+            } => self.handle_fetch(node, incarnation, from, snapshot),
+            Event::ProbeAttempt {
+                node,
+                incarnation,
+                batch,
+            } => self.make_probe_attempt(node, incarnation, batch),
+            Event::StartNode { node, incarnation } => {
+                if self.machines[node].incarnation == incarnation {
                     self.start_node(node);
                 }
             }
-            Event::Thaw { node } => self.thaw(node),
-            Event::TargetEnds(id) => self.end_target(id),
-            Event::RecordGoes(id) => self.store_change(|store, now| store.remove_instance(now, id)),
-            Event::RecordReturns(id) => self.return_record(id),
-            Event::OperatorWritesAgain => self.write_again(),
+            Event::ResumeNode { node } => self.resume(node),
+            Event::EndTarget(id) => self.end_target(id),
+            Event::RemoveRecord(id) => {
+                self.change_store(|store, now| store.remove_instance(now, id))
+            }
+            Event::RewriteRecord(id) => self.rewrite_record(id),
+            Event::RewriteOperatorObjects => self.rewrite_operator_objects(),
         }
     }
 
@@ -313,65 +332,66 @@
         let now = self.now;
         for index in 0..self.clients.len() {
             let output = self.clients[index].tick(now);
-            self.client_output(output, None);
+            self.handle_client_output(output, None);
         }
         for index in 0..self.targets.len() {
             if let Some(target) = &mut self.targets[index].target {
                 let output = target.tick(now);
-                self.target_output(index, output, true);
+                self.handle_target_output(index, output, true);
             }
         }
-        self.serve_watches();
+        self.answer_watches();
         for node in 0..self.machines.len() {
-            self.make_store_calls(node);
-            self.begin_probe(node);
+            self.start_store_calls(node);
+            self.start_probes(node);
         }
-        self.after(TICK, Event::Tick);
+        self.schedule(TICK_INTERVAL, Event::Tick);
     }
 
-    fn poll(&mut self) {
+    fn poll_nodes(&mut self) {
         for (number, machine) in self.machines.iter().enumerate() {
-            self.router.polled(number, machine.answers_ready());
+            self.router
+                .record_poll(number, machine.answers_readiness_probe());
         }
-        self.after(POLL, Event::Poll);
+        self.schedule(POLL_INTERVAL, Event::Poll);
     }
 
-    fn at_node(&mut self, node: usize, packet: Packet) {
+    fn handle_packet_at_node(&mut self, node: usize, packet: Packet) {
         match &mut self.machines[node].state {
             MachineState::Down => {}
             MachineState::Frozen { backlog, .. } => backlog.push(packet),
             MachineState::Running(process) => {
-                let forwarded = process.packet(self.now, &packet, true);
-                self.forwarded(node, forwarded);
+                let outcome = process.handle_packet(self.now, &packet, true);
+                self.handle_packet_outcome(node, outcome);
             }
         }
     }
 
-    fn forwarded(&mut self, node: usize, forwarded: Forwarded) {
-        let in_touch = self.in_touch(node);
-        match forwarded {
-            Forwarded::To(destination, packet) => {
-                let named = !self.scenario.lacks(Ablation::AnyInstance);
-                let meant = named.then_some(destination.instance);
-                let length = packet.wire_length();
-                let event = Event::AtTarget {
+    fn handle_packet_outcome(&mut self, node: usize, outcome: PacketOutcome) {
+        let undisturbed = self.undisturbed(node);
+        match outcome {
+            PacketOutcome::Forward(destination, packet) => {
+                let checks_instance = !self.scenario.is_ablated(Ablation::NoInstanceCheck);
+                let intended_instance = checks_instance.then_some(destination.instance);
+                let bytes = packet.wire_bytes();
+                let event = Event::PacketAtTarget {
                     address: destination.address,
-                    meant,
+                    intended_instance,
                     packet,
-                    in_touch,
+                    undisturbed,
                 };
-                self.send_from(node, length, event);
+                self.send_from(node, bytes, event);
             }
-            Forwarded::Reset(packet) => {
-                let origin = Origin::Node { in_touch };
-                let length = packet.wire_length();
-                self.send_from(node, length, Event::AtClient { packet, origin });
+            PacketOutcome::Reset(packet) => {
+                let origin = Origin::Node { undisturbed };
+                let bytes = packet.wire_bytes();
+                self.send_from(node, bytes, Event::PacketAtClient { packet, origin });
             }
-            Forwarded::Dropped => {}
+            PacketOutcome::Drop => {}
         }
     }
 
-    fn effects(&mut self, node: usize, effects: Vec<ExchangeEffect>) {
+    fn apply_effects(&mut self, node: usize, effects: Vec<ExchangeEffect>) {
         for effect in effects {
             match effect {
                 ExchangeEffect::SendHeartbeat { to, heartbeat } => {
@@ -402,20 +422,24 @@
                 ExchangeEffect::SendOutliers { to, message } => {
                     self.send_datagram(node, to, PeerDatagram::Outliers(message));
                 }
-                ExchangeEffect::Fetch { from } => self.fetch(node, from),
+                ExchangeEffect::Fetch { from } => self.start_fetch(node, from),
                 ExchangeEffect::PeerJoined(_) | ExchangeEffect::PeerLost(_) => {}
             }
         }
     }
 
     fn send_datagram(&mut self, from: usize, to: SocketAddrV4, datagram: PeerDatagram) {
-        self.heartbeats += 1;
+        self.peer_messages += 1;
         if let Some(to) = node_number(to, self.machines.len()) {
-            self.send_from(from, PEER_DATAGRAM, Event::Datagram { from, to, datagram });
+            self.send_from(
+                from,
+                PEER_DATAGRAM_BYTES,
+                Event::Datagram { from, to, datagram },
+            );
         }
     }
 
-    fn fetch(&mut self, node: usize, from: SocketAddrV4) {
+    fn start_fetch(&mut self, node: usize, from: SocketAddrV4) {
         let process = self.machines[node].running();
         let request = process.map(super::node::Node::fetch_request);
         let source = node_number(from, self.machines.len());
@@ -423,12 +447,12 @@
         let snapshot = request
             .zip(source)
             .map(|(request, source)| source.snapshot_for(self.now, request));
-        let life = self.machines[node].life;
-        self.after(
-            DELAY * 4,
-            Event::Fetched {
+        let incarnation = self.machines[node].incarnation;
+        self.schedule(
+            NETWORK_DELAY * 4,
+            Event::FetchDone {
                 node,
-                life,
+                incarnation,
                 from,
                 snapshot,
             },
@@ -436,7 +460,7 @@
     }
 }
 
-/// The peer address of a node.
+/// Returns the peer address of a node.
 fn peer_address(node: usize) -> SocketAddrV4 {
     let [_, _, high, low] = u32::try_from(node + 1).unwrap_or_default().to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), PEER_PORT)
--- a/crates/bellyoke-lab/src/cookie/world/actions.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/actions.rs
@@ -1,9 +1,9 @@
-//! What a scenario makes happen.
+//! The actions of a scenario.
 
 use super::machines::RunningTarget;
-use super::{Event, World};
+use super::{Event, Simulation};
 use crate::cookie::scenario::{
-    Action, ZONES, configuration, service_address, service_name, zone_name,
+    Action, TARGET_ZONES, configuration, service_address, service_name, zone_name,
 };
 use crate::cookie::store::StoreMode;
 use crate::cookie::target::TargetSettings;
@@ -11,24 +11,24 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Silence after which the store drops a target's record.
-const HEARTBEATS_MISSED: Duration = Duration::from_millis(3_600);
+/// Time without heartbeats after which the store deletes a target's record.
+const RECORD_EXPIRY: Duration = Duration::from_millis(3_600);
 
-/// Time after which the operator writes again what a restored store has lost.
+/// Time after which the operator rewrites the objects that a restored store has lost.
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time after which a target writes its record again.
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
+/// Interval at which a target rewrites its record.
+const RECORD_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-impl World {
-    pub(super) fn act(&mut self, action: Action) {
+impl Simulation {
+    pub(super) fn perform(&mut self, action: Action) {
         match action {
             Action::Configure { probe } => self.configure(probe),
-            Action::Drain { target, serves_for } => self.drain(target, serves_for),
-            Action::Vanish { target, serves_for } => self.vanish(target, serves_for),
-            Action::Crash { target } => self.crash(target),
-            Action::WriteLate { target } => self.write_late(target),
-            Action::Deafen { target } => self.targets[target].deaf = true,
+            Action::Drain { target, serves_for } => self.drain_target(target, serves_for),
+            Action::Unregister { target, serves_for } => self.unregister(target, serves_for),
+            Action::Crash { target } => self.crash_target(target),
+            Action::WriteStaleRecord { target } => self.write_stale_record(target),
+            Action::RefuseConnections { target } => self.targets[target].refuses_connections = true,
             Action::Start {
                 service,
                 address_of,
@@ -39,22 +39,22 @@
             Action::DrainZone(zone) => {
                 self.drained_zones.insert(zone_name(zone));
                 self.store.drain_zone(self.now, &zone_name(zone));
-                self.rules.zone_drained(self.now, zone);
+                self.rules.record_zone_drain(self.now, zone);
             }
-            Action::RestoreZone(zone) => {
+            Action::UndrainZone(zone) => {
                 self.drained_zones.remove(&zone_name(zone));
-                self.store.restore_zone(self.now, &zone_name(zone));
-                self.rules.zone_restored(zone);
+                self.store.undrain_zone(self.now, &zone_name(zone));
+                self.rules.record_zone_undrain(zone);
             }
-            Action::Lapse => self.lapse(),
-            Action::Store(mode) => self.set_store_mode(mode),
+            Action::ExpireRecords => self.expire_records(),
+            Action::SetStoreMode(mode) => self.set_store_mode(mode),
             Action::Compact => {
                 self.store_disturbed_at = self.now;
                 self.store.compact();
             }
-            Action::CopyStore => self.store.take_copy(),
+            Action::BackUpStore => self.store.back_up(),
             Action::RestoreStore => self.restore_store(),
-            Action::Staleness(staleness) => {
+            Action::SetStaleness(staleness) => {
                 self.store_disturbed_at = self.now;
                 self.store.staleness = staleness;
             }
@@ -62,7 +62,7 @@
                 self.machines[node].cut_from_store = cut;
                 self.machines[node].disturbed_at = self.now;
             }
-            Action::Freeze { node, lasting } => self.freeze(node, lasting),
+            Action::Freeze { node, duration } => self.freeze(node, duration),
             Action::Kill { node, down } => self.kill(node, down),
             Action::KillWatchers { down } => {
                 for node in self.watchers() {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The nodes that watch the store for all.
+    /// Returns the nodes that watch the store on behalf of others.
     fn watchers(&self) -> Vec<usize> {
         let nodes = 0..self.machines.len();
         let watches = |node: &usize| {
@@ -104,23 +104,23 @@
             .collect();
         self.newest_configuration = Some(written.clone());
         self.store.put_configuration(self.now, written);
-        self.rules.configured(self.now, &routes);
+        self.rules.record_configuration(self.now, &routes);
     }
 
     fn set_store_mode(&mut self, mode: StoreMode) {
         self.store.mode = mode;
         if mode == StoreMode::Silent {
-            // Connections that lost an answer say nothing more, also when the store is back.
-            self.waiting.clear();
+            // Connections whose answers were lost stay silent, even once the store is up again.
+            self.pending_watches.clear();
         }
         self.store_disturbed_at = match mode {
-            // Until it is up again.
+            // The store counts as disturbed until its mode changes again.
             StoreMode::Silent | StoreMode::Busy => self.now.after(Duration::from_secs(3_600)),
             StoreMode::Up | StoreMode::Throttled => self.now,
         };
     }
 
-    fn drain(&mut self, target: usize, serves_for: Duration) {
+    fn drain_target(&mut self, target: usize, serves_for: Duration) {
         let running = &mut self.targets[target];
         let Some(record) = &mut running.record else {
             return;
@@ -131,66 +131,68 @@
             target.draining = true;
         }
         self.store.put_instance(self.now, record);
-        self.rules.leaving(self.now, id);
-        self.after(serves_for, Event::RecordGoes(id));
-        self.after(serves_for, Event::TargetEnds(id));
+        self.rules.record_leaving(self.now, id);
+        self.schedule(serves_for, Event::RemoveRecord(id));
+        self.schedule(serves_for, Event::EndTarget(id));
     }
 
-    fn vanish(&mut self, target: usize, serves_for: Duration) {
+    fn unregister(&mut self, target: usize, serves_for: Duration) {
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.store.remove_instance(self.now, id);
-        self.rules.leaving(self.now, id);
-        self.after(serves_for, Event::TargetEnds(id));
+        self.rules.record_leaving(self.now, id);
+        self.schedule(serves_for, Event::EndTarget(id));
     }
 
-    fn crash(&mut self, target: usize) {
+    fn crash_target(&mut self, target: usize) {
         let id = self.targets[target].id;
         self.targets[target].record = None;
         self.end_target(id);
-        self.after(HEARTBEATS_MISSED, Event::RecordGoes(id));
+        self.schedule(RECORD_EXPIRY, Event::RemoveRecord(id));
     }
 
-    fn write_late(&mut self, target: usize) {
+    fn write_stale_record(&mut self, target: usize) {
         let running = &self.targets[target];
-        let settings = TargetSettings::usual(running.id, service_name(running.service));
-        let record = settings.record(running.address, zone_name(target % ZONES));
+        let settings = TargetSettings::with_defaults(running.id, service_name(running.service));
+        let record = settings.record(running.address, zone_name(target % TARGET_ZONES));
         self.store.put_instance(self.now, record);
-        self.after(HEARTBEATS_MISSED, Event::RecordGoes(settings.id));
+        self.schedule(RECORD_EXPIRY, Event::RemoveRecord(settings.id));
     }
 
-    /// As after an outage of the store: the records went meanwhile, and the targets write them
-    /// again one after the other.
-    fn lapse(&mut self) {
+    /// Deletes all records, as if they had expired in an outage of the store. The targets rewrite
+    /// them one after another.
+    fn expire_records(&mut self) {
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
-        let pause = HEARTBEAT / u32::try_from(ids.len().max(1)).unwrap_or(u32::MAX);
+        let interval =
+            RECORD_HEARTBEAT_INTERVAL / u32::try_from(ids.len().max(1)).unwrap_or(u32::MAX);
         self.store_disturbed_at = self.now;
         for (index, id) in ids.into_iter().enumerate() {
             self.store.remove_instance(self.now, id);
-            let place = u32::try_from(index).unwrap_or_default();
-            self.after(pause * place, Event::RecordReturns(id));
+            let position = u32::try_from(index).unwrap_or_default();
+            self.schedule(interval * position, Event::RewriteRecord(id));
         }
     }
 
-    /// The operator and the targets find out what is missing, and write it again.
+    /// Restores the store. The operator and the targets then rewrite the objects that it has lost.
     fn restore_store(&mut self) {
         self.store.restore();
         self.set_store_mode(StoreMode::Up);
-        self.after(REWRITE_DELAY, Event::OperatorWritesAgain);
-        let pause = HEARTBEAT / u32::try_from(self.targets.len().max(1)).unwrap_or(u32::MAX);
+        self.schedule(REWRITE_DELAY, Event::RewriteOperatorObjects);
+        let interval = RECORD_HEARTBEAT_INTERVAL
+            / u32::try_from(self.targets.len().max(1)).unwrap_or(u32::MAX);
         let ids: Vec<_> = self.targets.iter().map(|target| target.id).collect();
         for (index, id) in ids.into_iter().enumerate() {
-            let place = u32::try_from(index).unwrap_or_default();
-            self.after(pause * place, Event::RecordReturns(id));
+            let position = u32::try_from(index).unwrap_or_default();
+            self.schedule(interval * position, Event::RewriteRecord(id));
         }
         let listed = self.store.instances();
-        let lapsing: Vec<_> = listed.filter(|id| !self.is_running(*id)).collect();
-        for id in lapsing {
-            self.after(HEARTBEATS_MISSED, Event::RecordGoes(id));
+        let expiring: Vec<_> = listed.filter(|id| !self.is_running(*id)).collect();
+        for id in expiring {
+            self.schedule(RECORD_EXPIRY, Event::RemoveRecord(id));
         }
     }
 
-    /// Whether a target that still writes its record has this id.
+    /// Returns whether `id` belongs to a running target that still writes its record.
     fn is_running(&self, id: InstanceId) -> bool {
         let running = |target: &RunningTarget| target.target.is_some() && target.record.is_some();
         self.targets
@@ -198,19 +200,19 @@
             .any(|target| target.id == id && running(target))
     }
 
-    /// Writes the newest configuration and the drained zones again, as far as the store has lost them.
-    pub(super) fn write_again(&mut self) {
+    /// Rewrites the newest configuration and the drained zones where the store has lost them.
+    pub(super) fn rewrite_operator_objects(&mut self) {
         let newest = self.newest_configuration.clone();
-        let held = self.store.configuration().map(|held| held.version);
-        if let Some(newest) = newest.filter(|newest| held != Some(newest.version)) {
+        let stored = self.store.configuration().map(|stored| stored.version);
+        if let Some(newest) = newest.filter(|newest| stored != Some(newest.version)) {
             self.store.put_configuration(self.now, newest);
         }
-        let held: BTreeSet<String> = self.store.drained_zones().map(str::to_owned).collect();
-        for zone in self.drained_zones.difference(&held) {
+        let stored: BTreeSet<String> = self.store.drained_zones().map(str::to_owned).collect();
+        for zone in self.drained_zones.difference(&stored) {
             self.store.drain_zone(self.now, zone);
         }
-        for zone in held.difference(&self.drained_zones) {
-            self.store.restore_zone(self.now, zone);
+        for zone in stored.difference(&self.drained_zones) {
+            self.store.undrain_zone(self.now, zone);
         }
     }
 
@@ -228,7 +230,7 @@
     }
 
     fn kill_all(&mut self, down: Duration) {
-        self.rules.killed_all(self.now);
+        self.rules.record_kill_of_all(self.now);
         for node in 0..self.machines.len() {
             self.kill(node, down);
         }
--- a/crates/bellyoke-lab/src/cookie/world/machines.rs
+++ b/crates/bellyoke-lab/src/cookie/simulation/machines.rs
@@ -1,11 +1,11 @@
-//! The machines of the world: nodes that run, stand still or are down, and targets.
+//! The nodes' machines and the targets of the simulation.
 
-use super::{CONNECTION_PACKET, Event, NODE_TICK, World, peer_address};
+use super::{CONNECTION_PACKET_BYTES, Event, NODE_TICK_INTERVAL, Simulation, peer_address};
 use crate::cookie::link::{Link, LinkSettings};
-use crate::cookie::node::{Forwarded, Node, StoreCall};
+use crate::cookie::node::{Node, PacketOutcome, StoreCall};
 use crate::cookie::packet::Packet;
-use crate::cookie::rules::{Arrival, CONTACT, Origin};
-use crate::cookie::scenario::{ZONES, service_name, zone_name};
+use crate::cookie::rules::{Arrival, Origin, UNDISTURBED_PERIOD};
+use crate::cookie::scenario::{TARGET_ZONES, service_name, zone_name};
 use crate::cookie::store::{Store, StoreAnswer, StoreMode};
 use crate::cookie::target::{Target, TargetOutput, TargetSettings};
 use bellyoke_core::cookie::exchange::PeerDatagram;
@@ -19,17 +19,17 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Time between a planned stop and the next start.
-const PLANNED_PAUSE: Duration = Duration::from_millis(500);
+/// Time between a graceful stop and the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// What a node's machine does.
+/// State of a node's machine.
 #[derive(Debug)]
 pub(super) enum MachineState {
-    /// No process.
+    /// No process is running.
     Down,
-    /// The process runs.
+    /// The process is running.
     Running(Box<Node>),
-    /// The process stands still; its socket fills.
+    /// The process is suspended, and packets queue in its socket.
     Frozen {
         process: Box<Node>,
         backlog: Vec<Packet>,
@@ -40,9 +40,9 @@
 #[derive(Debug)]
 pub(super) struct Machine {
     pub state: MachineState,
-    /// Counts processes, so that nothing meant for one reaches the next.
-    pub life: u64,
-    /// When it was last harmed.
+    /// Number of processes started so far, by which events for an earlier process are discarded.
+    pub incarnation: u64,
+    /// Time of the last fault, or the end of one in progress.
     pub disturbed_at: Timestamp,
     pub cut_from_store: bool,
     link: Option<Link>,
@@ -52,17 +52,18 @@
     pub(super) fn new(now: Timestamp, link: Option<LinkSettings>) -> Self {
         Self {
             state: MachineState::Down,
-            life: 0,
+            incarnation: 0,
             disturbed_at: now,
             cut_from_store: false,
             link: link.map(Link::new),
         }
     }
 
-    /// It sends so many bytes. Returns when they have left; none if its link is full.
-    pub(super) fn send(&mut self, now: Timestamp, length: usize) -> Option<Duration> {
+    /// Sends `bytes` bytes. Returns the time until they have left, or `None` if the link's queue
+    /// is full.
+    pub(super) fn send(&mut self, now: Timestamp, bytes: usize) -> Option<Duration> {
         match &mut self.link {
-            Some(link) => link.send(now, length),
+            Some(link) => link.send(now, bytes),
             None => Some(Duration::ZERO),
         }
     }
@@ -74,37 +75,39 @@
         }
     }
 
-    pub(super) fn answers_ready(&self) -> bool {
+    pub(super) fn answers_readiness_probe(&self) -> bool {
         self.running().is_some_and(Node::is_ready)
     }
 }
 
-/// A target and where it is.
+/// A target with its address.
 #[derive(Debug)]
 pub(super) struct RunningTarget {
     pub id: InstanceId,
     pub service: usize,
     pub address: SocketAddrV4,
-    /// None once it has ended.
+    /// `None` once the target has stopped.
     pub target: Option<Target>,
-    /// The record that it writes again when it was lost.
+    /// The record that the target rewrites if the store has lost it.
     pub record: Option<InstanceRecord>,
-    /// Whether it takes no connections, though it serves its flows.
-    pub deaf: bool,
+    /// Whether the target accepts no connections. It still serves its flows.
+    pub refuses_connections: bool,
 }
 
 impl RunningTarget {
-    const fn listens(&self) -> bool {
-        self.target.is_some() && !self.deaf
+    const fn accepts_connections(&self) -> bool {
+        self.target.is_some() && !self.refuses_connections
     }
 }
 
-impl World {
-    /// Whether nothing has happened to a node or the store of late.
-    pub(super) fn in_touch(&self, node: usize) -> bool {
+impl Simulation {
+    /// Returns whether neither the node nor the store had a fault recently.
+    pub(super) fn undisturbed(&self, node: usize) -> bool {
         let machine = &self.machines[node];
-        let quiet = |since: Timestamp| self.now.since(since) >= CONTACT;
-        quiet(machine.disturbed_at) && quiet(self.store_disturbed_at) && !machine.cut_from_store
+        let long_since = |since: Timestamp| self.now.since(since) >= UNDISTURBED_PERIOD;
+        long_since(machine.disturbed_at)
+            && long_since(self.store_disturbed_at)
+            && !machine.cut_from_store
     }
 
     pub(super) fn start_node(&mut self, node: usize) {
@@ -119,38 +122,38 @@
             self.random.random(),
         );
         let machine = &mut self.machines[node];
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.state = MachineState::Running(Box::new(process));
     }
 
-    pub(super) fn node_ticks(&mut self) {
+    pub(super) fn tick_nodes(&mut self) {
         for node in 0..self.machines.len() {
             let MachineState::Running(process) = &mut self.machines[node].state else {
                 continue;
             };
-            if process.is_over(self.now) {
-                self.stop_node(node, PLANNED_PAUSE);
+            if process.has_stopped(self.now) {
+                self.stop_node(node, RESTART_DELAY);
                 continue;
             }
             let effects = process.tick(self.now);
-            let resets = process.end_resting(self.now);
-            self.effects(node, effects);
+            let resets = process.take_flow_resets(self.now);
+            self.apply_effects(node, effects);
             for reset in resets {
-                self.forwarded(node, Forwarded::Reset(reset));
+                self.handle_packet_outcome(node, PacketOutcome::Reset(reset));
             }
         }
-        self.after(NODE_TICK, Event::NodeTicks);
+        self.schedule(NODE_TICK_INTERVAL, Event::TickNodes);
     }
 
-    /// Ends a node's process and starts the next one after `down`.
+    /// Stops a node's process and starts the next one after `down`.
     pub(super) fn stop_node(&mut self, node: usize, down: Duration) {
         let machine = &mut self.machines[node];
         machine.state = MachineState::Down;
-        let life = machine.life;
-        self.after(down, Event::Start { node, life });
+        let incarnation = machine.incarnation;
+        self.schedule(down, Event::StartNode { node, incarnation });
     }
 
-    pub(super) fn freeze(&mut self, node: usize, lasting: Duration) {
+    pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
         let machine = &mut self.machines[node];
         let state = std::mem::replace(&mut machine.state, MachineState::Down);
         machine.state = match state {
@@ -160,12 +163,13 @@
             },
             other => other,
         };
-        machine.disturbed_at = self.now.after(lasting);
-        self.after(lasting, Event::Thaw { node });
+        machine.disturbed_at = self.now.after(duration);
+        self.schedule(duration, Event::ResumeNode { node });
     }
 
-    /// The traffic thread runs first: the worst case for what waited in its socket.
-    pub(super) fn thaw(&mut self, node: usize) {
+    /// Resumes a node's process. The traffic thread runs first, which is the worst case for the
+    /// packets that waited in its socket.
+    pub(super) fn resume(&mut self, node: usize) {
         let machine = &mut self.machines[node];
         let state = std::mem::replace(&mut machine.state, MachineState::Down);
         let MachineState::Frozen {
@@ -178,184 +182,207 @@
         };
         machine.disturbed_at = self.now;
         let count = backlog.len();
-        let forwarded: Vec<_> = backlog
+        let outcomes: Vec<_> = backlog
             .iter()
             .enumerate()
-            .map(|(index, packet)| process.packet(self.now, packet, index + 1 == count))
+            .map(|(index, packet)| process.handle_packet(self.now, packet, index + 1 == count))
             .collect();
         self.machines[node].state = MachineState::Running(process);
-        for forwarded in forwarded {
-            self.forwarded(node, forwarded);
+        for outcome in outcomes {
+            self.handle_packet_outcome(node, outcome);
         }
     }
 
-    /// Begins the probe that a node wants, if it wants one.
-    pub(super) fn begin_probe(&mut self, node: usize) {
+    /// Starts the batches of probes that are due at a node.
+    pub(super) fn start_probes(&mut self, node: usize) {
         let machine = &mut self.machines[node];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         let mut batches = Vec::new();
         if let MachineState::Running(process) = &mut machine.state {
             batches.extend(std::iter::from_fn(|| process.next_probe(self.now)));
         }
         for batch in batches {
-            self.probe_attempt(node, life, batch);
+            self.make_probe_attempt(node, incarnation, batch);
         }
     }
 
-    /// Makes an attempt of a probe, and the next one when its time is over.
-    pub(super) fn probe_attempt(&mut self, node: usize, life: u64, mut batch: ProbeBatch) {
-        if self.machines[node].life != life {
+    /// Makes one attempt of a batch of probes, and schedules the next one.
+    pub(super) fn make_probe_attempt(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        mut batch: ProbeBatch,
+    ) {
+        if self.machines[node].incarnation != incarnation {
             return;
         }
         if batch.is_complete() {
             if let MachineState::Running(process) = &mut self.machines[node].state {
-                let effects = process.probed(self.now, &batch.outcomes());
-                self.effects(node, effects);
+                let effects = process.handle_probe_outcomes(self.now, &batch.outcomes());
+                self.apply_effects(node, effects);
             }
             return;
         }
         let addresses = batch.next_addresses().into_iter();
-        let opened = addresses.filter(|address| self.connects(node, *address));
+        let opened = addresses.filter(|address| self.try_connect(node, *address));
         batch.record_attempt(&opened.collect());
-        let event = Event::ProbeAttempt { node, life, batch };
-        self.after(ATTEMPT_TIMEOUT, event);
+        let event = Event::ProbeAttempt {
+            node,
+            incarnation,
+            batch,
+        };
+        self.schedule(ATTEMPT_TIMEOUT, event);
     }
 
-    /// Whether a connection from a node to an address opens.
-    fn connects(&mut self, node: usize, address: SocketAddrV4) -> bool {
-        let sent = self.machines[node].send(self.now, CONNECTION_PACKET);
+    /// Returns whether a connection from a node to an address opens.
+    fn try_connect(&mut self, node: usize, address: SocketAddrV4) -> bool {
+        let sent = self.machines[node].send(self.now, CONNECTION_PACKET_BYTES);
         let lost = self.scenario.loss > 0.0 && self.random.random_bool(self.scenario.loss);
         let mut targets = self.targets.iter();
-        let listens = targets.any(|target| target.address == address && target.listens());
-        sent.is_some() && !lost && listens
+        let accepts_connections =
+            targets.any(|target| target.address == address && target.accepts_connections());
+        sent.is_some() && !lost && accepts_connections
     }
 
-    pub(super) fn datagram(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
+    pub(super) fn handle_datagram(&mut self, from: usize, to: usize, datagram: PeerDatagram) {
         if let MachineState::Running(process) = &mut self.machines[to].state {
-            let effects = process.datagram(self.now, peer_address(from), datagram);
-            self.effects(to, effects);
+            let effects = process.handle_datagram(self.now, peer_address(from), datagram);
+            self.apply_effects(to, effects);
         }
     }
 
-    pub(super) fn fetched(
+    pub(super) fn handle_fetch(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         from: SocketAddrV4,
         snapshot: Option<Snapshot>,
     ) {
         let machine = &mut self.machines[node];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         if let MachineState::Running(process) = &mut machine.state {
-            let effects = process.fetched(self.now, from, snapshot);
-            self.effects(node, effects);
+            let effects = process.handle_snapshot(self.now, from, snapshot);
+            self.apply_effects(node, effects);
         }
     }
 
-    pub(super) fn make_store_calls(&mut self, node: usize) {
+    pub(super) fn start_store_calls(&mut self, node: usize) {
         let now = self.now;
         let machine = &mut self.machines[node];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         let MachineState::Running(process) = &mut machine.state else {
             return;
         };
         for call in process.store_calls(now) {
             self.store_calls += 1;
-            let given_up = Event::StoreAnswer {
+            let timed_out = Event::StoreAnswer {
                 node,
-                life,
+                incarnation,
                 number: call.number,
                 era: None,
                 answer: StoreAnswer::failed(call.kind),
             };
-            self.after(call.patience, given_up);
+            self.schedule(call.timeout, timed_out);
             if !self.machines[node].cut_from_store {
-                self.after(super::DELAY, Event::StoreCall { node, life, call });
+                self.schedule(
+                    super::NETWORK_DELAY,
+                    Event::StoreCall {
+                        node,
+                        incarnation,
+                        call,
+                    },
+                );
             }
         }
     }
 
-    pub(super) fn store_call(&mut self, node: usize, life: u64, call: StoreCall) {
+    pub(super) fn handle_store_call(&mut self, node: usize, incarnation: u64, call: StoreCall) {
         if self.store.mode == StoreMode::Silent {
             return;
         }
         match self.store.answer(self.now, call.kind, &call.read, false) {
-            Some(answer) => self.answer_call(node, life, &call, answer),
+            Some(answer) => self.send_store_answer(node, incarnation, &call, answer),
             None => {
                 if let Read::Watch { wait, .. } = &call.read {
-                    let expires = Event::WatchExpires {
+                    let expiry = Event::WatchTimeout {
                         node,
-                        life,
+                        incarnation,
                         call: call.clone(),
                     };
-                    self.after(*wait, expires);
+                    self.schedule(*wait, expiry);
                 }
-                self.waiting.push((node, life, call));
+                self.pending_watches.push((node, incarnation, call));
             }
         }
     }
 
-    pub(super) fn watch_expires(&mut self, node: usize, life: u64, call: &StoreCall) {
-        let is_it = |(waiting, its_life, its): &(usize, u64, StoreCall)| {
-            *waiting == node && *its_life == life && its.number == call.number
+    pub(super) fn expire_watch(&mut self, node: usize, incarnation: u64, call: &StoreCall) {
+        let is_same_call = |(watch_node, watch_incarnation, watch): &(usize, u64, StoreCall)| {
+            *watch_node == node && *watch_incarnation == incarnation && watch.number == call.number
         };
-        let Some(index) = self.waiting.iter().position(is_it) else {
+        let Some(index) = self.pending_watches.iter().position(is_same_call) else {
             return;
         };
-        self.waiting.swap_remove(index);
+        self.pending_watches.swap_remove(index);
         let answer = self.store.answer(self.now, call.kind, &call.read, true);
         if let Some(answer) = answer {
-            self.answer_call(node, life, call, answer);
+            self.send_store_answer(node, incarnation, call, answer);
         }
     }
 
-    /// Answers the watches that have news.
-    pub(super) fn serve_watches(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for (node, life, call) in waiting {
+    /// Answers the watches for which there are changes.
+    pub(super) fn answer_watches(&mut self) {
+        let pending_watches = std::mem::take(&mut self.pending_watches);
+        for (node, incarnation, call) in pending_watches {
             match self.store.answer(self.now, call.kind, &call.read, false) {
-                Some(answer) => self.answer_call(node, life, &call, answer),
-                None => self.waiting.push((node, life, call)),
+                Some(answer) => self.send_store_answer(node, incarnation, &call, answer),
+                None => self.pending_watches.push((node, incarnation, call)),
             }
         }
     }
 
-    fn answer_call(&mut self, node: usize, life: u64, call: &StoreCall, answer: StoreAnswer) {
+    fn send_store_answer(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: &StoreCall,
+        answer: StoreAnswer,
+    ) {
         if self.machines[node].cut_from_store {
             return;
         }
         let event = Event::StoreAnswer {
             node,
-            life,
+            incarnation,
             number: call.number,
-            era: self.store.told_era(),
+            era: self.store.reported_era(),
             answer,
         };
-        self.after(super::DELAY, event);
+        self.schedule(super::NETWORK_DELAY, event);
     }
 
-    pub(super) fn store_answer(
+    pub(super) fn handle_store_answer(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
         era: Option<StoreEra>,
         answer: StoreAnswer,
     ) {
         let now = self.now;
         let machine = &mut self.machines[node];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         if let MachineState::Running(process) = &mut machine.state {
-            let effects = process.store_answer(now, number, era, answer);
-            self.effects(node, effects);
+            let effects = process.handle_store_answer(now, number, era, answer);
+            self.apply_effects(node, effects);
         }
     }
 
-    pub(super) fn store_change(&mut self, change: impl FnOnce(&mut Store, Timestamp)) {
+    pub(super) fn change_store(&mut self, change: impl FnOnce(&mut Store, Timestamp)) {
         change(&mut self.store, self.now);
     }
 
@@ -365,8 +392,8 @@
         let own = SocketAddrV4::new(Ipv4Addr::new(10, 2, high, low), 8_000);
         let address = address.unwrap_or(own);
         let id = InstanceId(u64::from(self.random.random::<u32>() | 1));
-        let settings = TargetSettings::usual(id, service_name(service));
-        let record = settings.record(address, zone_name(number % ZONES));
+        let settings = TargetSettings::with_defaults(id, service_name(service));
+        let record = settings.record(address, zone_name(number % TARGET_ZONES));
         self.store.put_instance(self.now, record.clone());
         self.targets.push(RunningTarget {
             id,
@@ -374,40 +401,42 @@
             address,
             target: Some(Target::new(settings)),
             record: Some(record),
-            deaf: false,
+            refuses_connections: false,
         });
     }
 
     pub(super) fn end_target(&mut self, id: InstanceId) {
-        self.rules.target_ended(id);
+        self.rules.record_target_end(id);
         if let Some(target) = self.targets.iter_mut().find(|target| target.id == id) {
             target.target = None;
         }
     }
 
-    pub(super) fn return_record(&mut self, id: InstanceId) {
+    pub(super) fn rewrite_record(&mut self, id: InstanceId) {
         let target = self.targets.iter().find(|target| target.id == id);
         let record = target
             .filter(|target| target.target.is_some())
             .and_then(|target| target.record.clone());
-        let held = self.store.instance(id);
-        let tells = |record: &InstanceRecord| {
-            held.is_some_and(|held| held.state == record.state && held.started == record.started)
+        let stored = self.store.instance(id);
+        let matches = |record: &InstanceRecord| {
+            stored.is_some_and(|stored| {
+                stored.state == record.state && stored.started == record.started
+            })
         };
-        if let Some(record) = record.filter(|record| !tells(record)) {
+        if let Some(record) = record.filter(|record| !matches(record)) {
             self.store.put_instance(self.now, record);
         }
     }
 
-    pub(super) fn at_target(
+    pub(super) fn handle_packet_at_target(
         &mut self,
         address: SocketAddrV4,
-        meant: Option<InstanceId>,
+        intended_instance: Option<InstanceId>,
         packet: &Packet,
-        in_touch: bool,
+        undisturbed: bool,
     ) {
         let now = self.now;
-        // The last one that took the address has it.
+        // The last running target that took the address owns it.
         let index = self
             .targets
             .iter()
@@ -416,34 +445,40 @@
             return;
         };
         let running = &mut self.targets[index];
-        let takes = meant.is_none_or(|meant| meant == running.id);
+        let accepts = intended_instance.is_none_or(|intended| intended == running.id);
         let Some(target) = &mut running.target else {
             return;
         };
-        let output = target.packet(now, meant, packet);
+        let output = target.handle_packet(now, intended_instance, packet);
         if let Some(flow) = packet.flow()
             && packet.flags.syn
-            && takes
+            && accepts
         {
             let arrival = Arrival {
                 target: running.id,
                 service: running.service,
-                zone: index % ZONES,
-                in_touch,
+                zone: index % TARGET_ZONES,
+                undisturbed,
             };
-            self.rules.opening_arrives(now, flow, arrival);
+            self.rules.check_opening(now, flow, arrival);
         }
-        self.target_output(index, output, in_touch);
+        self.handle_target_output(index, output, undisturbed);
     }
 
-    pub(super) fn target_output(&mut self, index: usize, output: TargetOutput, in_touch: bool) {
+    pub(super) fn handle_target_output(
+        &mut self,
+        index: usize,
+        output: TargetOutput,
+        undisturbed: bool,
+    ) {
         let id = self.targets[index].id;
         for event in &output.events {
-            self.rules.target(self.now, id, event, in_touch);
+            self.rules
+                .handle_target_event(self.now, id, event, undisturbed);
         }
         for packet in output.packets {
-            let origin = Origin::Target { id, in_touch };
-            self.send(Event::AtClient { packet, origin });
+            let origin = Origin::Target { id, undisturbed };
+            self.send(Event::PacketAtClient { packet, origin });
         }
     }
 }
--- a/crates/bellyoke-lab/src/cookie/store.rs
+++ b/crates/bellyoke-lab/src/cookie/store.rs
@@ -1,4 +1,5 @@
-//! The store: objects at revisions, lists, watches, a bounded history, and faults on switches.
+//! Model of the store: revisioned objects, lists, watches, a history that can be compacted, and
+//! fault modes.
 
 use bellyoke_core::cookie::follower::{Answer, Freshness, Read};
 use bellyoke_core::cookie::freshness::ObjectKind;
@@ -10,32 +11,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How the store answers.
+/// Fault mode of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// The store works normally.
     Up,
-    /// Not at all.
+    /// The store doesn't answer.
     Silent,
-    /// With an error, and nothing done.
+    /// The store answers with an error and changes nothing.
     Busy,
-    /// With a refusal for too many calls, but for reads that may be stale.
+    /// The store rejects reads of the newest state as too many calls. Reads that may be stale are
+    /// answered.
     Throttled,
 }
 
-/// The answer to a read of any kind.
+/// Answer to a read.
 #[derive(Clone, Debug)]
 pub enum StoreAnswer {
-    /// Of instances.
+    /// Answer to a read of instances.
     Instances(Answer<InstanceRecord, InstanceEvent>),
-    /// Of the configuration.
+    /// Answer to a read of the configuration.
     Configurations(Answer<Configuration, Configuration>),
-    /// Of the drained zones.
+    /// Answer to a read of the drained zones.
     Zones(Answer<DrainedZone, ZoneEvent>),
 }
 
 impl StoreAnswer {
-    /// What it tells of.
+    /// Returns the kind of the objects.
     #[must_use]
     pub const fn kind(&self) -> ObjectKind {
         match self {
@@ -45,43 +47,45 @@
         }
     }
 
-    /// The answer with its revisions in an era, as whoever is not told the store's takes them.
+    /// Returns the answer with all revisions placed in `era`, as interpreted by a node to which
+    /// the store doesn't report its era.
     #[must_use]
     pub fn in_era(self, era: StoreEra) -> Self {
-        let put = |revision: &mut Revision| *revision = in_era(era, *revision);
-        let put_record = |record: &mut InstanceRecord| {
-            put(&mut record.revision);
-            record.created.as_mut().map(put);
+        let set_era = |revision: &mut Revision| *revision = in_era(era, *revision);
+        let set_record_era = |record: &mut InstanceRecord| {
+            set_era(&mut record.revision);
+            record.created.as_mut().map(set_era);
         };
         match self {
             Self::Instances(answer) => {
-                Self::Instances(with_revisions(answer, put, put_record, |event| {
+                Self::Instances(with_revisions(answer, set_era, set_record_era, |event| {
                     if let InstanceEvent::Put(record) = event {
-                        put_record(record);
+                        set_record_era(record);
                     }
                 }))
             }
             Self::Configurations(answer) => {
-                let put_configuration = |held: &mut Configuration| put(&mut held.revision);
+                let set_configuration_era =
+                    |configuration: &mut Configuration| set_era(&mut configuration.revision);
                 Self::Configurations(with_revisions(
                     answer,
-                    put,
-                    put_configuration,
-                    put_configuration,
+                    set_era,
+                    set_configuration_era,
+                    set_configuration_era,
                 ))
             }
             Self::Zones(answer) => {
-                let put_zone = |zone: &mut DrainedZone| put(&mut zone.revision);
-                Self::Zones(with_revisions(answer, put, put_zone, |event| {
+                let set_zone_era = |zone: &mut DrainedZone| set_era(&mut zone.revision);
+                Self::Zones(with_revisions(answer, set_era, set_zone_era, |event| {
                     if let ZoneEvent::Drained(zone) = event {
-                        put_zone(zone);
+                        set_zone_era(zone);
                     }
                 }))
             }
         }
     }
 
-    /// The answer that is none.
+    /// Returns the answer that stands for a failed call.
     #[must_use]
     pub const fn failed(kind: ObjectKind) -> Self {
         match kind {
@@ -99,77 +103,77 @@
     Zone(ZoneEvent),
 }
 
-/// The objects of the store at some moment.
+/// A backup of the store's objects.
 #[derive(Clone, Debug)]
-struct Copy {
+struct Backup {
     revision: Revision,
     instances: BTreeMap<InstanceId, InstanceRecord>,
     configuration: Option<Configuration>,
     drained_zones: BTreeMap<String, Revision>,
 }
 
-/// The store.
+/// Model of the store.
 #[derive(Debug)]
 pub struct Store {
-    /// How it answers.
+    /// Fault mode.
     pub mode: StoreMode,
-    /// Instances in a page of a list.
-    pub page: usize,
-    /// How much older than the newest state a stale read is.
+    /// Maximum number of instances per page of a list.
+    pub page_size: usize,
+    /// Lag of stale reads behind the newest state.
     pub staleness: Duration,
-    /// Whether answers tell the era.
-    pub tells_era: bool,
+    /// Whether answers carry the era.
+    pub reports_era: bool,
     era: StoreEra,
     revision: Revision,
     instances: BTreeMap<InstanceId, InstanceRecord>,
     configuration: Option<Configuration>,
     drained_zones: BTreeMap<String, Revision>,
     history: VecDeque<(Timestamp, Revision, Change)>,
-    forgotten: Revision,
-    copy: Option<Copy>,
+    compacted_revision: Revision,
+    backup: Option<Backup>,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
             mode: StoreMode::Up,
-            page: 50,
+            page_size: 50,
             staleness: Duration::ZERO,
-            tells_era: true,
+            reports_era: true,
             era: StoreEra(0),
             revision: Revision::new(1),
             instances: BTreeMap::new(),
             configuration: None,
             drained_zones: BTreeMap::new(),
             history: VecDeque::new(),
-            forgotten: Revision::new(0),
-            copy: None,
+            compacted_revision: Revision::new(0),
+            backup: None,
         }
     }
 }
 
 impl Store {
-    /// Writes a target's record. One that isn't there, or has gone, is created.
+    /// Writes the record of an instance. A record that doesn't exist, or was deleted, is created.
     pub fn put_instance(&mut self, now: Timestamp, mut record: InstanceRecord) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         record.revision = revision;
-        let held = self.instances.get(&record.id);
-        record.created = held.map_or(Some(revision), |held| held.created);
+        let existing = self.instances.get(&record.id);
+        record.created = existing.map_or(Some(revision), |existing| existing.created);
         self.instances.insert(record.id, record.clone());
         let change = Change::Instance(InstanceEvent::Put(record));
         self.history.push_back((now, revision, change));
     }
 
-    /// Removes a target's record.
+    /// Deletes the record of an instance.
     pub fn remove_instance(&mut self, now: Timestamp, id: InstanceId) {
         if self.instances.remove(&id).is_some() {
-            let revision = self.advance();
+            let revision = self.advance_revision();
             let change = Change::Instance(InstanceEvent::Gone(id));
             self.history.push_back((now, revision, change));
         }
     }
 
-    /// The record of a target.
+    /// Returns the record of an instance.
     #[must_use]
     pub fn instance(&self, id: InstanceId) -> Option<&InstanceRecord> {
         self.instances.get(&id)
@@ -177,7 +181,7 @@
 
     /// Writes the configuration.
     pub fn put_configuration(&mut self, now: Timestamp, mut configuration: Configuration) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         configuration.revision = revision;
         self.configuration = Some(configuration.clone());
         let change = Change::Configuration(configuration);
@@ -186,7 +190,7 @@
 
     /// Drains a zone.
     pub fn drain_zone(&mut self, now: Timestamp, zone: &str) {
-        let revision = self.advance();
+        let revision = self.advance_revision();
         self.drained_zones.insert(zone.to_owned(), revision);
         let drained = DrainedZone {
             zone: zone.to_owned(),
@@ -196,18 +200,18 @@
         self.history.push_back((now, revision, change));
     }
 
-    /// Takes a drained zone back.
-    pub fn restore_zone(&mut self, now: Timestamp, zone: &str) {
+    /// Undrains a zone.
+    pub fn undrain_zone(&mut self, now: Timestamp, zone: &str) {
         if self.drained_zones.remove(zone).is_some() {
-            let revision = self.advance();
+            let revision = self.advance_revision();
             let change = Change::Zone(ZoneEvent::Undrained(zone.to_owned()));
             self.history.push_back((now, revision, change));
         }
     }
 
-    /// Copies all objects, for [`Self::restore`].
-    pub fn take_copy(&mut self) {
-        self.copy = Some(Copy {
+    /// Backs up all objects for [`Self::restore`].
+    pub fn back_up(&mut self) {
+        self.backup = Some(Backup {
             revision: self.revision,
             instances: self.instances.clone(),
             configuration: self.configuration.clone(),
@@ -215,62 +219,61 @@
         });
     }
 
-    /// Comes back from the last copy, if there is one: what was written since is lost, and revisions are
-    /// given out again.
+    /// Restores the last backup, if there is one, in a new era. Later writes are lost, and their
+    /// revision numbers are assigned again.
     pub fn restore(&mut self) {
-        let Some(copy) = self.copy.clone() else {
+        let Some(backup) = self.backup.clone() else {
             return;
         };
         let era = self.era.next();
-        let restored = |revision: Revision| in_era(era, revision);
+        let in_new_era = |revision: Revision| in_era(era, revision);
         self.era = era;
-        self.revision = restored(copy.revision);
-        self.instances = copy.instances;
+        self.revision = in_new_era(backup.revision);
+        self.instances = backup.instances;
         for record in self.instances.values_mut() {
-            record.revision = restored(record.revision);
-            record.created = record.created.map(restored);
+            record.revision = in_new_era(record.revision);
+            record.created = record.created.map(in_new_era);
         }
-        self.configuration = copy.configuration;
+        self.configuration = backup.configuration;
         if let Some(configuration) = &mut self.configuration {
-            configuration.revision = restored(configuration.revision);
+            configuration.revision = in_new_era(configuration.revision);
         }
-        self.drained_zones = copy.drained_zones;
+        self.drained_zones = backup.drained_zones;
         for revision in self.drained_zones.values_mut() {
-            *revision = restored(*revision);
+            *revision = in_new_era(*revision);
         }
         self.compact();
     }
 
-    /// The era that answers tell, if they do.
+    /// Returns the era that answers carry, or `None` if they don't carry one.
     #[must_use]
-    pub fn told_era(&self) -> Option<StoreEra> {
-        self.tells_era.then_some(self.era)
+    pub fn reported_era(&self) -> Option<StoreEra> {
+        self.reports_era.then_some(self.era)
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub const fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// Names of the drained zones.
+    /// Returns the names of the drained zones.
     pub fn drained_zones(&self) -> impl Iterator<Item = &str> {
         self.drained_zones.keys().map(String::as_str)
     }
 
-    /// The instances that have records.
+    /// Returns the instances that have records.
     pub fn instances(&self) -> impl Iterator<Item = InstanceId> {
         self.instances.keys().copied()
     }
 
-    /// Forgets all history.
+    /// Discards the history.
     pub fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
         self.history.clear();
     }
 
-    /// The answer to a read, if there is one now. A watch without news has none until it is
-    /// `expired`.
+    /// Returns the answer to a read, or `None` while a watch has no changes and is not `expired`.
     #[must_use]
     pub fn answer(
         &self,
@@ -288,7 +291,7 @@
         match read {
             Read::List { after, .. } => Some(self.list(kind, after.as_deref())),
             Read::Watch { from, .. }
-                if from.number() < self.forgotten.number()
+                if from.number() < self.compacted_revision.number()
                     || from.number() > self.revision.number() =>
             {
                 Some(history_gone(kind))
@@ -300,14 +303,14 @@
                     Freshness::Newest => Duration::ZERO,
                     Freshness::MayBeStale => self.staleness,
                 };
-                // A call names a number alone.
+                // A call contains only the number of a revision, not its era.
                 let from = in_era(self.era, *from);
                 self.changes(now, kind, from, staleness, expired)
             }
         }
     }
 
-    fn advance(&mut self) -> Revision {
+    fn advance_revision(&mut self) -> Revision {
         let next = Revision::in_era(self.era, self.revision.number() + 1);
         self.revision = next.unwrap_or(self.revision);
         self.revision
@@ -335,13 +338,14 @@
             }
             ObjectKind::Instances => {
                 let after = after.and_then(|name| u64::from_str_radix(name, 16).ok());
-                let rest = self
+                let remaining = self
                     .instances
                     .values()
                     .filter(|record| after.is_none_or(|after| record.id.0 > after));
-                let mut items: Vec<InstanceRecord> = rest.take(self.page + 1).cloned().collect();
-                let more = items.len() > self.page;
-                items.truncate(self.page);
+                let mut items: Vec<InstanceRecord> =
+                    remaining.take(self.page_size + 1).cloned().collect();
+                let more = items.len() > self.page_size;
+                items.truncate(self.page_size);
                 let last = items.last().map(|record| record.id.to_string());
                 StoreAnswer::Instances(Answer::Page {
                     items,
@@ -360,16 +364,16 @@
         staleness: Duration,
         expired: bool,
     ) -> Option<StoreAnswer> {
-        let news = || {
+        let new_changes = || {
             self.history
                 .iter()
                 .filter(move |(at, revision, _)| *revision > from && now.since(*at) >= staleness)
         };
-        let at = news().map(|(_, revision, _)| *revision).max();
+        let at = new_changes().map(|(_, revision, _)| *revision).max();
         let at = at.unwrap_or(from);
         match kind {
             ObjectKind::Instances => {
-                let events: Vec<InstanceEvent> = news()
+                let events: Vec<InstanceEvent> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Instance(event) => Some(event.clone()),
                         Change::Configuration(_) | Change::Zone(_) => None,
@@ -379,7 +383,7 @@
                 due.then_some(StoreAnswer::Instances(Answer::Changes { events, at }))
             }
             ObjectKind::Configuration => {
-                let events: Vec<Configuration> = news()
+                let events: Vec<Configuration> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Configuration(configuration) => Some(configuration.clone()),
                         Change::Instance(_) | Change::Zone(_) => None,
@@ -389,7 +393,7 @@
                 due.then_some(StoreAnswer::Configurations(Answer::Changes { events, at }))
             }
             ObjectKind::Zones => {
-                let events: Vec<ZoneEvent> = news()
+                let events: Vec<ZoneEvent> = new_changes()
                     .filter_map(|(_, _, change)| match change {
                         Change::Zone(event) => Some(event.clone()),
                         Change::Configuration(_) | Change::Instance(_) => None,
@@ -402,7 +406,7 @@
     }
 }
 
-/// The revision with the same number in an era.
+/// Returns the revision with the same number in `era`.
 fn in_era(era: StoreEra, revision: Revision) -> Revision {
     Revision::in_era(era, revision.number()).unwrap_or(revision)
 }
@@ -413,7 +417,7 @@
     }
 }
 
-/// Changes each revision of an answer.
+/// Applies a change to each revision of an answer.
 fn with_revisions<Item, Event>(
     mut answer: Answer<Item, Event>,
     change: impl Fn(&mut Revision),
