--- a/crates/bellyoke-node/src/connection/http_client.rs
+++ b/crates/bellyoke-node/src/connection/http_client.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// No response was received in time.
-    #[error("no response in time")]
+    #[error("no answer in time")]
     TimedOut,
     /// The connection could not be opened.
     #[error("connect: {0}")]
--- a/crates/bellyoke-node/src/connection/peers.rs
+++ b/crates/bellyoke-node/src/connection/peers.rs
@@ -31,7 +31,7 @@
 /// Error of fetching or serving a snapshot.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("no response in time")]
+    #[error("no answer in time")]
     TimedOut(#[from] Elapsed),
     #[error("{0}")]
     Connection(#[from] std::io::Error),
