--- a/crates/bellyoke-lab/tests/datagrams.rs
+++ b/crates/bellyoke-lab/tests/datagrams.rs
@@ -7,7 +7,7 @@
 use common::{Faults, Network, TILL_V4, TILL_V6, backend, callers, target, to_first};
 use smoltcp::time::{Duration, Instant};
 
-fn both_versions() -> Vec<bellyoke_lab::caller::Target> {
+fn dual_stack_targets() -> Vec<bellyoke_lab::caller::Target> {
     vec![
         target("till", TILL_V4, Kind::Datagram),
         target("till", TILL_V6, Kind::Datagram),
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn flows_are_answered_in_spite_of_losses() {
+fn flows_are_answered_despite_lost_duplicated_and_late_packets() {
     let faults = Faults {
         lost: 100,
         duplicated: 100,
         late: 100,
     };
-    let settings = callers(both_versions(), 3, 9);
+    let settings = callers(dual_stack_targets(), 3, 9);
     let network = Network::new(settings, vec![backend("till-1", &["till"])], to_first());
     let mut network = network.with_faults(faults, 3);
     let counts = network.run().counts;
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn a_flow_that_moves_to_another_backend_is_broken() {
+fn a_flow_that_reaches_another_backend_is_reported_broken() {
     let settings = callers(vec![target("till", TILL_V4, Kind::Datagram)], 1, 1);
     let backends = vec![backend("till-1", &["till"]), backend("till-2", &["till"])];
     let mut packets = 0;
-    let move_at_fourth = Box::new(move |_| {
+    let move_at_fourth_packet = Box::new(move |_| {
         packets += 1;
         usize::from(packets > 3)
     });
-    let mut network = Network::new(settings, backends, move_at_fourth);
+    let mut network = Network::new(settings, backends, move_at_fourth_packet);
     let report = network.run();
     assert_eq!(report.broken[0].reason, "flow moved from till-1 to till-2");
 }
 
 #[test]
-fn a_service_that_is_not_allowed_gets_no_answer() {
+fn requests_for_a_disallowed_service_get_no_answer() {
     let mut settings = callers(vec![target("listings", TILL_V4, Kind::Datagram)], 1, 1);
     settings.patience = Duration::from_millis(400);
     let mut network = Network::new(settings, vec![backend("till-1", &["till"])], to_first());
@@ -53,7 +53,7 @@
 }
 
 /// Lets a host without sockets answer the first datagram of a flow.
-fn refuse(address: &str) -> (FlowKey, Vec<u8>, CallerHost) {
+fn unreachable_first_datagram(address: &str) -> (FlowKey, Vec<u8>, CallerHost) {
     let settings = callers(vec![target("till", address, Kind::Datagram)], 1, 1);
     let mut caller = CallerHost::new(settings);
     caller.poll(Instant::ZERO);
@@ -62,25 +62,25 @@
     let flow = PacketSummary::read(&request).expect("an IP packet").flow;
     let mut stack = NetworkStack::new(1);
     stack.receive(Instant::ZERO, &request);
-    let message = stack.next_packet().expect("an ICMP error");
-    (flow, message, caller)
+    let icmp_error = stack.next_packet().expect("an ICMP error");
+    (flow, icmp_error, caller)
 }
 
 #[test]
-fn an_icmp_error_before_any_answer_is_a_refusal() {
+fn an_icmp_error_before_any_answer_counts_as_refused() {
     for address in [TILL_V4, TILL_V6] {
-        let (flow, message, mut caller) = refuse(address);
-        assert_eq!(unreachable_flow(&message), Some(flow));
-        caller.receive(Instant::ZERO, &message);
+        let (flow, icmp_error, mut caller) = unreachable_first_datagram(address);
+        assert_eq!(unreachable_flow(&icmp_error), Some(flow));
+        caller.receive(Instant::ZERO, &icmp_error);
         caller.poll(Instant::ZERO);
         assert_eq!(caller.report().counts.refused, 1);
     }
 }
 
 #[test]
-fn other_packets_are_no_icmp_errors() {
-    let (_, message, _) = refuse(TILL_V4);
-    for length in 0..message.len() {
-        assert_eq!(unreachable_flow(&message[..length]), None);
+fn truncated_icmp_errors_are_not_recognized() {
+    let (_, icmp_error, _) = unreachable_first_datagram(TILL_V4);
+    for length in 0..icmp_error.len() {
+        assert_eq!(unreachable_flow(&icmp_error[..length]), None);
     }
 }
--- a/crates/bellyoke-lab/tests/experiment.rs
+++ b/crates/bellyoke-lab/tests/experiment.rs
@@ -7,7 +7,7 @@
 use tempfile::TempDir;
 
 /// Few flows, but each of the world's faults.
-const SMALL: &str = r#"
+const SMALL_EXPERIMENT: &str = r#"
 name = "small"
 duration_seconds = 50
 warm_up_seconds = 10
@@ -50,13 +50,13 @@
 ]
 "#;
 
-fn load(text: &str) -> Result<Experiment, String> {
+fn load_experiment(text: &str) -> Result<Experiment, String> {
     let directory = TempDir::new().expect("a directory");
     let path = directory.path().join("experiment.toml");
     std::fs::write(&path, text).expect("written");
     settings::load(&path).map_err(|error| {
-        let shown = directory.path().display().to_string();
-        error.to_string().replace(&shown, "DIRECTORY")
+        let directory_text = directory.path().display().to_string();
+        error.to_string().replace(&directory_text, "DIRECTORY")
     })
 }
 
@@ -73,7 +73,7 @@
 }
 
 fn report_bytes(seed: u64) -> Vec<u8> {
-    let experiment = load(SMALL).expect("a valid experiment");
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
     let directory = TempDir::new().expect("a directory");
     let output = directory.path().to_path_buf();
     run_experiment(&experiment, &command(seed, output)).expect("it runs");
@@ -81,28 +81,31 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_seed_others() {
+fn reports_are_identical_for_the_same_seed_and_differ_between_seeds() {
     let first = report_bytes(7);
     assert_eq!(first, report_bytes(7));
     assert_ne!(first, report_bytes(8));
 }
 
 #[test]
-fn times_to_force_are_told_apart() {
-    let experiment = load(SMALL).expect("a valid experiment");
+fn time_to_force_of_a_baseline_includes_its_store_delay() {
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
     let directory = TempDir::new().expect("a directory");
     let output = directory.path().to_path_buf();
     let mut command = command(7, output);
     command.strategies = vec![StrategyName::Maglev];
     let report = run_experiment(&experiment, &command).expect("it runs");
     // Baselines read the store up to two seconds late.
-    let force = report.runs[0].time_to_force_p99_ms;
-    assert!((100.0..=2_100.0).contains(&force), "{force} ms");
+    let time_to_force_ms = report.runs[0].time_to_force_p99_ms;
+    assert!(
+        (100.0..=2_100.0).contains(&time_to_force_ms),
+        "{time_to_force_ms} ms"
+    );
 }
 
 #[test]
-fn values_out_of_range_are_named_with_key_and_range() {
-    let text = SMALL
+fn out_of_range_values_are_reported_with_key_and_allowed_range() {
+    let text = SMALL_EXPERIMENT
         .replace("balancers = 3", "balancers = 0")
         .replace("buckets = 64", "buckets = 63")
         .replace(
@@ -110,7 +113,7 @@
             "control_bytes_per_second = 100",
         )
         .replace("service = \"feeds-0\"", "service = \"feeds\"");
-    insta::assert_snapshot!(load(&text).expect_err("out of range"), @r"
+    insta::assert_snapshot!(load_experiment(&text).expect_err("out of range"), @r"
     DIRECTORY/experiment.toml: 5 problem(s)
       cluster.balancers = 0: allowed is 1 to 2000
       cluster.control_bytes_per_second = 100: allowed is 2048 to 100000000
@@ -121,15 +124,15 @@
 }
 
 #[test]
-fn unknown_keys_are_named() {
-    let text = SMALL.replace("flow_capacity", "flow_capacities");
-    let error = load(&text).expect_err("an unknown key");
+fn unknown_keys_are_reported() {
+    let text = SMALL_EXPERIMENT.replace("flow_capacity", "flow_capacities");
+    let error = load_experiment(&text).expect_err("an unknown key");
     assert!(error.contains("flow_capacities"), "{error}");
 }
 
 #[test]
-fn a_service_that_stands_for_several_is_written_out() {
-    let experiment = load(SMALL).expect("a valid experiment");
+fn a_service_with_a_count_is_expanded_into_numbered_services() {
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
     let services = experiment.services.iter();
     let names: Vec<&str> = services.map(|service| service.name.as_str()).collect();
     assert_eq!(names, ["feeds-0", "feeds-1"]);
--- a/crates/bellyoke-lab/tests/fabric.rs
+++ b/crates/bellyoke-lab/tests/fabric.rs
@@ -41,7 +41,7 @@
     })
 }
 
-fn choices(router: &mut Router, packets: &[Vec<u8>], count: u16) -> Vec<Destination> {
+fn route_packets(router: &mut Router, packets: &[Vec<u8>], count: u16) -> Vec<Destination> {
     let balancers = balancers(count);
     packets
         .iter()
@@ -50,28 +50,34 @@
 }
 
 #[test]
-fn routes_go_by_the_inner_destination() {
+fn routes_match_the_inner_destination_address() {
     let routes = [
         "198.51.100.0/24=127.0.0.1:9",
         "2001:db8:9::/48=127.0.0.1:10",
     ];
     let mut router = router(&routes, SprayMode::Packet);
-    let to = |text: &str| Destination::Caller(text.parse().expect("an address"));
+    let caller_at = |text: &str| Destination::Caller(text.parse().expect("an address"));
     let v4 = opening_packets(TILL_V4, 1);
     let v6 = opening_packets(TILL_V6, 1);
-    assert_eq!(choices(&mut router, &v4, 3), [to("127.0.0.1:9")]);
-    assert_eq!(choices(&mut router, &v6, 3), [to("127.0.0.1:10")]);
+    assert_eq!(
+        route_packets(&mut router, &v4, 3),
+        [caller_at("127.0.0.1:9")]
+    );
+    assert_eq!(
+        route_packets(&mut router, &v6, 3),
+        [caller_at("127.0.0.1:10")]
+    );
 }
 
 #[test]
-fn packets_are_sprayed_over_all_balancers_and_the_seed_decides() {
+fn packet_mode_spreads_packets_over_all_balancers_by_seed() {
     let packets = vec![opening_packets(TILL_V4, 1).remove(0); 600];
     let mut first = router(&[], SprayMode::Packet);
-    let chosen = choices(&mut first, &packets, 3);
+    let destinations = route_packets(&mut first, &packets, 3);
     for balancer in balancers(3) {
-        let count = chosen
+        let count = destinations
             .iter()
-            .filter(|choice| **choice == Destination::Balancer(balancer))
+            .filter(|destination| **destination == Destination::Balancer(balancer))
             .count();
         assert!(
             (150..250).contains(&count),
@@ -79,20 +85,20 @@
         );
     }
     let mut second = router(&[], SprayMode::Packet);
-    assert_eq!(choices(&mut second, &packets, 3), chosen);
+    assert_eq!(route_packets(&mut second, &packets, 3), destinations);
 }
 
 #[test]
-fn packets_of_a_flow_stay_together_if_told_so() {
+fn flow_mode_sends_all_packets_of_a_flow_to_one_balancer() {
     let packets = opening_packets(TILL_V4, 50);
     let mut router = router(&[], SprayMode::Flow);
-    let first = choices(&mut router, &packets, 4);
-    assert_eq!(choices(&mut router, &packets, 4), first);
-    assert!(first.iter().any(|choice| *choice != first[0]));
+    let first = route_packets(&mut router, &packets, 4);
+    assert_eq!(route_packets(&mut router, &packets, 4), first);
+    assert!(first.iter().any(|destination| *destination != first[0]));
 }
 
 #[test]
-fn packets_without_a_way_are_told_apart() {
+fn unroutable_packets_are_classified() {
     let mut router = router(&[], SprayMode::Packet);
     let packet = opening_packets(TILL_V4, 1).remove(0);
     assert_eq!(router.route(&packet, &[]), Destination::NoBalancer);
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn leaving_balancers_are_left_out_of_the_list() {
+fn leaving_balancers_are_excluded_from_the_list() {
     let text = br#"{"kind": "BalancerList", "metadata": {"resourceVersion": "7"}, "items": [
         {"metadata": {"name": "c"}, "spec": {"dataAddress": "127.0.0.1:3", "zone": "cork"}},
         {"metadata": {"name": "b"}, "spec": {"dataAddress": "127.0.0.1:2", "leaving": true}},
@@ -117,7 +123,7 @@
 }
 
 #[test]
-fn prefixes_are_checked_and_count_addresses() {
+fn prefixes_are_validated_and_index_their_addresses() {
     let prefix: Prefix = "203.0.113.77/24".parse().expect("a prefix");
     assert_eq!(prefix.address(5).to_string(), "203.0.113.5");
     assert!(prefix.contains("203.0.113.255".parse().expect("an address")));
@@ -135,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_link_loses_packets_until_it_is_restored() {
+async fn a_cut_link_drops_packets_until_it_is_restored() {
     let balancer = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let address = balancer.local_addr().expect("an address");
     let arguments = [
@@ -151,7 +157,7 @@
     let forwarder = Forwarder::bind(&options, machines, Arc::clone(&links));
     let forwarder = forwarder.expect("a forwarder");
     let fabric = forwarder.local_address().expect("an address");
-    let running = tokio::spawn(forwarder.run());
+    let forwarder_task = tokio::spawn(forwarder.run());
 
     let packets = opening_packets(TILL_V4, 2);
     let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
@@ -165,11 +171,11 @@
     let mut received = vec![0; 2048];
     let (length, _) = balancer.recv_from(&mut received).await.expect("a packet");
     assert_eq!(received[..length], packets[1]);
-    running.abort();
+    forwarder_task.abort();
 }
 
 #[test]
-fn a_fabric_needs_one_source_of_balancers() {
+fn exactly_one_source_of_balancers_is_required() {
     let parse = |arguments: &[&str]| FabricOptions::parse(lexopt::Parser::from_args(arguments));
     let neither = parse(&["--listen", "127.0.0.1:1"]).expect_err("no balancers");
     assert!(
@@ -188,33 +194,33 @@
 }
 
 /// Answers one request with `body`, or closes the connection without an answer.
-async fn answer_once(listener: &TcpListener, body: Option<&str>) {
+async fn serve_one_request(listener: &TcpListener, body: Option<&str>) {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut request = [0; 1024];
     let length = stream.read(&mut request).await.expect("a request");
-    let line = String::from_utf8_lossy(&request[..length]);
-    assert!(line.starts_with("GET /apis/bellyoke.dev/v1/namespaces/default/balancers "));
+    let request_text = String::from_utf8_lossy(&request[..length]);
+    assert!(request_text.starts_with("GET /apis/bellyoke.dev/v1/namespaces/default/balancers "));
     if let Some(body) = body {
         let length = body.len();
-        let head =
+        let header =
             format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n");
-        stream.write_all(head.as_bytes()).await.expect("sent");
+        stream.write_all(header.as_bytes()).await.expect("sent");
         stream.write_all(body.as_bytes()).await.expect("sent");
     }
 }
 
-fn list_of(port: u16) -> String {
+fn balancer_list_json(port: u16) -> String {
     format!("{{\"items\": [{{\"spec\": {{\"dataAddress\": \"127.0.0.1:{port}\"}}}}]}}")
 }
 
-async fn wait_for(machines: &Mutex<MachineList>, balancers: &[SocketAddr]) {
+async fn wait_for_balancers(machines: &Mutex<MachineList>, balancers: &[SocketAddr]) {
     while machines.lock().expect("a lock").balancers() != balancers {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn the_last_list_stays_while_the_platform_is_down() {
+async fn the_last_valid_list_is_kept_while_the_platform_fails() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let settings = PollSettings {
@@ -223,14 +229,14 @@
         lag: Duration::from_millis(1),
     };
     let machines = Arc::new(Mutex::new(MachineList::default()));
-    let polling = tokio::spawn(poll_platform(settings, Arc::clone(&machines)));
-    answer_once(&listener, Some(&list_of(1))).await;
-    wait_for(&machines, &balancers(1)).await;
-    answer_once(&listener, None).await;
-    answer_once(&listener, Some("{\"items\": 3}")).await;
-    answer_once(&listener, None).await;
+    let poll_task = tokio::spawn(poll_platform(settings, Arc::clone(&machines)));
+    serve_one_request(&listener, Some(&balancer_list_json(1))).await;
+    wait_for_balancers(&machines, &balancers(1)).await;
+    serve_one_request(&listener, None).await;
+    serve_one_request(&listener, Some("{\"items\": 3}")).await;
+    serve_one_request(&listener, None).await;
     assert_eq!(machines.lock().expect("a lock").balancers(), balancers(1));
-    answer_once(&listener, Some(&list_of(2))).await;
-    wait_for(&machines, &balancers(2)[1..]).await;
-    polling.abort();
+    serve_one_request(&listener, Some(&balancer_list_json(2))).await;
+    wait_for_balancers(&machines, &balancers(2)[1..]).await;
+    poll_task.abort();
 }
--- a/crates/bellyoke-lab/tests/http.rs
+++ b/crates/bellyoke-lab/tests/http.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn feed_answer(id: &str, count: u64) -> Vec<u8> {
+fn feed_response(id: &str, count: u64) -> Vec<u8> {
     let mut bytes = response_head("till").chunked();
     for sequence in 0..count {
         bytes.extend(chunk(&feed_line(id, sequence)));
@@ -25,13 +25,13 @@
     bytes
 }
 
-fn read_whole(bytes: &[u8]) -> Response {
+fn read_response(bytes: &[u8]) -> Response {
     let response = ResponseReader::default().push(bytes);
     response.expect("a response").expect("a whole response")
 }
 
 #[test]
-fn a_request_is_read_as_it_was_written() {
+fn a_written_request_is_parsed_back() {
     let request = RequestText {
         method: "POST",
         target: "/upload?id=r%2D1&count=3&interval_ms=40",
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn a_head_that_is_not_whole_is_waited_for_up_to_a_limit() {
+fn an_incomplete_request_header_is_pending_up_to_a_size_limit() {
     assert_eq!(parse_request(b"GET /feed HTTP/1.1\r\nhost: ti"), Ok(None));
-    let endless = [b"GET /".as_slice(), &[b'x'; 9000]].concat();
-    assert_eq!(parse_request(&endless), Err(HttpError::HeadTooLong));
+    let oversized = [b"GET /".as_slice(), &[b'x'; 9000]].concat();
+    assert_eq!(parse_request(&oversized), Err(HttpError::HeadTooLong));
 }
 
 #[test]
-fn malformed_requests_are_errors() {
+fn malformed_requests_are_rejected() {
     let missing = parse_request(b"GET /feed HTTP/1.1\r\n\r\n");
     assert_eq!(missing, Err(HttpError::Header("host")));
     let length = parse_request(b"GET / HTTP/1.1\r\nhost: a\r\ncontent-length: x\r\n\r\n");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn malformed_responses_are_errors() {
+fn malformed_responses_are_rejected() {
     let no_length = ResponseReader::default().push(b"HTTP/1.1 200 OK\r\n\r\n");
     assert_eq!(no_length, Err(HttpError::Header("content-length")));
     let mut reader = ResponseReader::default();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_endless_body_is_an_error() {
+fn a_response_body_over_the_size_limit_is_rejected() {
     let mut reader = ResponseReader::default();
     let head = b"HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n";
     assert_eq!(reader.push(head), Ok(None));
@@ -105,59 +105,65 @@
     ));
 }
 
-fn judge(kind: Kind, bytes: &[u8]) -> Outcome {
+fn check_response(kind: Kind, bytes: &[u8]) -> Outcome {
     let expected = Expectation::new(kind, "r-1", "till", 3, b"");
-    check_answer(&expected, &read_whole(bytes))
+    check_answer(&expected, &read_response(bytes))
 }
 
 #[test]
-fn only_the_whole_own_answer_is_answered() {
+fn only_a_complete_response_to_the_request_counts_as_answered() {
     let payment = |service, id| response_head(service).with_body(&payment_line(id));
-    let crossed = |reason: &str| Outcome::Crossed(reason.to_owned());
+    let misrouted = |reason: &str| Outcome::Crossed(reason.to_owned());
     assert_eq!(
-        judge(Kind::Payment, &payment("till", "r-1")),
+        check_response(Kind::Payment, &payment("till", "r-1")),
         Outcome::Answered
     );
-    let other_service = crossed("answer of service Some(\"listings\")");
+    let from_other_service = misrouted("answer of service Some(\"listings\")");
     assert_eq!(
-        judge(Kind::Payment, &payment("listings", "r-1")),
-        other_service
+        check_response(Kind::Payment, &payment("listings", "r-1")),
+        from_other_service
     );
     assert!(matches!(
-        judge(Kind::Payment, &payment("till", "r-2")),
+        check_response(Kind::Payment, &payment("till", "r-2")),
         Outcome::Crossed(_)
     ));
-    assert_eq!(judge(Kind::Feed, &feed_answer("r-1", 3)), Outcome::Answered);
+    assert_eq!(
+        check_response(Kind::Feed, &feed_response("r-1", 3)),
+        Outcome::Answered
+    );
     assert!(matches!(
-        judge(Kind::Feed, &feed_answer("r-1", 2)),
+        check_response(Kind::Feed, &feed_response("r-1", 2)),
         Outcome::Broken(_)
     ));
     assert!(matches!(
-        judge(Kind::Feed, &feed_answer("r-2", 3)),
+        check_response(Kind::Feed, &feed_response("r-2", 3)),
         Outcome::Crossed(_)
     ));
 }
 
 #[test]
-fn a_refusal_must_say_that_nothing_ran() {
-    let refuse = |body: &str| {
+fn a_refusal_must_state_that_the_request_was_not_run() {
+    let refusal = |body: &str| {
         let length = body.len();
         format!(
             "HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\ncontent-length: {length}\r\n\r\n{body}"
         )
     };
     assert_eq!(
-        judge(Kind::Payment, refuse("not run\n").as_bytes()),
+        check_response(Kind::Payment, refusal("not run\n").as_bytes()),
         Outcome::Refused
     );
-    let unclear = judge(Kind::Payment, refuse("try later\n").as_bytes());
-    assert_eq!(unclear, Outcome::Broken("status 503: try later".to_owned()));
+    let unspecified_refusal = check_response(Kind::Payment, refusal("try later\n").as_bytes());
+    assert_eq!(
+        unspecified_refusal,
+        Outcome::Broken("status 503: try later".to_owned())
+    );
     let head = ResponseHead {
         status: 503,
         ..response_head("till")
     };
     assert_eq!(
-        judge(Kind::Payment, &head.with_body("not run\n")),
+        check_response(Kind::Payment, &head.with_body("not run\n")),
         Outcome::Shed
     );
 }
@@ -170,15 +176,15 @@
     })]
 
     #[test]
-    fn a_response_reads_the_same_however_it_is_split(cuts in prop::collection::vec(1_usize..60, 0..40)) {
-        let bytes = feed_answer("r-1", 5);
+    fn a_response_is_parsed_the_same_however_it_is_split(part_lengths in prop::collection::vec(1_usize..60, 0..40)) {
+        let bytes = feed_response("r-1", 5);
         let mut reader = ResponseReader::default();
         let mut rest = bytes.as_slice();
-        for cut in cuts {
-            let (part, left) = rest.split_at(cut.min(rest.len().saturating_sub(1)));
+        for part_length in part_lengths {
+            let (part, remaining) = rest.split_at(part_length.min(rest.len().saturating_sub(1)));
             prop_assert_eq!(reader.push(part), Ok(None));
-            rest = left;
+            rest = remaining;
         }
-        prop_assert_eq!(reader.push(rest), Ok(Some(read_whole(&bytes))));
+        prop_assert_eq!(reader.push(rest), Ok(Some(read_response(&bytes))));
     }
 }
--- a/crates/bellyoke-lab/tests/platform_client.rs
+++ b/crates/bellyoke-lab/tests/platform_client.rs
@@ -15,7 +15,7 @@
 
 const NAMESPACE: &str = "default";
 
-async fn server() -> Server {
+async fn start_server() -> Server {
     let limits = StoreLimits::default();
     let platform = Platform::new(limits, 1, Duration::from_millis(10));
     let address = "127.0.0.1:0".parse().unwrap();
@@ -49,7 +49,7 @@
     }
 }
 
-fn accepted(outcome: PublishOutcome) -> StoredGeneration {
+fn expect_accepted(outcome: PublishOutcome) -> StoredGeneration {
     match outcome {
         PublishOutcome::Accepted(stored) => stored,
         other => panic!("not accepted: {other:?}"),
@@ -103,43 +103,45 @@
     }
 }
 
-fn faults(server: &Server, change: FaultChange) {
+fn change_faults(server: &Server, change: FaultChange) {
     server.platform.change_faults(&change);
 }
 
 #[tokio::test]
-async fn of_two_publishers_one_gets_a_conflict_that_names_the_other() {
-    let server = server().await;
+async fn one_of_two_concurrent_publishers_gets_a_conflict_with_the_accepted_generation() {
+    let server = start_server().await;
     let first = client(&server, "first");
     let second = client(&server, "second");
-    let base = accepted(first.publish(request(None, 1, "base")).await.unwrap());
+    let base = expect_accepted(first.publish(request(None, 1, "base")).await.unwrap());
     let (one, other) = tokio::join!(
         first.publish(request(Some(&base), 2, "one")),
         second.publish(request(Some(&base), 2, "other")),
     );
-    let (winner, loser) = match (one.unwrap(), other.unwrap()) {
-        (PublishOutcome::Accepted(winner), PublishOutcome::Conflict(loser))
-        | (PublishOutcome::Conflict(loser), PublishOutcome::Accepted(winner)) => (winner, loser),
+    let (winner, conflicting) = match (one.unwrap(), other.unwrap()) {
+        (PublishOutcome::Accepted(winner), PublishOutcome::Conflict(conflicting))
+        | (PublishOutcome::Conflict(conflicting), PublishOutcome::Accepted(winner)) => {
+            (winner, conflicting)
+        }
         outcomes => panic!("one must win: {outcomes:?}"),
     };
-    assert_eq!(winner, loser);
+    assert_eq!(winner, conflicting);
     assert_eq!(first.current_generation().await.unwrap(), Some(winner));
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_as_accepted_once() {
-    for how in [LostAnswer::Broken, LostAnswer::GatewayTimeout] {
-        let server = server().await;
+async fn a_publication_whose_answer_is_lost_is_accepted_exactly_once() {
+    for lost_answer in [LostAnswer::Broken, LostAnswer::GatewayTimeout] {
+        let server = start_server().await;
         let store = client(&server, "publisher");
-        faults(
+        change_faults(
             &server,
             FaultChange {
                 lose_answer_after_effect: Some(1),
-                lost_answer: Some(how),
+                lost_answer: Some(lost_answer),
                 ..FaultChange::default()
             },
         );
-        let stored = accepted(store.publish(request(None, 1, "only")).await.unwrap());
+        let stored = expect_accepted(store.publish(request(None, 1, "only")).await.unwrap());
         assert_eq!(stored.number, GenerationNumber(1));
         assert_eq!(stored.content, b"only");
         let contents = server.platform.contents();
@@ -151,18 +153,18 @@
 }
 
 #[tokio::test]
-async fn a_write_that_took_no_effect_is_sent_again_after_reading_back() {
-    let server = server().await;
+async fn a_write_without_effect_is_retried_after_a_read() {
+    let server = start_server().await;
     let store = client(&server, "publisher");
-    let base = accepted(store.publish(request(None, 1, "base")).await.unwrap());
-    faults(
+    let base = expect_accepted(store.publish(request(None, 1, "base")).await.unwrap());
+    change_faults(
         &server,
         FaultChange {
             conflict_next: Some(1),
             ..FaultChange::default()
         },
     );
-    let stored = accepted(
+    let stored = expect_accepted(
         store
             .publish(request(Some(&base), 2, "next"))
             .await
@@ -180,14 +182,14 @@
 }
 
 #[tokio::test]
-async fn a_publication_while_the_store_is_down_is_unknown_and_not_an_error() {
-    let server = server().await;
+async fn a_publication_while_the_store_is_down_has_an_unknown_outcome() {
+    let server = start_server().await;
     let store = KubeStore::connect(&KubeStoreOptions {
         write_retries: 2,
         ..options(&server, "publisher")
     })
     .unwrap();
-    faults(
+    change_faults(
         &server,
         FaultChange {
             down: Some(true),
@@ -203,15 +205,15 @@
 }
 
 #[tokio::test]
-async fn no_change_is_lost_when_watches_are_cut() {
-    let server = server().await;
+async fn no_change_is_lost_when_watches_are_disconnected() {
+    let server = start_server().await;
     let store = client(&server, "reader");
     let mut objects = store.watch_objects();
     wait_for_backends(&mut objects, &[]).await;
     let mut names = Vec::new();
     for index in 0..10 {
         let name = format!("backend-{index}");
-        faults(
+        change_faults(
             &server,
             FaultChange {
                 cut_watches: true,
@@ -227,12 +229,12 @@
 
 #[tokio::test]
 async fn a_stale_list_is_ignored() {
-    let server = server().await;
+    let server = start_server().await;
     let store = client(&server, "reader");
     let mut objects = store.watch_objects();
     create_backend(&store, "old").await;
     let state = wait_for_backends(&mut objects, &["old"]).await;
-    faults(
+    change_faults(
         &server,
         FaultChange {
             stale_list: Some(true),
@@ -240,7 +242,7 @@
             ..FaultChange::default()
         },
     );
-    let before = lists(&server, "reader");
+    let lists_before = list_count(&server, "reader");
     create_backend(&store, "new").await;
     create_backend(&store, "newer").await;
     let seen = wait_for_backends(&mut objects, &["new", "newer", "old"]).await;
@@ -253,26 +255,30 @@
     let other = client(&server, "other");
     let mut others = other.watch_objects();
     wait_for_backends(&mut others, &["new", "newer"]).await;
-    assert_eq!(lists(&server, "reader"), before, "no list without need");
+    assert_eq!(
+        list_count(&server, "reader"),
+        lists_before,
+        "no list without need"
+    );
 }
 
 #[tokio::test]
-async fn an_expired_watch_is_made_up_for_by_a_list_that_is_not_stale() {
-    let server = server().await;
+async fn stale_lists_after_an_expired_watch_are_ignored() {
+    let server = start_server().await;
     let store = client(&server, "reader");
     let mut objects = store.watch_objects();
     create_backend(&store, "kept").await;
     create_backend(&store, "deleted").await;
     wait_for_backends(&mut objects, &["deleted", "kept"]).await;
-    faults(
+    change_faults(
         &server,
         FaultChange {
             down: Some(true),
             ..FaultChange::default()
         },
     );
-    delete_behind_the_scenes(&server, "deleted");
-    faults(
+    delete_in_store(&server, "deleted");
+    change_faults(
         &server,
         FaultChange {
             stale_list: Some(true),
@@ -280,8 +286,8 @@
             ..FaultChange::default()
         },
     );
-    let before = lists(&server, "reader");
-    faults(
+    let lists_before = list_count(&server, "reader");
+    change_faults(
         &server,
         FaultChange {
             down: Some(false),
@@ -290,12 +296,12 @@
         },
     );
     // The list from the past is asked for and ignored, again and again.
-    wait_until(|| lists(&server, "reader") > before + 2).await;
+    wait_until(|| list_count(&server, "reader") > lists_before + 2).await;
     assert_eq!(
         backend_names(&objects.latest().unwrap()),
         ["deleted", "kept"]
     );
-    faults(
+    change_faults(
         &server,
         FaultChange {
             stale_list: Some(false),
@@ -306,7 +312,7 @@
 }
 
 #[tokio::test]
-async fn a_refresh_learns_the_version_of_the_store_without_a_change() {
+async fn a_refresh_updates_the_revision_without_a_change_of_objects() {
     let platform = Platform::new(StoreLimits::default(), 1, Duration::from_secs(3600));
     let address = "127.0.0.1:0".parse().unwrap();
     let server = Server::start(address, Arc::new(platform)).await.unwrap();
@@ -326,13 +332,13 @@
 }
 
 #[tokio::test]
-async fn the_last_state_stays_while_the_store_is_down() {
-    let server = server().await;
+async fn the_last_state_is_kept_while_the_store_is_down() {
+    let server = start_server().await;
     let store = client(&server, "reader");
     let mut objects = store.watch_objects();
     create_backend(&store, "first").await;
     wait_for_backends(&mut objects, &["first"]).await;
-    faults(
+    change_faults(
         &server,
         FaultChange {
             down: Some(true),
@@ -341,7 +347,7 @@
     );
     assert!(store.list::<Backend>().await.is_err());
     assert_eq!(backend_names(&objects.latest().unwrap()), ["first"]);
-    faults(
+    change_faults(
         &server,
         FaultChange {
             down: Some(false),
@@ -353,14 +359,14 @@
 }
 
 #[tokio::test]
-async fn a_wrong_object_is_named_and_hides_no_other() {
-    let server = server().await;
+async fn an_invalid_object_is_reported_and_other_objects_are_read() {
+    let server = start_server().await;
     let store = client(&server, "reader");
     let mut objects = store.watch_objects();
-    let named = service("named", "balancer.example");
-    store.write(&named, &operation("1")).await.unwrap();
-    let good = service("good", "198.51.100.1");
-    store.write(&good, &operation("2")).await.unwrap();
+    let with_host_name = service("named", "balancer.example");
+    store.write(&with_host_name, &operation("1")).await.unwrap();
+    let with_address = service("good", "198.51.100.1");
+    store.write(&with_address, &operation("2")).await.unwrap();
     let state = loop {
         let state = objects.next().await.unwrap();
         if state.services.len() + state.invalid.len() == 2 {
@@ -376,8 +382,8 @@
 }
 
 #[tokio::test]
-async fn watched_generations_only_grow() {
-    let server = server().await;
+async fn watched_generation_numbers_only_increase() {
+    let server = start_server().await;
     let store = client(&server, "publisher");
     let mut generations = store.watch_generation();
     let mut previous = None;
@@ -386,8 +392,8 @@
         let published = store
             .publish(request(previous.as_ref(), number, &name))
             .await;
-        previous = Some(accepted(published.unwrap()));
-        faults(
+        previous = Some(expect_accepted(published.unwrap()));
+        change_faults(
             &server,
             FaultChange {
                 cut_watches: true,
@@ -404,8 +410,8 @@
 }
 
 #[tokio::test]
-async fn the_second_of_two_operators_gets_a_conflict() {
-    let server = server().await;
+async fn a_write_or_delete_based_on_an_outdated_object_gets_a_conflict() {
+    let server = start_server().await;
     let first = client(&server, "first");
     let second = client(&server, "second");
     let stored = create_backend(&first, "shared").await;
@@ -427,8 +433,8 @@
 }
 
 #[tokio::test]
-async fn a_balancer_registers_changes_and_withdraws_its_entry() {
-    let server = server().await;
+async fn a_balancer_registers_updates_and_withdraws_its_record() {
+    let server = start_server().await;
     let store = client(&server, "balancer");
     let mut record = BalancerRecord {
         node: NodeId(u64::MAX),
@@ -439,7 +445,7 @@
     };
     store.register(record.clone()).await.unwrap();
     record.leaving = true;
-    faults(
+    change_faults(
         &server,
         FaultChange {
             lose_answer_after_effect: Some(1),
@@ -460,13 +466,13 @@
     }
 }
 
-fn lists(server: &Server, user_agent: &str) -> u64 {
+fn list_count(server: &Server, user_agent: &str) -> u64 {
     let contents = server.platform.contents();
     let client = contents.audit.clients.get(user_agent);
     client.map_or(0, |counts| counts.lists)
 }
 
-fn delete_behind_the_scenes(server: &Server, name: &str) {
+fn delete_in_store(server: &Server, name: &str) {
     use bellyoke_lab::platform::{Collection, ObjectKey, Preconditions};
     let key = ObjectKey {
         collection: Collection {
--- a/crates/bellyoke-lab/tests/platform_store.rs
+++ b/crates/bellyoke-lab/tests/platform_store.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-const TIME: &str = "2026-01-01T00:00:00Z";
+const CREATION_TIMESTAMP: &str = "2026-01-01T00:00:00Z";
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 fn collection() -> Collection {
@@ -78,12 +78,12 @@
 /// All versions that each object had, as its clients read them.
 type Reads = BTreeMap<&'static str, Vec<Value>>;
 
-fn perform(store: &mut ObjectStore, reads: &Reads, write: &Write) -> Result<Value, Refusal> {
+fn apply_write(store: &mut ObjectStore, reads: &Reads, write: &Write) -> Result<Value, Refusal> {
     match *write {
         Write::Create { name, weight } => store.create(
             &key(NAMES[name]),
             json!({ "spec": { "weight": weight } }),
-            TIME,
+            CREATION_TIMESTAMP,
         ),
         Write::Replace {
             name,
@@ -113,13 +113,13 @@
 
 proptest! {
     #[test]
-    fn versions_only_grow_and_stale_writes_conflict(writes in prop::collection::vec(write(), 1..60)) {
+    fn versions_increase_with_each_change_and_failed_writes_have_no_effect(writes in prop::collection::vec(write(), 1..60)) {
         let mut store = store();
         let mut reads = Reads::new();
         for write in &writes {
             let before = store.version();
             let current = store.get(&key(name_of(write))).cloned().ok();
-            let result = perform(&mut store, &reads, write);
+            let result = apply_write(&mut store, &reads, write);
             prop_assert!(store.version() >= before);
             match (write, &result) {
                 (Write::Replace { .. }, Ok(object)) => {
@@ -141,37 +141,37 @@
     }
 
     #[test]
-    fn changes_lead_from_any_past_list_to_the_present(
+    fn changes_after_a_past_list_lead_to_the_current_list(
         writes in prop::collection::vec(write(), 1..60),
         age in 0..80_u64,
     ) {
         let mut store = store();
         let mut reads = Reads::new();
         for write in &writes {
-            if let Ok(object) = perform(&mut store, &reads, write) {
+            if let Ok(object) = apply_write(&mut store, &reads, write) {
                 reads.entry(name_of(write)).or_default().push(object);
             }
         }
         let past = store.list_past(&scope(), age);
-        let mut objects: BTreeMap<String, Value> = past.items.into_iter().map(named).collect();
-        let mut last = past.version;
+        let mut objects: BTreeMap<String, Value> = past.items.into_iter().map(name_and_object).collect();
+        let mut last_version = past.version;
         for change in store.changes_after(&scope(), past.version).unwrap() {
-            prop_assert_eq!(change.version, last + 1);
-            last = change.version;
+            prop_assert_eq!(change.version, last_version + 1);
+            last_version = change.version;
             match &change.after {
                 Some(object) => objects.insert(change.key.name.clone(), object.clone()),
                 None => objects.remove(&change.key.name),
             };
         }
-        let present: BTreeMap<String, Value> = store.list(&scope()).items.into_iter().map(named).collect();
-        prop_assert_eq!(last, store.version());
-        prop_assert_eq!(objects, present);
+        let current: BTreeMap<String, Value> = store.list(&scope()).items.into_iter().map(name_and_object).collect();
+        prop_assert_eq!(last_version, store.version());
+        prop_assert_eq!(objects, current);
     }
 
     #[test]
-    fn of_writes_on_one_version_one_takes_effect(weights in prop::collection::hash_set(1..1000_u32, 2..10)) {
+    fn one_of_several_writes_based_on_the_same_version_takes_effect(weights in prop::collection::hash_set(1..1000_u32, 2..10)) {
         let mut store = store();
-        let base = store.create(&key("a"), json!({ "spec": { "weight": 0 } }), TIME).unwrap();
+        let base = store.create(&key("a"), json!({ "spec": { "weight": 0 } }), CREATION_TIMESTAMP).unwrap();
         let results: Vec<_> = weights
             .iter()
             .map(|weight| {
@@ -187,7 +187,7 @@
     }
 }
 
-fn named(object: Value) -> (String, Value) {
+fn name_and_object(object: Value) -> (String, Value) {
     (
         object["metadata"]["name"].as_str().unwrap().to_owned(),
         object,
@@ -195,14 +195,16 @@
 }
 
 #[test]
-fn history_is_bounded_and_older_watches_expire() {
+fn history_is_bounded_and_watches_from_older_versions_expire() {
     let limits = StoreLimits {
         history: 2,
         ..StoreLimits::default()
     };
     let mut store = ObjectStore::new(limits, 7);
     for name in NAMES {
-        store.create(&key(name), json!({}), TIME).unwrap();
+        store
+            .create(&key(name), json!({}), CREATION_TIMESTAMP)
+            .unwrap();
     }
     let expired = store.changes_after(&scope(), 1).err();
     assert_eq!(
@@ -230,17 +232,23 @@
         ..StoreLimits::default()
     };
     let mut store = ObjectStore::new(limits, 7);
-    store.create(&key("a"), json!({}), TIME).unwrap();
-    let refused = store.create(&key("b"), json!({}), TIME);
+    store
+        .create(&key("a"), json!({}), CREATION_TIMESTAMP)
+        .unwrap();
+    let refused = store.create(&key("b"), json!({}), CREATION_TIMESTAMP);
     assert_eq!(refused, Err(Refusal::Full { limit: 1 }));
 }
 
 #[test]
-fn a_name_that_is_used_again_gets_another_uid() {
+fn a_recreated_object_gets_a_different_uid() {
     let mut store = store();
-    let first = store.create(&key("a"), json!({}), TIME).unwrap();
+    let first = store
+        .create(&key("a"), json!({}), CREATION_TIMESTAMP)
+        .unwrap();
     store.delete(&key("a"), &Preconditions::default()).unwrap();
-    let second = store.create(&key("a"), json!({}), TIME).unwrap();
+    let second = store
+        .create(&key("a"), json!({}), CREATION_TIMESTAMP)
+        .unwrap();
     assert_ne!(first["metadata"]["uid"], second["metadata"]["uid"]);
     let preconditions = Preconditions {
         uid: first["metadata"]["uid"].as_str().map(str::to_owned),
@@ -251,10 +259,14 @@
 }
 
 #[test]
-fn the_generation_counts_changes_of_the_specification() {
+fn the_generation_increases_only_when_the_spec_changes() {
     let mut store = store();
     let created = store
-        .create(&key("a"), json!({ "spec": { "weight": 1 } }), TIME)
+        .create(
+            &key("a"),
+            json!({ "spec": { "weight": 1 } }),
+            CREATION_TIMESTAMP,
+        )
         .unwrap();
     let mut labelled = created.clone();
     labelled["metadata"]["labels"] = json!({ "app": "shop" });
--- a/crates/bellyoke-lab/tests/verdict.rs
+++ b/crates/bellyoke-lab/tests/verdict.rs
@@ -13,36 +13,36 @@
     report
 }
 
-fn backend(name: &str, runs: &[&str]) -> BackendReport {
+fn backend(name: &str, run_ids: &[&str]) -> BackendReport {
     let mut report = BackendReport {
         name: name.to_owned(),
         ..BackendReport::default()
     };
-    for id in runs {
+    for id in run_ids {
         report.record_run(id);
     }
     report
 }
 
-fn text(verdict: &Verdict) -> String {
+fn verdict_text(verdict: &Verdict) -> String {
     let mut lines = verdict.findings_text(2);
     lines.push(verdict.to_string());
     lines.join("\n")
 }
 
 #[test]
-fn answers_and_true_refusals_pass() {
+fn answers_and_correct_refusals_pass() {
     let callers = [
         caller(&[("a", Outcome::Answered), ("b", Outcome::Refused)]),
         caller(&[("c", Outcome::Shed)]),
     ];
     let verdict = Verdict::new(&callers, &[backend("till-1", &["a"])]);
     assert!(verdict.is_passed());
-    insta::assert_snapshot!(text(&verdict), @"demo: sent=3 answered=1 refused=2 broken=0 crossed=0 wrong_service=0 doubled=0");
+    insta::assert_snapshot!(verdict_text(&verdict), @"demo: sent=3 answered=1 refused=2 broken=0 crossed=0 wrong_service=0 doubled=0");
 }
 
 #[test]
-fn every_kind_of_failure_is_found_and_bounded() {
+fn all_kinds_of_failures_are_listed_up_to_a_limit() {
     let broken = || Outcome::Broken("connection reset".to_owned());
     let callers = [caller(&[
         ("a", broken()),
@@ -62,7 +62,7 @@
     let second = backend("till-2", &["f", "g"]);
     let verdict = Verdict::new(&callers, &[first, second]);
     assert!(!verdict.is_passed());
-    insta::assert_snapshot!(text(&verdict), @r#"
+    insta::assert_snapshot!(verdict_text(&verdict), @r#"
     broken: a from 203.0.113.1:1024: connection reset
     broken: b from 203.0.113.1:1024: connection reset
     crossed: d from 203.0.113.1:1024: answer to another request
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn each_failure_alone_fails() {
+fn each_kind_of_failure_alone_fails_the_verdict() {
     let answered = caller(&[("a", Outcome::Answered)]);
     let ran_once = backend("till-1", &["a"]);
     let idle = backend("till-1", &[]);
@@ -96,9 +96,9 @@
         &idle
     ));
     assert!(!passes(&answered, &backend("till-1", &["a", "a"])));
-    let mut wrong = idle.clone();
-    wrong.wrong_service = 1;
-    assert!(!passes(&answered, &wrong));
+    let mut with_wrong_service = idle.clone();
+    with_wrong_service.wrong_service = 1;
+    assert!(!passes(&answered, &with_wrong_service));
     let mut unfinished = answered;
     unfinished.record_sent();
     assert!(!passes(&unfinished, &ran_once));
