--- a/crates/bellyoke-lab/tests/datagrams.rs
+++ b/crates/bellyoke-lab/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! UDP flows of callers against backends in virtual time.
+//! UDP flows between callers and backends over a simulated network in virtual time.
 
 mod common;
 
@@ -52,17 +52,22 @@
     assert_eq!(network.reports()[0].wrong_service, 1);
 }
 
-/// Lets a host without sockets answer the first datagram of a flow.
+/// Sends the first datagram of a flow to a host without sockets. Returns the flow, the ICMP error
+/// that the host answers with, and the caller.
 fn unreachable_first_datagram(address: &str) -> (FlowKey, Vec<u8>, CallerHost) {
     let settings = callers(vec![target("till", address, Kind::Datagram)], 1, 1);
     let mut caller = CallerHost::new(settings);
     caller.poll(Instant::ZERO);
     caller.poll(Instant::ZERO);
-    let request = caller.next_packet().expect("a datagram");
-    let flow = PacketSummary::read(&request).expect("an IP packet").flow;
+    let request = caller.next_packet().expect("caller should send a datagram");
+    let flow = PacketSummary::read(&request)
+        .expect("datagram should be a valid IP packet")
+        .flow;
     let mut stack = NetworkStack::new(1);
     stack.receive(Instant::ZERO, &request);
-    let icmp_error = stack.next_packet().expect("an ICMP error");
+    let icmp_error = stack
+        .next_packet()
+        .expect("host should answer with an ICMP error");
     (flow, icmp_error, caller)
 }
 
--- a/crates/bellyoke-lab/tests/experiment.rs
+++ b/crates/bellyoke-lab/tests/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments give the same report for the same seed, and name what is wrong in a file.
+//! Experiments: reports are reproducible for a seed, and errors in a settings file name the
+//! invalid keys.
 
 use bellyoke_lab::experiment::settings::{self, Experiment};
 use bellyoke_lab::experiment::strategy::StrategyName;
@@ -6,7 +7,7 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// Few flows, but each of the world's faults.
+/// Experiment with few flows that includes every kind of simulated fault.
 const SMALL_EXPERIMENT: &str = r#"
 name = "small"
 duration_seconds = 50
@@ -51,9 +52,9 @@
 "#;
 
 fn load_experiment(text: &str) -> Result<Experiment, String> {
-    let directory = TempDir::new().expect("a directory");
+    let directory = TempDir::new().expect("temporary directory should be created");
     let path = directory.path().join("experiment.toml");
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("experiment file should be written");
     settings::load(&path).map_err(|error| {
         let directory_text = directory.path().display().to_string();
         error.to_string().replace(&directory_text, "DIRECTORY")
@@ -73,11 +74,11 @@
 }
 
 fn report_bytes(seed: u64) -> Vec<u8> {
-    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
-    let directory = TempDir::new().expect("a directory");
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("experiment should be valid");
+    let directory = TempDir::new().expect("temporary directory should be created");
     let output = directory.path().to_path_buf();
-    run_experiment(&experiment, &command(seed, output)).expect("it runs");
-    std::fs::read(directory.path().join("report.json")).expect("a report")
+    run_experiment(&experiment, &command(seed, output)).expect("experiment should run");
+    std::fs::read(directory.path().join("report.json")).expect("report should be written")
 }
 
 #[test]
@@ -89,17 +90,17 @@
 
 #[test]
 fn time_to_force_of_a_baseline_includes_its_store_delay() {
-    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
-    let directory = TempDir::new().expect("a directory");
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("experiment should be valid");
+    let directory = TempDir::new().expect("temporary directory should be created");
     let output = directory.path().to_path_buf();
     let mut command = command(7, output);
     command.strategies = vec![StrategyName::Maglev];
-    let report = run_experiment(&experiment, &command).expect("it runs");
-    // Baselines read the store up to two seconds late.
+    let report = run_experiment(&experiment, &command).expect("experiment should run");
+    // Baseline strategies read updates from the store with a delay of up to two seconds.
     let time_to_force_ms = report.runs[0].time_to_force_p99_ms;
     assert!(
         (100.0..=2_100.0).contains(&time_to_force_ms),
-        "{time_to_force_ms} ms"
+        "time to force is {time_to_force_ms} ms"
     );
 }
 
@@ -113,7 +114,7 @@
             "control_bytes_per_second = 100",
         )
         .replace("service = \"feeds-0\"", "service = \"feeds\"");
-    insta::assert_snapshot!(load_experiment(&text).expect_err("out of range"), @r"
+    insta::assert_snapshot!(load_experiment(&text).expect_err("values are out of range"), @r"
     DIRECTORY/experiment.toml: 5 problem(s)
       cluster.balancers = 0: allowed is 1 to 2000
       cluster.control_bytes_per_second = 100: allowed is 2048 to 100000000
@@ -126,13 +127,13 @@
 #[test]
 fn unknown_keys_are_reported() {
     let text = SMALL_EXPERIMENT.replace("flow_capacity", "flow_capacities");
-    let error = load_experiment(&text).expect_err("an unknown key");
+    let error = load_experiment(&text).expect_err("key is unknown");
     assert!(error.contains("flow_capacities"), "{error}");
 }
 
 #[test]
 fn a_service_with_a_count_is_expanded_into_numbered_services() {
-    let experiment = load_experiment(SMALL_EXPERIMENT).expect("a valid experiment");
+    let experiment = load_experiment(SMALL_EXPERIMENT).expect("experiment should be valid");
     let services = experiment.services.iter();
     let names: Vec<&str> = services.map(|service| service.name.as_str()).collect();
     assert_eq!(names, ["feeds-0", "feeds-1"]);
--- a/crates/bellyoke-lab/tests/fabric.rs
+++ b/crates/bellyoke-lab/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: where packets go, and the list of balancers.
+//! Fabric: the routing of packets and the list of balancers read from the platform.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// The first packets of `count` flows.
+/// Returns the first packets of `count` flows to `address`.
 fn opening_packets(address: &str, count: usize) -> Vec<Vec<u8>> {
     let targets = vec![target("till", address, bellyoke_lab::caller::Kind::Payment)];
     let mut caller = CallerHost::new(callers(targets, count, count as u64));
@@ -33,7 +33,9 @@
 }
 
 fn router(routes: &[&str], spray: SprayMode) -> Router {
-    let routes = routes.iter().map(|route| route.parse().expect("a route"));
+    let routes = routes
+        .iter()
+        .map(|route| route.parse().expect("route should be valid"));
     Router::new(RouterSettings {
         routes: routes.collect(),
         spray,
@@ -56,7 +58,8 @@
         "2001:db8:9::/48=127.0.0.1:10",
     ];
     let mut router = router(&routes, SprayMode::Packet);
-    let caller_at = |text: &str| Destination::Caller(text.parse().expect("an address"));
+    let caller_at =
+        |text: &str| Destination::Caller(text.parse().expect("address should be valid"));
     let v4 = opening_packets(TILL_V4, 1);
     let v6 = opening_packets(TILL_V6, 1);
     assert_eq!(
@@ -81,7 +84,7 @@
             .count();
         assert!(
             (150..250).contains(&count),
-            "{balancer} took {count} of 600"
+            "{balancer} received {count} of 600 packets"
         );
     }
     let mut second = router(&[], SprayMode::Packet);
@@ -116,7 +119,7 @@
         {"metadata": {"name": "b"}, "spec": {"dataAddress": "127.0.0.1:2", "leaving": true}},
         {"metadata": {"name": "a"}, "spec": {"dataAddress": "127.0.0.1:1", "leaving": false}}
     ]}"#;
-    let list = MachineList::from_json(text).expect("a list");
+    let list = MachineList::from_json(text).expect("balancer list should be valid");
     let expected = [balancers(1)[0], balancers(3)[2]];
     assert_eq!(list.balancers(), expected);
     assert!(MachineList::from_json(b"{\"items\": [{}]}").is_err());
@@ -124,10 +127,10 @@
 
 #[test]
 fn prefixes_are_validated_and_index_their_addresses() {
-    let prefix: Prefix = "203.0.113.77/24".parse().expect("a prefix");
+    let prefix: Prefix = "203.0.113.77/24".parse().expect("prefix should be valid");
     assert_eq!(prefix.address(5).to_string(), "203.0.113.5");
-    assert!(prefix.contains("203.0.113.255".parse().expect("an address")));
-    assert!(!prefix.contains("2001:db8::1".parse().expect("an address")));
+    assert!(prefix.contains("203.0.113.255".parse().expect("address should be valid")));
+    assert!(!prefix.contains("2001:db8::1".parse().expect("address should be valid")));
     for text in [
         "203.0.113.0",
         "203.0.113.0/33",
@@ -142,8 +145,12 @@
 
 #[tokio::test]
 async fn a_cut_link_drops_packets_until_it_is_restored() {
-    let balancer = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let address = balancer.local_addr().expect("an address");
+    let balancer = UdpSocket::bind("127.0.0.1:0")
+        .await
+        .expect("socket should bind");
+    let address = balancer
+        .local_addr()
+        .expect("socket should have a local address");
     let arguments = [
         "--listen",
         "127.0.0.1:0",
@@ -151,25 +158,51 @@
         &address.to_string(),
     ]
     .map(str::to_owned);
-    let options = FabricOptions::parse(lexopt::Parser::from_args(arguments)).expect("options");
+    let options = FabricOptions::parse(lexopt::Parser::from_args(arguments))
+        .expect("options should be valid");
     let links = Arc::new(Mutex::new(Links::default()));
     let machines = Arc::new(Mutex::new(MachineList::fixed(&options.static_balancers)));
     let forwarder = Forwarder::bind(&options, machines, Arc::clone(&links));
-    let forwarder = forwarder.expect("a forwarder");
-    let fabric = forwarder.local_address().expect("an address");
+    let forwarder = forwarder.expect("forwarder should bind");
+    let fabric = forwarder
+        .local_address()
+        .expect("fabric should have a local address");
     let forwarder_task = tokio::spawn(forwarder.run());
 
     let packets = opening_packets(TILL_V4, 2);
-    let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    links.lock().expect("a lock").cut(address);
-    sender.send_to(&packets[0], fabric).await.expect("sent");
-    while links.lock().expect("a lock").counters.cut == 0 {
+    let sender = UdpSocket::bind("127.0.0.1:0")
+        .await
+        .expect("socket should bind");
+    links
+        .lock()
+        .expect("lock should not be poisoned")
+        .cut(address);
+    sender
+        .send_to(&packets[0], fabric)
+        .await
+        .expect("data should be sent");
+    while links
+        .lock()
+        .expect("lock should not be poisoned")
+        .counters
+        .cut
+        == 0
+    {
         tokio::task::yield_now().await;
     }
-    links.lock().expect("a lock").restore(address);
-    sender.send_to(&packets[1], fabric).await.expect("sent");
+    links
+        .lock()
+        .expect("lock should not be poisoned")
+        .restore(address);
+    sender
+        .send_to(&packets[1], fabric)
+        .await
+        .expect("data should be sent");
     let mut received = vec![0; 2048];
-    let (length, _) = balancer.recv_from(&mut received).await.expect("a packet");
+    let (length, _) = balancer
+        .recv_from(&mut received)
+        .await
+        .expect("balancer should receive a packet");
     assert_eq!(received[..length], packets[1]);
     forwarder_task.abort();
 }
@@ -177,7 +210,8 @@
 #[test]
 fn exactly_one_source_of_balancers_is_required() {
     let parse = |arguments: &[&str]| FabricOptions::parse(lexopt::Parser::from_args(arguments));
-    let neither = parse(&["--listen", "127.0.0.1:1"]).expect_err("no balancers");
+    let neither =
+        parse(&["--listen", "127.0.0.1:1"]).expect_err("a source of balancers is required");
     assert!(
         neither
             .to_string()
@@ -193,19 +227,32 @@
     assert!(parse(&["--listen", "127.0.0.1:1", "--static-balancer", "nowhere"]).is_err());
 }
 
-/// Answers one request with `body`, or closes the connection without an answer.
+/// Accepts one connection, reads a request and sends `body` as the response; without a body, closes
+/// the connection without a response.
 async fn serve_one_request(listener: &TcpListener, body: Option<&str>) {
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener
+        .accept()
+        .await
+        .expect("connection should be accepted");
     let mut request = [0; 1024];
-    let length = stream.read(&mut request).await.expect("a request");
+    let length = stream
+        .read(&mut request)
+        .await
+        .expect("request should be received");
     let request_text = String::from_utf8_lossy(&request[..length]);
     assert!(request_text.starts_with("GET /apis/bellyoke.dev/v1/namespaces/default/balancers "));
     if let Some(body) = body {
         let length = body.len();
         let header =
             format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n");
-        stream.write_all(header.as_bytes()).await.expect("sent");
-        stream.write_all(body.as_bytes()).await.expect("sent");
+        stream
+            .write_all(header.as_bytes())
+            .await
+            .expect("data should be sent");
+        stream
+            .write_all(body.as_bytes())
+            .await
+            .expect("data should be sent");
     }
 }
 
@@ -214,15 +261,24 @@
 }
 
 async fn wait_for_balancers(machines: &Mutex<MachineList>, balancers: &[SocketAddr]) {
-    while machines.lock().expect("a lock").balancers() != balancers {
+    while machines
+        .lock()
+        .expect("lock should not be poisoned")
+        .balancers()
+        != balancers
+    {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
 async fn the_last_valid_list_is_kept_while_the_platform_fails() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("listener should bind");
+    let address = listener
+        .local_addr()
+        .expect("socket should have a local address");
     let settings = PollSettings {
         platform: format!("http://{address}"),
         interval: Duration::from_millis(1),
@@ -235,7 +291,13 @@
     serve_one_request(&listener, None).await;
     serve_one_request(&listener, Some("{\"items\": 3}")).await;
     serve_one_request(&listener, None).await;
-    assert_eq!(machines.lock().expect("a lock").balancers(), balancers(1));
+    assert_eq!(
+        machines
+            .lock()
+            .expect("lock should not be poisoned")
+            .balancers(),
+        balancers(1)
+    );
     serve_one_request(&listener, Some(&balancer_list_json(2))).await;
     wait_for_balancers(&machines, &balancers(2)[1..]).await;
     poll_task.abort();
--- a/crates/bellyoke-lab/tests/http.rs
+++ b/crates/bellyoke-lab/tests/http.rs
@@ -1,4 +1,5 @@
-//! HTTP heads and bodies as backends and callers read them.
+//! HTTP requests and responses: parsing by backends and callers, and the classification of
+//! responses.
 
 use bellyoke_lab::caller::{Expectation, Kind, Outcome, check_answer};
 use bellyoke_lab::http::{
@@ -27,7 +28,9 @@
 
 fn read_response(bytes: &[u8]) -> Response {
     let response = ResponseReader::default().push(bytes);
-    response.expect("a response").expect("a whole response")
+    response
+        .expect("response should be valid")
+        .expect("response should be complete")
 }
 
 #[test]
@@ -41,8 +44,8 @@
     };
     let bytes = request.to_bytes();
     let head = parse_request(&bytes)
-        .expect("a request")
-        .expect("a whole head");
+        .expect("request should be valid")
+        .expect("request header should be complete");
     insta::assert_debug_snapshot!(head, @r#"
     RequestHead {
         method: "POST",
--- a/crates/bellyoke-lab/tests/platform_client.rs
+++ b/crates/bellyoke-lab/tests/platform_client.rs
@@ -1,4 +1,5 @@
-//! The client of `bellyoke-kube` against the stand-in, over loopback.
+//! The Kubernetes API client of `bellyoke-kube` against the simulated API server of the lab, over
+//! loopback.
 
 use bellyoke_core::generation::Zone;
 use bellyoke_core::identity::{GenerationNumber, NodeId};
@@ -52,7 +53,7 @@
 fn expect_accepted(outcome: PublishOutcome) -> StoredGeneration {
     match outcome {
         PublishOutcome::Accepted(stored) => stored,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("publication was not accepted: {other:?}"),
     }
 }
 
@@ -78,7 +79,7 @@
     let object = backend(name, "127.0.0.1:7000");
     match store.write(&object, &operation(name)).await.unwrap() {
         WriteOutcome::Accepted(stored) => stored,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("write was not accepted: {other:?}"),
     }
 }
 
@@ -87,7 +88,7 @@
     backends.map(|backend| backend.name.as_str()).collect()
 }
 
-/// Waits for a state with just these backends and checks that revisions never go back.
+/// Waits for a state that has exactly these backends and checks that revisions never decrease.
 async fn wait_for_backends(
     objects: &mut Subscription<DesiredState>,
     names: &[&str],
@@ -95,7 +96,10 @@
     let mut last = 0;
     loop {
         let state = objects.next().await.unwrap();
-        assert!(state.revision.backends >= last, "went back");
+        assert!(
+            state.revision.backends >= last,
+            "backend revision decreased"
+        );
         last = state.revision.backends;
         if backend_names(&state) == names {
             return state;
@@ -122,7 +126,7 @@
         | (PublishOutcome::Conflict(conflicting), PublishOutcome::Accepted(winner)) => {
             (winner, conflicting)
         }
-        outcomes => panic!("one must win: {outcomes:?}"),
+        outcomes => panic!("expected one accepted and one conflicting publication: {outcomes:?}"),
     };
     assert_eq!(winner, conflicting);
     assert_eq!(first.current_generation().await.unwrap(), Some(winner));
@@ -146,7 +150,11 @@
         assert_eq!(stored.content, b"only");
         let contents = server.platform.contents();
         let writes = &contents.audit.writes;
-        assert_eq!(writes.len(), 1, "sent once: {writes:?}");
+        assert_eq!(
+            writes.len(),
+            1,
+            "the write should be sent exactly once: {writes:?}"
+        );
         assert_eq!(writes[0].operation_id.as_deref(), Some("only"));
         assert_eq!(writes[0].code, None);
     }
@@ -250,15 +258,15 @@
     let deleted = store.read::<Backend>("old").await.unwrap().unwrap();
     store.delete(&deleted).await.unwrap();
     wait_for_backends(&mut objects, &["new", "newer"]).await;
-    // A reader that starts now takes the stale list, since it knows nothing newer, and then
-    // learns the rest by watching.
+    // A reader that starts now accepts the stale list, because it has no newer state, and receives
+    // the later changes from its watch.
     let other = client(&server, "other");
     let mut others = other.watch_objects();
     wait_for_backends(&mut others, &["new", "newer"]).await;
     assert_eq!(
         list_count(&server, "reader"),
         lists_before,
-        "no list without need"
+        "the running reader should not list again"
     );
 }
 
@@ -295,7 +303,7 @@
             ..FaultChange::default()
         },
     );
-    // The list from the past is asked for and ignored, again and again.
+    // The reader repeatedly requests the stale list and ignores it.
     wait_until(|| list_count(&server, "reader") > lists_before + 2).await;
     assert_eq!(
         backend_names(&objects.latest().unwrap()),
@@ -321,7 +329,7 @@
     let first = wait_for_backends(&mut objects, &[]).await;
     store.publish(request(None, 1, "other kind")).await.unwrap();
     store.refresh_objects();
-    // Each kind is listed by itself, so one may be yielded before the other.
+    // Each kind is listed separately, so the two revisions may increase in different updates.
     loop {
         let revision = objects.next().await.unwrap().revision;
         let services = revision.services > first.revision.services;
@@ -422,7 +430,7 @@
     first.write(&drained, &operation("drain")).await.unwrap();
     let outcome = second.write(&heavier, &operation("weight")).await.unwrap();
     let WriteOutcome::Conflict { newer, overtaken } = outcome else {
-        panic!("must conflict: {outcome:?}");
+        panic!("expected a conflict: {outcome:?}");
     };
     assert!(newer.spec.drain);
     assert!(!overtaken);
@@ -459,7 +467,7 @@
     assert_eq!(store.list_balancers().await.unwrap(), []);
 }
 
-/// Lets the other tasks run until the condition holds.
+/// Yields to other tasks until `condition` is true.
 async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::task::yield_now().await;
--- a/crates/bellyoke-lab/tests/platform_store.rs
+++ b/crates/bellyoke-lab/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! Properties of the stand-in's object store, without sockets.
+//! Properties of the object store of the simulated Kubernetes API server, without sockets.
 
 use bellyoke_lab::platform::{
     Collection, LabelSelector, ObjectKey, ObjectStore, Preconditions, Refusal, Scope, StoreLimits,
@@ -45,7 +45,8 @@
         .unwrap()
 }
 
-/// A write by a client that last read the object `behind` writes ago.
+/// Write by a client. A replacement is based on the object that the server returned `behind`
+/// writes before the latest one.
 #[derive(Clone, Debug)]
 enum Write {
     Create {
@@ -75,7 +76,7 @@
     ]
 }
 
-/// All versions that each object had, as its clients read them.
+/// All versions of each object that were returned to clients, oldest first.
 type Reads = BTreeMap<&'static str, Vec<Value>>;
 
 fn apply_write(store: &mut ObjectStore, reads: &Reads, write: &Write) -> Result<Value, Refusal> {
--- a/crates/bellyoke-lab/tests/sources.rs
+++ b/crates/bellyoke-lab/tests/sources.rs
@@ -1,21 +1,28 @@
-//! Callers' addresses stay inside of their prefix.
+//! Source addresses of callers: all are inside the configured prefix and none repeats early.
 
 use std::collections::HashSet;
 
 use bellyoke_lab::caller::sources::Sources;
 use bellyoke_lab::network::Prefix;
 
-/// More pairs than one round through the addresses of any prefix here.
+/// Number of sources drawn from each prefix. It exceeds the number of addresses used of any prefix
+/// in these tests, so addresses repeat with other ports.
 const DRAWN_SOURCES: usize = 1_000;
 
+/// Checks that the sources drawn from `prefix` are inside it and distinct.
 fn check_sources(prefix: &str) {
-    let prefix: Prefix = prefix.parse().expect("a prefix");
+    let prefix: Prefix = prefix.parse().expect("prefix should be valid");
     let mut sources = Sources::new(vec![prefix], 1);
     let mut seen = HashSet::new();
     for _ in 0..DRAWN_SOURCES {
-        let source = sources.next(prefix.is_ipv4()).expect("a source");
-        assert!(prefix.contains(source.ip()), "{source} is outside");
-        assert!(seen.insert(source), "{source} came twice");
+        let source = sources
+            .next(prefix.is_ipv4())
+            .expect("prefix should yield a source");
+        assert!(
+            prefix.contains(source.ip()),
+            "source {source} is outside its prefix"
+        );
+        assert!(seen.insert(source), "source {source} was returned twice");
     }
 }
 
--- a/crates/bellyoke-lab/tests/verdict.rs
+++ b/crates/bellyoke-lab/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict over reports of callers and backends.
+//! The verdict computed from the reports of callers and backends.
 
 use bellyoke_lab::backend::BackendReport;
 use bellyoke_lab::caller::{CallerReport, Outcome};
--- a/crates/bellyoke-lab/tests/work_queue.rs
+++ b/crates/bellyoke-lab/tests/work_queue.rs
@@ -1,4 +1,4 @@
-//! The slots of a backend and the queue before them.
+//! The work queue of a backend: a limited number of slots and a bounded queue.
 
 use bellyoke_lab::backend::{Admission, Cancellation, ConnectionId, WorkEvent, WorkQueue};
 use smoltcp::time::{Duration, Instant};
@@ -13,7 +13,8 @@
     ConnectionId(number)
 }
 
-/// A queue with one slot, which connection 0 holds from the start, and two places.
+/// Returns a queue with one slot, which runs the work of connection 0 from the start, and room for
+/// two queued items.
 fn busy_queue() -> WorkQueue {
     let mut queue = WorkQueue::new(1, 2);
     assert_eq!(queue.admit(id(0), None), Admission::Queued);
