--- a/crates/bellyoke-lab/tests/cookie_zones.rs
+++ b/crates/bellyoke-lab/tests/cookie_zones.rs
@@ -1,5 +1,7 @@
-//! Zones that operators drain, in the model: the rule holds while nodes, watchers and the store fail, and
-//! is broken once nodes know nothing of drained zones.
+//! Zone drains in the simulation.
+//!
+//! No new flow may go to a drained zone, also while nodes, watchers and the store fail. The rule is violated as soon
+//! as nodes ignore zone drains.
 
 use bellyoke_lab::cookie::rules::Rule;
 use bellyoke_lab::cookie::scenario::{Ablation, Action, Scenario};
@@ -13,7 +15,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// One zone is drained at 6 s and taken back at 15 s; another overlaps it.
+/// Drains one zone from 6 s to 15 s and another one from 8 s to 13 s.
 fn two_drains() -> Scenario {
     Scenario::default()
         .at(6_000, Action::DrainZone(0))
@@ -22,32 +24,38 @@
         .at(15_000, Action::RestoreZone(0))
 }
 
-fn holds(scenario: &Scenario, least: f64) {
+/// Asserts that no rule is violated and that at least `minimum_served_share` of the requests are served.
+fn assert_no_violations(scenario: &Scenario, minimum_served_share: f64) {
     for seed in SEEDS {
         let report = play(scenario.clone(), seed);
-        let share = report.served as f64 / (report.served + report.failed) as f64;
+        let served_share = report.served as f64 / (report.served + report.failed) as f64;
         assert_eq!(report.violations, [], "seed {seed}");
-        assert!(share >= least, "seed {seed}: {share} served");
+        assert!(
+            served_share >= minimum_served_share,
+            "seed {seed}: served share is {served_share}"
+        );
     }
 }
 
-fn breaks(scenario: &Scenario) {
-    let blind = scenario.clone().without(Ablation::IgnoreDrainedZones);
+/// Asserts that the zone drain rule is violated with every seed when nodes ignore zone drains.
+fn assert_violated_without_zone_drains(scenario: &Scenario) {
+    let without_drains = scenario.clone().without(Ablation::IgnoreDrainedZones);
     for seed in SEEDS {
-        let violations = play(blind.clone(), seed).violations;
+        let violations = play(without_drains.clone(), seed).violations;
         let mut rules = violations.iter().map(|violation| violation.rule);
         assert!(rules.any(|rule| rule == Rule::ZoneDrain), "seed {seed}");
     }
 }
 
 #[test]
-fn drained_zones_get_no_new_flow_and_all_is_served() {
-    holds(&two_drains(), 1.0);
-    breaks(&two_drains());
+fn drained_zones_get_no_new_flows_and_all_requests_are_served() {
+    assert_no_violations(&two_drains(), 1.0);
+    assert_violated_without_zone_drains(&two_drains());
 }
 
+/// Nodes that start while the store is unreachable have to learn the drained zones from their peers.
 #[test]
-fn drained_zones_stay_so_for_nodes_that_start_in_an_outage() {
+fn nodes_that_start_in_an_outage_apply_zone_drains() {
     let mut scenario = two_drains()
         .at(7_000, Action::Store(StoreMode::Silent))
         .at(11_500, Action::Store(StoreMode::Up));
@@ -56,39 +64,45 @@
         let down = ms(200);
         scenario = scenario.at(at, Action::Kill { node, down });
     }
-    holds(&scenario, 0.97);
+    assert_no_violations(&scenario, 0.97);
 }
 
+/// The nodes that watch the store fail just before the first drain is written, so other nodes have to take over.
 #[test]
-fn drained_zones_are_known_though_the_watchers_die_or_lose_the_store() {
+fn zone_drains_are_applied_when_the_watchers_die_or_lose_the_store() {
     let down = ms(1_000);
-    holds(&two_drains().at(5_990, Action::KillWatchers { down }), 0.97);
-    holds(&two_drains().at(5_990, Action::CutWatchers), 0.99);
-    breaks(&two_drains().at(5_990, Action::CutWatchers));
+    assert_no_violations(&two_drains().at(5_990, Action::KillWatchers { down }), 0.97);
+    assert_no_violations(&two_drains().at(5_990, Action::CutWatchers), 0.99);
+    assert_violated_without_zone_drains(&two_drains().at(5_990, Action::CutWatchers));
 }
 
+/// The store compacts its history just before a drain and just before its end, so watches can't resume.
 #[test]
-fn drained_zones_are_known_after_history_was_forgotten() {
+fn zone_drains_are_applied_after_the_store_compacts_its_history() {
     let scenario = two_drains()
         .at(7_990, Action::Compact)
         .at(14_990, Action::Compact);
-    holds(&scenario, 1.0);
+    assert_no_violations(&scenario, 1.0);
 }
 
+/// Clients of a route without an undrained zone must get a refusal instead of waiting for a timeout.
 #[test]
-fn a_route_whose_zones_are_all_drained_is_refused_at_once() {
+fn requests_are_refused_at_once_when_all_zones_are_drained() {
     let mut scenario = Scenario::default();
     for zone in 0..3 {
         scenario = scenario.at(8_000, Action::DrainZone(zone));
         scenario = scenario.at(12_000, Action::RestoreZone(zone));
     }
-    // The probe route can't tell such a refusal from one for want of a route.
+    // Clients of the probe route can't distinguish this refusal from that of a missing route.
     scenario.probes = 0;
     for seed in SEEDS {
         let report = play(scenario.clone(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
-        assert!(report.failed > 0, "seed {seed}: nothing was refused");
-        let slowest = report.latencies.last().unwrap();
-        assert!(*slowest < ms(1_400), "seed {seed}: one waited {slowest:?}");
+        assert!(report.failed > 0, "seed {seed}: no request was refused");
+        let highest_latency = report.latencies.last().unwrap();
+        assert!(
+            *highest_latency < ms(1_400),
+            "seed {seed}: a request took {highest_latency:?}"
+        );
     }
 }
