--- a/crates/bellyoke-lab/tests/cookie_restored_store.rs
+++ b/crates/bellyoke-lab/tests/cookie_restored_store.rs
@@ -1,12 +1,10 @@
-//! The store is away for a moment and comes back from a copy some seconds old.
+//! Short outages after which the store is restored from a backup that is some seconds old.
 //!
-//! What users saw: a target that had said that it leaves went on getting new flows, and a route that a confirmed
-//! configuration had dropped was served on. In both cases the store had been restored some seconds before. It had lost
-//! its last changes, so that it gave their revisions out again: the drain got the number of a configuration that all
-//! nodes held, was taken for old news, and was skipped by each watch that went on from what was known.
-//!
-//! Evidence: one revision named a configuration before the restoration and a change of instances after it, and two
-//! acknowledged changes had no revision of their own among those seen.
+//! A restored store has lost its latest changes and assigns their revisions again. A drain then got the revision of a
+//! configuration that all nodes already had: nodes ignored it as old, and watches that resumed from the known revision
+//! skipped it. Draining targets went on getting new flows, and routes that a confirmed configuration had removed were
+//! still served. One revision stood for a configuration before the restoration and for a change of instances after it,
+//! and two acknowledged changes had no revision of their own.
 
 use bellyoke_lab::cookie::rules::{Rule, Violation};
 use bellyoke_lab::cookie::scenario::{Ablation, Action, Scenario};
@@ -20,7 +18,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Three configurations are written after the copy, and then the store is away for a moment.
+/// Writes three configurations after the backup, then makes the store unresponsive.
 fn outage() -> Scenario {
     let scenario = Scenario {
         length: Duration::from_secs(30),
@@ -34,13 +32,13 @@
         .at(12_000, Action::Store(StoreMode::Silent))
 }
 
-/// It has lost the three configurations. The operator writes the last one again.
-fn restored() -> Scenario {
+/// Restores the store without the three configurations; the operator writes the last one again.
+fn outage_with_restoration() -> Scenario {
     outage().at(14_300, Action::RestoreStore)
 }
 
-/// A target leaves and the configuration changes.
-fn changes(scenario: Scenario) -> Scenario {
+/// Adds a drain of a target and a change of the configuration, both after the outage.
+fn with_later_changes(scenario: Scenario) -> Scenario {
     let drain = Action::Drain {
         target: 0,
         serves_for: ms(6_000),
@@ -50,50 +48,56 @@
         .at(18_800, Action::Configure { probe: Some(0) })
 }
 
+/// Returns the violations with all seeds.
 fn violations(scenario: &Scenario) -> Vec<Violation> {
     let reports = SEEDS.map(|seed| play(scenario.clone(), seed));
     reports.flat_map(|report| report.violations).collect()
 }
 
 #[test]
-fn a_target_that_drains_after_a_restoration_gets_no_new_flow() {
+fn a_target_drained_after_a_restoration_gets_no_new_flows() {
     let drain = Action::Drain {
         target: 0,
         serves_for: ms(6_000),
     };
-    let scenario = restored().at(18_800, drain);
+    let scenario = outage_with_restoration().at(18_800, drain);
     assert_eq!(violations(&scenario), []);
 }
 
+/// The control: the store comes back with all its changes.
 #[test]
-fn the_same_changes_after_an_outage_that_loses_nothing_are_in_force() {
+fn changes_after_an_outage_without_data_loss_are_applied() {
     let scenario = outage().at(14_300, Action::Store(StoreMode::Up));
-    assert_eq!(violations(&changes(scenario)), []);
+    assert_eq!(violations(&with_later_changes(scenario)), []);
 }
 
 #[test]
-fn a_configuration_that_is_written_after_a_restoration_is_in_force() {
-    let scenario = restored().at(18_800, Action::Configure { probe: Some(0) });
+fn a_configuration_written_after_a_restoration_is_applied() {
+    let scenario = outage_with_restoration().at(18_800, Action::Configure { probe: Some(0) });
     assert_eq!(violations(&scenario), []);
 }
 
-/// A store that doesn't tell its era is taken for restored once its newest list is older than what was known.
+/// If the store doesn't report its era, nodes detect a restoration by a list that is older than the revision they know.
 #[test]
-fn a_restoration_that_the_store_does_not_tell_of_is_noticed() {
+fn a_restoration_is_detected_without_a_reported_era() {
     let scenario = Scenario {
         store_tells_era: false,
-        ..restored()
+        ..outage_with_restoration()
     };
-    assert_eq!(violations(&changes(scenario)), []);
+    assert_eq!(violations(&with_later_changes(scenario)), []);
 }
 
+/// Nodes that ignore eras violate the drain and the configuration rule.
 #[test]
-fn changes_after_a_restoration_need_the_era() {
-    let scenario = changes(restored().without(Ablation::IgnoreEras));
-    let broken: Vec<Rule> = violations(&scenario)
+fn changes_after_a_restoration_are_missed_if_eras_are_ignored() {
+    let scenario = with_later_changes(outage_with_restoration().without(Ablation::IgnoreEras));
+    let violated_rules: Vec<Rule> = violations(&scenario)
         .into_iter()
         .map(|violation| violation.rule)
         .collect();
-    assert!(broken.contains(&Rule::Drain), "{broken:?}");
-    assert!(broken.contains(&Rule::Configuration), "{broken:?}");
+    assert!(violated_rules.contains(&Rule::Drain), "{violated_rules:?}");
+    assert!(
+        violated_rules.contains(&Rule::Configuration),
+        "{violated_rules:?}"
+    );
 }
