--- a/crates/bellyoke-lab/tests/cookie_restorations.rs
+++ b/crates/bellyoke-lab/tests/cookie_restorations.rs
@@ -1,4 +1,5 @@
-//! Seeded days on which the store is restored from older copies, once to three times, among other trouble and planned work.
+//! Random scenarios (days) in which the store is restored from older backups one to three times, along with
+//! other faults, drains and changes of the configuration.
 
 use bellyoke_lab::cookie::rules::Violation;
 use bellyoke_lab::cookie::scenario::{Action, Scenario, ZONES};
@@ -8,63 +9,65 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Days that are played here; `BELLYOKE_RESTORATION_DAYS` may ask for more.
-const DAYS: u64 = 40;
+/// Number of scenarios; `BELLYOKE_RESTORATION_DAYS` overrides it.
+const DEFAULT_DAYS: u64 = 40;
 
-/// Targets of the first service, each of which drains once at most.
+/// Number of targets of the first service, each of which is drained at most once.
 const TARGETS: usize = 8;
 
-const LENGTH_MS: u64 = 44_000;
+/// Simulated duration of a scenario.
+const DAY_DURATION_MS: u64 = 44_000;
 
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A time in which the store is away, which ends with a restoration from a copy.
+/// A period in which the store doesn't answer; it ends with a restoration from a backup.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    copied_ms: u64,
-    begins_ms: u64,
-    ends_ms: u64,
+    backup_at_ms: u64,
+    start_ms: u64,
+    end_ms: u64,
 }
 
 impl Outage {
-    /// Whether the operator and the targets can't write.
-    const fn holds(&self, at_ms: u64) -> bool {
-        self.begins_ms <= at_ms && at_ms <= self.ends_ms
+    /// Returns whether operators and targets can't write to the store at this time.
+    const fn contains(&self, at_ms: u64) -> bool {
+        self.start_ms <= at_ms && at_ms <= self.end_ms
     }
 }
 
-/// One to three outages, the copies of which are 1 to 20 s old.
+/// Generates one to three outages, each with a backup that is made 1 to 20 s before its start.
 fn outages(random: &mut impl Rng) -> Vec<Outage> {
     let mut outages = Vec::new();
-    let mut earliest = 4_000;
+    let mut earliest_ms = 4_000;
     for _ in 0..random.random_range(1..=3) {
-        let copied_ms = earliest + random.random_range(0..2_000);
-        let begins_ms = copied_ms + random.random_range(1_000..20_000);
-        let ends_ms = begins_ms + random.random_range(200..3_000);
-        if ends_ms + 9_000 > LENGTH_MS {
+        let backup_at_ms = earliest_ms + random.random_range(0..2_000);
+        let start_ms = backup_at_ms + random.random_range(1_000..20_000);
+        let end_ms = start_ms + random.random_range(200..3_000);
+        if end_ms + 9_000 > DAY_DURATION_MS {
             break;
         }
         outages.push(Outage {
-            copied_ms,
-            begins_ms,
-            ends_ms,
+            backup_at_ms,
+            start_ms,
+            end_ms,
         });
-        earliest = ends_ms + random.random_range(200..4_000);
+        earliest_ms = end_ms + random.random_range(200..4_000);
     }
     outages
 }
 
-fn any_change(random: &mut impl Rng, drained: &mut usize) -> Option<Action> {
+/// Generates a planned change, if any.
+fn random_change(random: &mut impl Rng, drained_count: &mut usize) -> Option<Action> {
     Some(match random.random_range(0..8) {
         0..=2 => Action::Configure {
             probe: Some(random.random_range(0..2)),
         },
-        3..=4 if *drained < TARGETS / 2 => {
-            *drained += 1;
+        3..=4 if *drained_count < TARGETS / 2 => {
+            *drained_count += 1;
             Action::Drain {
-                target: *drained - 1,
+                target: *drained_count - 1,
                 serves_for: ms(random.random_range(3_500..8_000)),
             }
         }
@@ -78,7 +81,8 @@
     })
 }
 
-fn any_trouble(random: &mut impl Rng, nodes: usize) -> Action {
+/// Generates a fault of a node or of the store.
+fn random_fault(random: &mut impl Rng, nodes: usize) -> Action {
     let node = random.random_range(0..nodes);
     let down = ms(random.random_range(100..2_000));
     match random.random_range(0..6) {
@@ -94,6 +98,7 @@
     }
 }
 
+/// Generates the scenario of a seed.
 fn day(seed: u64) -> Scenario {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let nodes = [5, 9][random.random_range(0..2)];
@@ -101,26 +106,26 @@
         nodes,
         node_zones: random.random_range(1..=3),
         store_tells_era: random.random_bool(0.5),
-        length: ms(LENGTH_MS),
+        length: ms(DAY_DURATION_MS),
         ..Scenario::default()
     };
     let outages = outages(&mut random);
     for outage in &outages {
         scenario = scenario
-            .at(outage.copied_ms, Action::CopyStore)
-            .at(outage.begins_ms, Action::Store(StoreMode::Silent))
-            .at(outage.ends_ms, Action::RestoreStore);
+            .at(outage.backup_at_ms, Action::CopyStore)
+            .at(outage.start_ms, Action::Store(StoreMode::Silent))
+            .at(outage.end_ms, Action::RestoreStore);
     }
-    let is_away = |at_ms| outages.iter().any(|outage| outage.holds(at_ms));
-    let mut drained = 0;
+    let in_outage = |at_ms| outages.iter().any(|outage| outage.contains(at_ms));
+    let mut drained_count = 0;
     let mut at_ms = 3_000;
-    while at_ms < LENGTH_MS - 5_000 {
+    while at_ms < DAY_DURATION_MS - 5_000 {
         at_ms += random.random_range(200..2_500);
         if random.random_bool(0.15) {
-            let trouble = any_trouble(&mut random, nodes);
-            scenario = scenario.at(at_ms, trouble);
-        } else if !is_away(at_ms)
-            && let Some(change) = any_change(&mut random, &mut drained)
+            let fault = random_fault(&mut random, nodes);
+            scenario = scenario.at(at_ms, fault);
+        } else if !in_outage(at_ms)
+            && let Some(change) = random_change(&mut random, &mut drained_count)
         {
             scenario = scenario.at(at_ms, change);
         }
@@ -129,29 +134,29 @@
 }
 
 #[test]
-fn days_with_restorations_break_no_rule() {
+fn random_restorations_violate_no_rule() {
     let days = std::env::var("BELLYOKE_RESTORATION_DAYS");
-    let days = days.map_or(DAYS, |days| days.parse().expect("a number of days"));
-    let broken = |seed: u64| -> Option<(u64, Vec<Violation>)> {
+    let days = days.map_or(DEFAULT_DAYS, |days| days.parse().expect("a number of days"));
+    let violations_of = |seed: u64| -> Option<(u64, Vec<Violation>)> {
         let report: Report = play(day(seed), seed);
         let mut violations = report.violations;
         violations.truncate(3);
         (!violations.is_empty()).then_some((seed, violations))
     };
-    let found: Vec<_> = (0..days).filter_map(broken).collect();
+    let found: Vec<_> = (0..days).filter_map(violations_of).collect();
     assert!(
         found.is_empty(),
-        "{} of {days} days: {found:#?}",
+        "{} of {days} scenarios have violations: {found:#?}",
         found.len()
     );
 }
 
-/// The store is away for half a second, and then counts past what was known before any node lists it: nothing in its
-/// answers shows that it was restored, unless it tells its era.
+/// Seed of a scenario in which the store is unavailable for half a second and, once restored, passes the last known
+/// revision before any node lists it. Only the era in its answers can then show that it was restored.
 const UNSEEN_RESTORATION: u64 = 92;
 
 #[test]
-fn a_restoration_that_no_list_shows_is_noticed_by_its_era() {
+fn a_restoration_that_no_list_shows_is_detected_by_its_era() {
     let scenario = Scenario {
         store_tells_era: true,
         ..day(UNSEEN_RESTORATION)
