--- a/crates/bellyoke-lab/tests/process_support/child.rs
+++ b/crates/bellyoke-lab/tests/process_support/child.rs
@@ -1,4 +1,4 @@
-//! Processes that end with the test.
+//! Child processes that are killed at the end of the test.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -6,60 +6,63 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Path of a built binary of the workspace.
+/// Returns the path of a built binary of the workspace.
 pub fn binary(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_bellyoke-lab")).with_file_name(name);
     assert!(
         path.exists(),
-        "{} isn't built: run `cargo build --workspace --bins` or `cargo test --workspace`",
+        "{} is not built: run `cargo build --workspace --bins` or `cargo test --workspace`",
         path.display()
     );
     path
 }
 
-/// A process that is killed when it is dropped.
+/// A child process that is killed on drop.
 pub struct Child {
     process: std::process::Child,
 }
 
 impl Child {
-    /// Starts `program` with both of its outputs in `log`.
+    /// Starts `program` and redirects its standard output and standard error to `log`.
     pub fn start(program: &str, arguments: &[String], log: &Path) -> Self {
-        let log = File::create(log).expect("create the log");
-        let errors = log.try_clone().expect("share the log");
+        let output = File::create(log).expect("create the log file");
+        let errors = output.try_clone().expect("duplicate the log file");
         let process = Command::new(binary(program))
             .args(arguments)
-            .stdout(log)
+            .stdout(output)
             .stderr(errors)
             .spawn()
-            .unwrap_or_else(|error| panic!("start {program}: {error}"));
+            .unwrap_or_else(|error| panic!("failed to start {program}: {error}"));
         Self { process }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.process.id()).expect("a process id");
-        kill(Pid::from_raw(id), signal).expect("send the signal");
+        let pid = i32::try_from(self.process.id()).expect("process ID out of range");
+        kill(Pid::from_raw(pid), signal).expect("send a signal");
     }
 
-    /// Whether the process has ended.
-    pub fn has_ended(&mut self) -> bool {
-        self.process.try_wait().expect("ask for the end").is_some()
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
+        self.process
+            .try_wait()
+            .expect("query the exit status")
+            .is_some()
     }
 }
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // Errors mean that it has ended already.
+        // An error means that the process has already exited.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
-/// A command that runs to its end.
-pub fn output(program: &str, arguments: &[String]) -> Output {
+/// Runs a program to completion and returns its output.
+pub fn run_to_completion(program: &str, arguments: &[String]) -> Output {
     Command::new(binary(program))
         .args(arguments)
         .output()
-        .unwrap_or_else(|error| panic!("run {program}: {error}"))
+        .unwrap_or_else(|error| panic!("failed to run {program}: {error}"))
 }
--- a/crates/bellyoke-lab/tests/process_support/mod.rs
+++ b/crates/bellyoke-lab/tests/process_support/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of the built binaries on loopback: platform, fabric, balancers, backends and callers.
+//! A cluster of the built binaries on the loopback interface: platform, fabric, balancers, backends and callers.
 
 mod child;
 mod cluster;
--- a/crates/bellyoke-lab/tests/process_support/ports.rs
+++ b/crates/bellyoke-lab/tests/process_support/ports.rs
@@ -1,28 +1,30 @@
-//! Blocks of loopback ports that nothing else uses.
+//! Allocation of free blocks of loopback ports.
 
 use std::net::{TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Ports of one cluster.
-const BLOCK_SIZE: u16 = 40;
-/// Below the range that the kernel gives to outgoing connections.
+/// Number of ports of a cluster.
+const PORTS_PER_BLOCK: u16 = 40;
+/// First port of the first block. The blocks are below the kernel's ephemeral range for outgoing connections.
 const FIRST_PORT: u16 = 20_000;
-const BLOCKS: u16 = 290;
+const BLOCK_COUNT: u16 = 290;
 
-/// Blocks that this process has looked at.
-static TAKEN: AtomicU16 = AtomicU16::new(0);
+/// Number of blocks that this process has tried.
+static TRIED_BLOCKS: AtomicU16 = AtomicU16::new(0);
 
-/// Finds a block whose ports can all be bound now, by TCP and by UDP.
+/// Returns the first port of a block whose ports can all be bound over TCP and UDP.
+///
+/// The search starts at a block that depends on the process ID and goes on after the blocks that were already tried.
 pub fn free_block() -> u16 {
-    let offset = std::process::id() as u16 % BLOCKS;
-    for _ in 0..BLOCKS {
-        let block = (offset + TAKEN.fetch_add(1, Ordering::Relaxed)) % BLOCKS;
-        let first = FIRST_PORT + block * BLOCK_SIZE;
-        if (first..first + BLOCK_SIZE).all(is_free) {
+    let offset = std::process::id() as u16 % BLOCK_COUNT;
+    for _ in 0..BLOCK_COUNT {
+        let block = (offset + TRIED_BLOCKS.fetch_add(1, Ordering::Relaxed)) % BLOCK_COUNT;
+        let first = FIRST_PORT + block * PORTS_PER_BLOCK;
+        if (first..first + PORTS_PER_BLOCK).all(is_free) {
             return first;
         }
     }
-    panic!("no block of {BLOCK_SIZE} loopback ports is free");
+    panic!("no free block of {PORTS_PER_BLOCK} loopback ports");
 }
 
 fn is_free(port: u16) -> bool {
