--- a/crates/bellyoke-lab/tests/datagrams.rs
+++ b/crates/bellyoke-lab/tests/datagrams.rs
@@ -19,7 +19,7 @@
     let faults = Faults {
         lost: 100,
         duplicated: 100,
-        late: 100,
+        delayed: 100,
     };
     let settings = callers(dual_stack_targets(), 3, 9);
     let network = Network::new(settings, vec![backend("till-1", &["till"])], to_first());
