--- a/crates/bellyoke-lab/tests/cookie_restorations.rs
+++ b/crates/bellyoke-lab/tests/cookie_restorations.rs
@@ -105,15 +105,15 @@
     let mut scenario = Scenario {
         nodes,
         node_zones: random.random_range(1..=3),
-        store_tells_era: random.random_bool(0.5),
-        length: ms(DAY_DURATION_MS),
+        store_reports_era: random.random_bool(0.5),
+        duration: ms(DAY_DURATION_MS),
         ..Scenario::default()
     };
     let outages = outages(&mut random);
     for outage in &outages {
         scenario = scenario
-            .at(outage.backup_at_ms, Action::CopyStore)
-            .at(outage.start_ms, Action::Store(StoreMode::Silent))
+            .at(outage.backup_at_ms, Action::BackUpStore)
+            .at(outage.start_ms, Action::SetStoreMode(StoreMode::Silent))
             .at(outage.end_ms, Action::RestoreStore);
     }
     let in_outage = |at_ms| outages.iter().any(|outage| outage.contains(at_ms));
@@ -138,7 +138,7 @@
     let days = std::env::var("BELLYOKE_RESTORATION_DAYS");
     let days = days.map_or(DEFAULT_DAYS, |days| days.parse().expect("a number of days"));
     let violations_of = |seed: u64| -> Option<(u64, Vec<Violation>)> {
-        let report: Report = play(day(seed), seed);
+        let report: Report = simulate(day(seed), seed);
         let mut violations = report.violations;
         violations.truncate(3);
         (!violations.is_empty()).then_some((seed, violations))
--- a/crates/bellyoke-lab/tests/cookie_restored_store.rs
+++ b/crates/bellyoke-lab/tests/cookie_restored_store.rs
@@ -67,7 +67,7 @@
 /// The control: the store comes back with all its changes.
 #[test]
 fn changes_after_an_outage_without_data_loss_are_applied() {
-    let scenario = outage().at(14_300, Action::Store(StoreMode::Up));
+    let scenario = outage().at(14_300, Action::SetStoreMode(StoreMode::Up));
     assert_eq!(violations(&with_later_changes(scenario)), []);
 }
 
@@ -81,7 +81,7 @@
 #[test]
 fn a_restoration_is_detected_without_a_reported_era() {
     let scenario = Scenario {
-        store_tells_era: false,
+        store_reports_era: false,
         ..outage_with_restoration()
     };
     assert_eq!(violations(&with_later_changes(scenario)), []);
--- a/crates/bellyoke-lab/tests/cookie_rules.rs
+++ b/crates/bellyoke-lab/tests/cookie_rules.rs
@@ -54,19 +54,21 @@
         latencies.filter(|latency| *latency >= ms(200)).count()
     };
     SEEDS
-        .map(|seed| slow_in_report(play(scenario.clone(), seed)))
+        .map(|seed| slow_in_report(simulate(scenario.clone(), seed)))
         .sum()
 }
 
 /// Counts the requests that failed.
 fn failed_requests(scenario: &Scenario) -> u64 {
-    SEEDS.map(|seed| play(scenario.clone(), seed).failed).sum()
+    SEEDS
+        .map(|seed| simulate(scenario.clone(), seed).failed)
+        .sum()
 }
 
 /// Asserts that the rule is violated with one of the seeds when the mechanism is disabled.
 fn assert_violated_without(scenario: &Scenario, mechanism: Ablation, rule: Rule) {
     let without = scenario.clone().without(mechanism);
-    let violated = SEEDS.map(|seed| violated_rules(&play(without.clone(), seed)));
+    let violated = SEEDS.map(|seed| violated_rules(&simulate(without.clone(), seed)));
     assert!(
         violated.clone().any(|rules| rules.contains(&rule)),
         "{rule:?} still holds with {mechanism:?}; violated rules: {:?}",
@@ -110,7 +112,7 @@
 fn all_requests_are_served_without_faults() {
     assert_no_violations(&baseline(), 1.0);
     let rendezvous = Scenario {
-        hash: RouterHash::Steady,
+        hash: RouterHash::Rendezvous,
         ..baseline()
     };
     assert_no_violations(&rendezvous, 1.0);
@@ -118,8 +120,8 @@
 
 #[test]
 fn corrupted_data_violates_the_rules_on_requests_and_answers() {
-    assert_violated_without(&baseline(), Ablation::RewriteData, Rule::OnlyAsked);
-    assert_violated_without(&baseline(), Ablation::RewriteData, Rule::OwnAnswer);
+    assert_violated_without(&baseline(), Ablation::CorruptData, Rule::OnlyAsked);
+    assert_violated_without(&baseline(), Ablation::CorruptData, Rule::OwnAnswer);
 }
 
 #[test]
@@ -129,20 +131,20 @@
 
 #[test]
 fn runs_with_the_same_seed_are_identical() {
-    let [first, second] = [(), ()].map(|()| play(drains_and_node_restarts(), 3));
+    let [first, second] = [(), ()].map(|()| simulate(drains_and_node_restarts(), 3));
     assert_eq!(first.latencies, second.latencies);
     assert_eq!(
         (
             first.failed,
             first.served,
             first.store_calls,
-            first.heartbeats
+            first.peer_messages
         ),
         (
             second.failed,
             second.served,
             second.store_calls,
-            second.heartbeats
+            second.peer_messages
         )
     );
 }
@@ -178,7 +180,7 @@
 
 #[test]
 fn flows_of_a_target_whose_record_was_removed_fail_without_tombstones() {
-    let without_tombstones = unregistrations_and_node_restarts().without(Ablation::ForgetGone);
+    let without_tombstones = unregistrations_and_node_restarts().without(Ablation::NoTombstones);
     assert!(
         failed_requests(&without_tombstones)
             > failed_requests(&unregistrations_and_node_restarts()) + 20,
@@ -205,19 +207,19 @@
     let without_peers = unregistrations_and_node_restarts().without(Ablation::NoPeers);
     for seed in SEEDS {
         assert_eq!(
-            play(without_peers.clone(), seed).violations,
+            simulate(without_peers.clone(), seed).violations,
             [],
             "dropped packets violate no rule"
         );
     }
-    assert_violated_without(&without_peers, Ablation::ResetUnknown, Rule::Flow);
+    assert_violated_without(&without_peers, Ablation::ResetUnknownCookies, Rule::Flow);
 }
 
 /// Suspends nodes, while flows are opened, for longer than routers need to notice.
 fn node_stalls() -> Scenario {
     let mut scenario = Scenario {
         long_clients: 90,
-        requests_a_flow: 6,
+        requests_per_flow: 6,
         ..baseline()
     };
     for (index, at) in [4_000, 6_000, 8_000, 10_000, 12_000]
@@ -228,7 +230,7 @@
             at,
             Action::Freeze {
                 node: index,
-                lasting: ms(1_700),
+                duration: ms(1_700),
             },
         );
     }
@@ -266,8 +268,8 @@
 /// The store doesn't answer for two seconds; the configuration changes after it has recovered.
 fn unresponsive_store() -> Scenario {
     baseline()
-        .at(5_000, Action::Store(StoreMode::Silent))
-        .at(7_000, Action::Store(StoreMode::Up))
+        .at(5_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(7_000, Action::SetStoreMode(StoreMode::Up))
         .at(9_000, Action::Configure { probe: Some(1) })
         .at(14_000, Action::Configure { probe: None })
 }
@@ -278,7 +280,7 @@
     assert_no_violations(&unresponsive_store(), 0.9);
     assert_violated_without(
         &unresponsive_store(),
-        Ablation::WaitForever,
+        Ablation::NoCallTimeout,
         Rule::Configuration,
     );
 }
@@ -288,7 +290,7 @@
 #[test]
 fn a_configuration_is_applied_in_time_after_a_long_outage() {
     let scenario = Scenario {
-        length: Duration::from_secs(26),
+        duration: Duration::from_secs(26),
         ..baseline()
     };
     let scenario = scenario
@@ -324,7 +326,7 @@
 /// Restarts all nodes, one after the other, while the store is unavailable.
 fn node_restarts_in_outage() -> Scenario {
     let mut scenario = Scenario {
-        length: Duration::from_secs(24),
+        duration: Duration::from_secs(24),
         ..baseline()
     }
     .at(3_000, Action::SetStoreMode(StoreMode::Silent));
@@ -337,8 +339,8 @@
 #[test]
 fn nodes_that_start_in_an_outage_get_the_state_from_peers() {
     assert_no_violations(&node_restarts_in_outage(), 0.99);
-    let without_peers = play(node_restarts_in_outage().without(Ablation::NoPeers), 1);
-    let with_peers = play(node_restarts_in_outage(), 1);
+    let without_peers = simulate(node_restarts_in_outage().without(Ablation::NoPeers), 1);
+    let with_peers = simulate(node_restarts_in_outage(), 1);
     assert!(
         without_peers.served * 10 < with_peers.served * 9,
         "{} requests were served without peers, {} with them",
@@ -351,9 +353,9 @@
 #[test]
 fn records_that_expire_in_an_outage_fail_no_requests() {
     let scenario = baseline()
-        .at(5_000, Action::Store(StoreMode::Silent))
-        .at(9_000, Action::Store(StoreMode::Up))
-        .at(9_000, Action::Lapse);
+        .at(5_000, Action::SetStoreMode(StoreMode::Silent))
+        .at(9_000, Action::SetStoreMode(StoreMode::Up))
+        .at(9_000, Action::ExpireRecords);
     assert_no_violations(&scenario, 0.99);
 }
 
@@ -393,12 +395,12 @@
     assert_no_violations(&address_reuse(), 0.8);
     assert_violated_without(
         &address_reuse_of_all_targets(),
-        Ablation::AnyInstance,
+        Ablation::NoInstanceCheck,
         Rule::Route,
     );
     for seed in SEEDS {
         assert_eq!(
-            play(address_reuse_of_all_targets(), seed).violations,
+            simulate(address_reuse_of_all_targets(), seed).violations,
             [],
             "seed {seed}"
         );
@@ -437,7 +439,7 @@
 #[test]
 fn no_open_flow_is_reset_while_links_are_saturated() {
     for seed in SEEDS {
-        let report = play(saturated_links(), seed);
+        let report = simulate(saturated_links(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(
             report.served > 500,
@@ -464,8 +466,8 @@
     let without_probes = scenario.clone().without(Ablation::NoProbes);
     for seed in SEEDS {
         let (with, without) = (
-            play(scenario.clone(), seed),
-            play(without_probes.clone(), seed),
+            simulate(scenario.clone(), seed),
+            simulate(without_probes.clone(), seed),
         );
         assert!(with.resets_by_nodes > 0, "seed {seed}");
         assert_eq!(without.resets_by_nodes, 0, "seed {seed}");
@@ -484,11 +486,11 @@
         ..baseline()
     };
     let with_refusals = (0..8).fold(scenario, |scenario, target| {
-        scenario.at(5_000, Action::Deafen { target })
+        scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
         assert_eq!(
-            play(with_refusals.clone(), seed).violations,
+            simulate(with_refusals.clone(), seed).violations,
             [],
             "seed {seed}"
         );
@@ -510,7 +512,7 @@
         let reports = SEEDS.map(|seed| simulate(scenario.clone(), seed));
         reports.map(|report| report.resets_by_nodes).sum()
     };
-    let without_idle_resets = scenario.clone().without(Ablation::NoRestingEnds);
+    let without_idle_resets = scenario.clone().without(Ablation::NoIdleFlowResets);
     assert_no_violations(&scenario, 0.9);
     assert!(resets(&scenario) > 0);
     assert!(failed_requests(&scenario) <= failed_requests(&without_idle_resets));
@@ -528,16 +530,16 @@
         ..baseline()
     };
     let with_refusals = (0..8).fold(scenario, |scenario, target| {
-        scenario.at(5_000, Action::Deafen { target })
+        scenario.at(5_000, Action::RefuseConnections { target })
     });
     for seed in SEEDS {
         assert_eq!(
-            play(with_refusals.clone(), seed).violations,
+            simulate(with_refusals.clone(), seed).violations,
             [],
             "seed {seed}"
         );
     }
-    assert_violated_without(&with_refusals, Ablation::NoObjections, Rule::Flow);
+    assert_violated_without(&with_refusals, Ablation::NoRefutations, Rule::Flow);
 }
 
 /// Flows of a crashed target are reset once another instance has its address. Their clients then reconnect instead of
@@ -560,8 +562,8 @@
     assert_no_violations(&scenario, 0.95);
     for seed in SEEDS {
         let (with, without) = (
-            play(scenario.clone(), seed),
-            play(without_resets.clone(), seed),
+            simulate(scenario.clone(), seed),
+            simulate(without_resets.clone(), seed),
         );
         assert!(with.resets_by_nodes > 0, "seed {seed}");
         assert_eq!(without.resets_by_nodes, 0, "seed {seed}");
@@ -574,7 +576,7 @@
 fn address_reuse_during_node_restarts() -> Scenario {
     let mut scenario = Scenario {
         long_clients: 60,
-        length: Duration::from_secs(26),
+        duration: Duration::from_secs(26),
         ..baseline()
     };
     for (index, target) in [0, 1, 2].into_iter().enumerate() {
@@ -602,7 +604,7 @@
 fn no_open_flow_of_a_reused_address_is_reset_while_nodes_restart() {
     assert_no_violations(&address_reuse_during_node_restarts(), 0.9);
     let rendezvous = Scenario {
-        hash: RouterHash::Steady,
+        hash: RouterHash::Rendezvous,
         loss: 0.02,
         ..address_reuse_during_node_restarts()
     };
@@ -621,8 +623,8 @@
     for target in 0..4 {
         scenario = scenario.at(8_000, Action::Crash { target });
     }
-    scenario = scenario.at(7_900, Action::Store(StoreMode::Silent));
-    let hash_only = scenario.clone().without(Ablation::NoLoad);
+    scenario = scenario.at(7_900, Action::SetStoreMode(StoreMode::Silent));
+    let hash_only = scenario.clone().without(Ablation::IgnoreLoad);
     let (by_load, by_hash) = (slow_requests(&scenario), slow_requests(&hash_only));
     assert!(
         by_load < by_hash,
@@ -641,13 +643,13 @@
     }
     // With loads, a node avoids a target after one failure and gains little from its peers. Probes would detect the
     // crash as well. Without both, the effect of the peers' suspicions remains.
-    .without(Ablation::NoLoad)
+    .without(Ablation::IgnoreLoad)
     .without(Ablation::NoProbes);
     for target in 0..4 {
         scenario = scenario.at(8_000, Action::Crash { target });
     }
     // The store must not remove the records of the crashed targets.
-    scenario = scenario.at(7_900, Action::Store(StoreMode::Silent));
+    scenario = scenario.at(7_900, Action::SetStoreMode(StoreMode::Silent));
     let (with, without) = (
         slow_requests(&scenario),
         slow_requests(&scenario.clone().without(Ablation::NoPeerSuspicions)),
@@ -662,7 +664,7 @@
 #[test]
 fn compacted_history_fails_no_requests() {
     let scenario = baseline()
-        .at(5_000, Action::Staleness(ms(5_500)))
+        .at(5_000, Action::SetStaleness(ms(5_500)))
         .at(6_000, Action::Compact)
         .at(
             6_500,
@@ -672,7 +674,7 @@
             },
         )
         .at(7_000, Action::Configure { probe: Some(1) })
-        .at(12_000, Action::Staleness(Duration::ZERO));
+        .at(12_000, Action::SetStaleness(Duration::ZERO));
     assert_no_violations(&scenario, 1.0);
     // Most nodes watch with stale reads; the reader sends them newer changes.
     assert_violated_without(&scenario, Ablation::NoReader, Rule::Drain);
@@ -682,7 +684,7 @@
 fn kill_of_all_nodes(store: StoreMode) -> Scenario {
     let scenario = Scenario {
         nodes: 30,
-        length: Duration::from_secs(30),
+        duration: Duration::from_secs(30),
         ..baseline()
     };
     scenario
@@ -709,7 +711,7 @@
 fn changes_without_watchers(fault: Action) -> Scenario {
     let scenario = Scenario {
         nodes: 12,
-        length: Duration::from_secs(24),
+        duration: Duration::from_secs(24),
         ..baseline()
     };
     scenario
@@ -729,15 +731,15 @@
 fn changes_are_applied_in_time_after_all_watchers_die() {
     let scenario = changes_without_watchers(Action::KillWatchers { down: ms(3_000) });
     assert_no_violations(&scenario, 0.9);
-    assert_violated_without(&scenario, Ablation::RestForever, Rule::Configuration);
-    assert_violated_without(&scenario, Ablation::RestForever, Rule::Drain);
+    assert_violated_without(&scenario, Ablation::IdleForever, Rule::Configuration);
+    assert_violated_without(&scenario, Ablation::IdleForever, Rule::Drain);
 }
 
 #[test]
 fn changes_are_applied_in_time_after_all_watchers_lose_the_store() {
     let scenario = changes_without_watchers(Action::CutWatchers);
     assert_no_violations(&scenario, 1.0);
-    assert_violated_without(&scenario, Ablation::RestForever, Rule::Configuration);
+    assert_violated_without(&scenario, Ablation::IdleForever, Rule::Configuration);
 }
 
 /// The store sustains few readers, so the number of calls must not grow with the number of nodes, apart from the two
@@ -819,7 +821,7 @@
 /// allowed, but don't prove that there are no newer changes.
 fn changes_without_watchers_and_lagging_reads(fault: Action) -> Scenario {
     let lagging = changes_without_watchers(fault);
-    lagging.at(2_000, Action::Staleness(ms(5_000)))
+    lagging.at(2_000, Action::SetStaleness(ms(5_000)))
 }
 
 #[test]
--- a/crates/bellyoke-lab/tests/cookie_zones.rs
+++ b/crates/bellyoke-lab/tests/cookie_zones.rs
@@ -27,7 +27,7 @@
 /// Asserts that no rule is violated and that at least `minimum_served_share` of the requests are served.
 fn assert_no_violations(scenario: &Scenario, minimum_served_share: f64) {
     for seed in SEEDS {
-        let report = play(scenario.clone(), seed);
+        let report = simulate(scenario.clone(), seed);
         let served_share = report.served as f64 / (report.served + report.failed) as f64;
         assert_eq!(report.violations, [], "seed {seed}");
         assert!(
@@ -41,7 +41,7 @@
 fn assert_violated_without_zone_drains(scenario: &Scenario) {
     let without_drains = scenario.clone().without(Ablation::IgnoreDrainedZones);
     for seed in SEEDS {
-        let violations = play(without_drains.clone(), seed).violations;
+        let violations = simulate(without_drains.clone(), seed).violations;
         let mut rules = violations.iter().map(|violation| violation.rule);
         assert!(rules.any(|rule| rule == Rule::ZoneDrain), "seed {seed}");
     }
@@ -94,7 +94,7 @@
         scenario = scenario.at(12_000, Action::UndrainZone(zone));
     }
     // Clients of the probe route can't distinguish this refusal from that of a missing route.
-    scenario.probes = 0;
+    scenario.probe_clients = 0;
     for seed in SEEDS {
         let report = simulate(scenario.clone(), seed);
         assert_eq!(report.violations, [], "seed {seed}");
