--- a/crates/bellyoke-balancer/src/process/traffic/housekeeping.rs
+++ b/crates/bellyoke-balancer/src/process/traffic/housekeeping.rs
@@ -77,7 +77,7 @@
         worker,
         flows: flows.collect(),
     }];
-    let buckets = decider.settled(now, forwarding);
+    let buckets = decider.settled_buckets(now, forwarding);
     if !buckets.is_empty() {
         reports.push(WorkerReport::Settled {
             worker,
--- a/crates/bellyoke-balancer/src/process/traffic/worker.rs
+++ b/crates/bellyoke-balancer/src/process/traffic/worker.rs
@@ -121,7 +121,7 @@
         let previous = std::mem::replace(&mut self.path.forwarding, Arc::clone(&next));
         let decider = &mut self.path.decider;
         let mut opened = decider.opened_for_handover(now, &previous, &next);
-        decider.adopt(now, &next);
+        decider.apply_generation(now, &next);
         if let Some(unsent) = self.pending_adoption.take() {
             opened.extend(unsent.opened);
         }
--- a/crates/bellyoke-core/src/flow/decider/standing.rs
+++ b/crates/bellyoke-core/src/flow/decider/backend_usability.rs
@@ -5,21 +5,21 @@
 
 /// Whether a backend may be given packets of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum BackendUsability {
     Usable,
-    Gone,
+    Unavailable,
     OtherService,
 }
 
-pub(super) fn backend_standing(
+pub(super) fn backend_usability(
     forwarding: &Forwarding,
     backend: BackendId,
     service: ServiceId,
-) -> Standing {
+) -> BackendUsability {
     match forwarding.backends.get(&backend) {
-        None => Standing::Gone,
-        Some(found) if found.state == BackendState::Dead => Standing::Gone,
-        Some(found) if found.service != Some(service) => Standing::OtherService,
-        Some(_) => Standing::Usable,
+        None => BackendUsability::Unavailable,
+        Some(found) if found.state == BackendState::Dead => BackendUsability::Unavailable,
+        Some(found) if found.service != Some(service) => BackendUsability::OtherService,
+        Some(_) => BackendUsability::Usable,
     }
 }
--- a/crates/bellyoke-core/src/flow/decider/maintenance.rs
+++ b/crates/bellyoke-core/src/flow/decider/maintenance.rs
@@ -2,7 +2,7 @@
 
 use crate::flow::decider::Decider;
 use crate::flow::record::{FlowRecord, FlowState};
-use crate::flow::services::ServiceIndex;
+use crate::flow::service_index::ServiceIndex;
 use crate::flow::sweep::SweepReport;
 use crate::flow::tick::Tick;
 use crate::flow::{FlowPlace, OpenedFlow, SettledBucket};
@@ -19,21 +19,22 @@
         forwarding: &Forwarding,
         max_slots: u32,
     ) -> SweepReport {
-        self.adopt(now, forwarding);
+        self.apply_generation(now, forwarding);
         let now = Tick::at(now);
         let mut report = SweepReport::default();
         while report.visited < max_slots {
-            let Some(slot) = self.table.next_swept(now) else {
-                report.round_complete = true;
+            let Some(slot) = self.table.next_sweep_slot(now) else {
+                report.pass_complete = true;
                 break;
             };
             report.visited += 1;
-            let Some(record) = self.table.at(slot) else {
+            let Some(record) = self.table.record_at(slot) else {
                 continue;
             };
-            self.settlement.met(record, &self.services, forwarding);
+            self.settlement
+                .record_swept(record, &self.services, forwarding);
             if self.timeouts.has_expired(record, now) {
-                self.table.remove_swept(slot);
+                self.table.remove_at_sweep(slot);
                 report.expired += 1;
             }
         }
@@ -53,8 +54,8 @@
         next: &Forwarding,
     ) -> Vec<OpenedFlow> {
         let now = Tick::at(now);
-        let before = ServiceIndex::of(previous);
-        let after = ServiceIndex::of(next);
+        let before = ServiceIndex::new(previous);
+        let after = ServiceIndex::new(next);
         let records = self.table.iter();
         let recent = records.filter(|record| self.is_recently_opened(record, now));
         recent
@@ -82,18 +83,22 @@
     /// may be under way until then.
     #[must_use]
     pub fn handover_ready_at(&self, now: Timestamp) -> Option<Timestamp> {
-        let opening = self.unrecorded_opening?;
-        let ready = opening.plus(self.timeouts.delay_horizon).end();
+        let opening = self.last_unrecorded_opening?;
+        let ready = opening.saturating_add(self.timeouts.delay_horizon).end();
         (ready > now).then_some(ready)
     }
 
     /// Contested buckets of hashed services in which, for the idle timeout of the service,
     /// this table saw no flow off target. The list is whole each time: a bucket that is missing
     /// from it has had such a flow since.
-    pub fn settled(&mut self, now: Timestamp, forwarding: &Forwarding) -> Vec<SettledBucket> {
-        self.adopt(now, forwarding);
-        match self.table.last_round_began() {
-            Some(round_began) => self.settlement.settled(round_began),
+    pub fn settled_buckets(
+        &mut self,
+        now: Timestamp,
+        forwarding: &Forwarding,
+    ) -> Vec<SettledBucket> {
+        self.apply_generation(now, forwarding);
+        match self.table.last_complete_pass_start() {
+            Some(pass_start) => self.settlement.settled(pass_start),
             None => Vec::new(),
         }
     }
@@ -106,7 +111,9 @@
         let recent = !now.is_later_than(record.opened_at, horizon);
         match record.transport {
             Transport::Udp => true,
-            Transport::Tcp => record.opened_here && (recent || record.state == FlowState::HalfOpen),
+            Transport::Tcp => {
+                record.opened_locally && (recent || record.state == FlowState::HalfOpen)
+            }
         }
     }
 }
--- a/crates/bellyoke-core/src/flow/decider/mod.rs
+++ b/crates/bellyoke-core/src/flow/decider/mod.rs
@@ -1,15 +1,15 @@
 //! What a traffic thread does with a packet.
 
+mod backend_usability;
+mod eviction;
 mod maintenance;
 mod packets;
-mod room;
-mod standing;
 mod timeouts;
 
 use crate::flow::counters::FlowCounters;
 use crate::flow::decider::timeouts::Timeouts;
 use crate::flow::record::{FlowRecord, FlowState, NewFlow};
-use crate::flow::services::ServiceIndex;
+use crate::flow::service_index::ServiceIndex;
 use crate::flow::settlement::Settlement;
 use crate::flow::table::FlowTable;
 use crate::flow::tick::{Tick, TickSpan};
@@ -27,11 +27,11 @@
     services: ServiceIndex,
     settlement: Settlement,
     /// The slot at which the next search for a flow to forget begins.
-    eviction: usize,
-    adopted: Option<GenerationNumber>,
+    next_eviction_slot: usize,
+    generation: Option<GenerationNumber>,
     /// Above the number of every backend that a generation has named so far.
-    next_backend: BackendId,
-    unrecorded_opening: Option<Tick>,
+    known_backends_end: BackendId,
+    last_unrecorded_opening: Option<Tick>,
     counters: FlowCounters,
 }
 
@@ -41,17 +41,17 @@
     pub fn new(settings: &FlowSettings) -> Self {
         Self {
             timeouts: Timeouts {
-                half_open: TickSpan::covering(settings.half_open_timeout),
-                closing: TickSpan::covering(settings.closing_timeout),
-                delay_horizon: TickSpan::covering(settings.delay_horizon),
+                half_open: TickSpan::from_duration(settings.half_open_timeout),
+                closing: TickSpan::from_duration(settings.closing_timeout),
+                delay_horizon: TickSpan::from_duration(settings.delay_horizon),
             },
             table: FlowTable::new(settings.capacity),
             services: ServiceIndex::default(),
             settlement: Settlement::default(),
-            eviction: 0,
-            adopted: None,
-            next_backend: BackendId(0),
-            unrecorded_opening: None,
+            next_eviction_slot: 0,
+            generation: None,
+            known_backends_end: BackendId(0),
+            last_unrecorded_opening: None,
             counters: FlowCounters::default(),
         }
     }
@@ -59,16 +59,16 @@
     /// Prepares for a generation. Every call with a [`Forwarding`] does so when it names a
     /// generation other than the last; a thread that switches calls this first, so that no
     /// packet waits for it.
-    pub fn adopt(&mut self, now: Timestamp, forwarding: &Forwarding) {
-        if self.adopted == Some(forwarding.generation) {
+    pub fn apply_generation(&mut self, now: Timestamp, forwarding: &Forwarding) {
+        if self.generation == Some(forwarding.generation) {
             return;
         }
-        self.adopted = Some(forwarding.generation);
-        self.services = ServiceIndex::of(forwarding);
+        self.generation = Some(forwarding.generation);
+        self.services = ServiceIndex::new(forwarding);
         let newest = forwarding.backends.keys().max();
         let above = newest.map_or(BackendId(0), |newest| BackendId(newest.0.saturating_add(1)));
-        self.next_backend = self.next_backend.max(above);
-        self.settlement.adopt(Tick::at(now), forwarding);
+        self.known_backends_end = self.known_backends_end.max(above);
+        self.settlement.apply_generation(Tick::at(now), forwarding);
     }
 
     /// Takes note of what a bucket's owner said of a flow.
@@ -79,8 +79,8 @@
     /// as of a backend that is gone.
     pub fn learn(&mut self, now: Timestamp, place: &FlowPlace, backend: BackendId) {
         let now = Tick::at(now);
-        self.settlement.saw(now, place, backend);
-        if backend >= self.next_backend {
+        self.settlement.record_packet(now, place, backend);
+        if backend >= self.known_backends_end {
             self.counters.learned_early += 1;
             return;
         }
@@ -94,7 +94,7 @@
             transport: service.transport(),
             idle_timeout: service.idle_timeout,
             state: FlowState::Established,
-            opened_here: true,
+            opened_locally: true,
         };
         match self.table.insert(FlowRecord::new(now, flow)) {
             Ok(()) => self.counters.learned += 1,
@@ -103,7 +103,7 @@
     }
 
     /// Forgets a flow.
-    pub fn forget(&mut self, place: &FlowPlace) {
+    pub fn remove_flow(&mut self, place: &FlowPlace) {
         self.table.remove(place.hash);
     }
 
--- a/crates/bellyoke-core/src/flow/decider/packets.rs
+++ b/crates/bellyoke-core/src/flow/decider/packets.rs
@@ -1,7 +1,7 @@
 //! What is done with one packet.
 
 use crate::flow::decider::Decider;
-use crate::flow::decider::standing::{Standing, backend_standing};
+use crate::flow::decider::backend_usability::{BackendUsability, backend_usability};
 use crate::flow::record::{FlowRecord, FlowState, NewFlow};
 use crate::flow::tick::{Tick, TickSpan};
 use crate::flow::{Decision, DropReason, Escalation, EscalationKind, FlowPlace, LeaseState};
@@ -12,10 +12,10 @@
 
 /// Packets whose cache misses overlap: as many as the line fill buffers of current
 /// processors, and some.
-const LARGEST_BATCH: usize = 32;
+const MAXIMUM_BATCH_PACKETS: usize = 32;
 
 /// What is known of a packet once its flow's hash is.
-pub(super) struct Seen<'a> {
+pub(super) struct PacketContext<'a> {
     pub(super) now: Tick,
     pub(super) hash: FlowHash,
     pub(super) packet: &'a PacketSummary,
@@ -30,13 +30,13 @@
         lease: LeaseState,
         packet: &PacketSummary,
     ) -> Decision {
-        self.adopt(now, forwarding);
-        let seen = Seen {
+        self.apply_generation(now, forwarding);
+        let context = PacketContext {
             now: Tick::at(now),
             hash: forwarding.hasher.hash(&packet.key),
             packet,
         };
-        self.decide_seen(forwarding, lease, &seen)
+        self.decide_packet(forwarding, lease, &context)
     }
 
     /// Decides many packets that came together: as [`Self::decide`] one after the other, but
@@ -49,30 +49,30 @@
         packets: &[PacketSummary],
         decisions: &mut Vec<Decision>,
     ) {
-        self.adopt(now, forwarding);
+        self.apply_generation(now, forwarding);
         let now = Tick::at(now);
-        for batch in packets.chunks(LARGEST_BATCH) {
-            let mut hashes = [FlowHash(0); LARGEST_BATCH];
+        for batch in packets.chunks(MAXIMUM_BATCH_PACKETS) {
+            let mut hashes = [FlowHash(0); MAXIMUM_BATCH_PACKETS];
             for (hash, packet) in hashes.iter_mut().zip(batch) {
                 *hash = forwarding.hasher.hash(&packet.key);
             }
-            self.table.touch(&hashes[..batch.len()]);
+            self.table.prefetch(&hashes[..batch.len()]);
             for (hash, packet) in hashes.into_iter().zip(batch) {
-                let seen = Seen { now, hash, packet };
-                decisions.push(self.decide_seen(forwarding, lease, &seen));
+                let context = PacketContext { now, hash, packet };
+                decisions.push(self.decide_packet(forwarding, lease, &context));
             }
         }
     }
 
-    fn decide_seen(
+    fn decide_packet(
         &mut self,
         forwarding: &Forwarding,
         lease: LeaseState,
-        seen: &Seen<'_>,
+        context: &PacketContext<'_>,
     ) -> Decision {
-        let decision = match self.decide_known(forwarding, seen) {
+        let decision = match self.decide_known(forwarding, context) {
             Some(decision) => decision,
-            None => self.decide_unknown(forwarding, lease, seen),
+            None => self.decide_unknown(forwarding, lease, context),
         };
         self.counters.count(decision);
         decision
@@ -80,30 +80,34 @@
 
     /// Decides a packet of a flow that is held; none if there is no such flow, or if it has
     /// ended and the packet opens another of the same ports.
-    fn decide_known(&mut self, forwarding: &Forwarding, seen: &Seen<'_>) -> Option<Decision> {
-        let record = self.table.get_mut(seen.hash)?;
-        if self.timeouts.has_expired(record, seen.now) {
+    fn decide_known(
+        &mut self,
+        forwarding: &Forwarding,
+        context: &PacketContext<'_>,
+    ) -> Option<Decision> {
+        let record = self.table.get_mut(context.hash)?;
+        if self.timeouts.has_expired(record, context.now) {
             return None;
         }
-        if self.timeouts.reopens(record, seen) {
+        if self.timeouts.reopens(record, context) {
             // The next packets of the new flow may come before the owner's answer: they must
             // not follow the old one.
-            self.table.remove(seen.hash);
+            self.table.remove(context.hash);
             return None;
         }
         if record.state == FlowState::Reset {
             return Some(Decision::Reset);
         }
-        match backend_standing(forwarding, record.backend, record.service) {
-            Standing::Usable => {
-                follow(record, seen);
+        match backend_usability(forwarding, record.backend, record.service) {
+            BackendUsability::Usable => {
+                update_record(record, context);
                 Some(Decision::Forward(record.backend))
             }
-            standing => {
+            usability => {
                 // Not seen any later: a UDP caller that goes on sending must not keep the
                 // flow alive that it cannot use.
                 record.state = FlowState::Reset;
-                Some(self.refuse(standing))
+                Some(self.reset_flow(usability))
             }
         }
     }
@@ -112,12 +116,12 @@
         &mut self,
         forwarding: &Forwarding,
         lease: LeaseState,
-        seen: &Seen<'_>,
+        context: &PacketContext<'_>,
     ) -> Decision {
         let endpoint = ServiceEndpoint {
-            transport: seen.packet.key.transport,
-            address: seen.packet.key.destination,
-            port: seen.packet.key.destination_port,
+            transport: context.packet.key.transport,
+            address: context.packet.key.destination,
+            port: context.packet.key.destination_port,
         };
         let Some(service) = forwarding.services.get(&endpoint) else {
             return Decision::Drop(DropReason::UnknownService);
@@ -127,16 +131,18 @@
         if lease == LeaseState::Fenced {
             return Decision::Drop(DropReason::Fenced);
         }
-        let bucket = service.bucket(seen.hash);
+        let bucket = service.bucket(context.hash);
         match service.route(bucket) {
-            BucketRoute::Clean(backend) => self.forward_clean(forwarding, service, backend, seen),
+            BucketRoute::Clean(backend) => {
+                self.forward_clean(forwarding, service, backend, context)
+            }
             BucketRoute::Contested { .. } => Decision::Escalate(Escalation {
                 place: FlowPlace {
                     service: service.id,
                     bucket,
-                    hash: seen.hash,
+                    hash: context.hash,
                 },
-                kind: escalation_kind(seen.packet),
+                kind: escalation_kind(context.packet),
             }),
         }
     }
@@ -146,25 +152,25 @@
         forwarding: &Forwarding,
         service: &ServiceForwarding,
         backend: BackendId,
-        seen: &Seen<'_>,
+        context: &PacketContext<'_>,
     ) -> Decision {
-        match backend_standing(forwarding, backend, service.id) {
-            Standing::Usable => {}
-            standing => return self.refuse(standing),
+        match backend_usability(forwarding, backend, service.id) {
+            BackendUsability::Usable => {}
+            usability => return self.reset_flow(usability),
         }
         // Anyone can send an ICMP error: it makes no record.
-        if seen.packet.kind == PacketKind::IcmpError {
+        if context.packet.kind == PacketKind::IcmpError {
             return Decision::Forward(backend);
         }
-        let record = FlowRecord::new(seen.now, new_flow(service, backend, seen));
-        if self.record(forwarding, seen.now, record) {
+        let record = FlowRecord::new(context.now, new_flow(service, backend, context));
+        if self.insert_record(forwarding, context.now, record) {
             return Decision::Forward(backend);
         }
-        self.forward_unrecorded(backend, seen)
+        self.forward_without_record(backend, context)
     }
 
-    fn refuse(&mut self, standing: Standing) -> Decision {
-        if standing == Standing::OtherService {
+    fn reset_flow(&mut self, usability: BackendUsability) -> Decision {
+        if usability == BackendUsability::OtherService {
             self.counters.service_mismatch += 1;
         }
         Decision::Reset
@@ -179,20 +185,24 @@
     }
 }
 
-fn new_flow(service: &ServiceForwarding, backend: BackendId, seen: &Seen<'_>) -> NewFlow {
-    let packet = seen.packet;
+fn new_flow(
+    service: &ServiceForwarding,
+    backend: BackendId,
+    context: &PacketContext<'_>,
+) -> NewFlow {
+    let packet = context.packet;
     NewFlow {
-        hash: seen.hash,
+        hash: context.hash,
         service: service.id,
         backend,
         transport: packet.key.transport,
-        idle_timeout: TickSpan::covering(service.idle_timeout),
-        state: first_state(packet),
-        opened_here: packet.may_open(),
+        idle_timeout: TickSpan::from_duration(service.idle_timeout),
+        state: initial_state(packet),
+        opened_locally: packet.may_open(),
     }
 }
 
-fn first_state(packet: &PacketSummary) -> FlowState {
+fn initial_state(packet: &PacketSummary) -> FlowState {
     match packet.kind {
         PacketKind::Tcp(flags) if flags.rst || (flags.fin && !packet.may_open()) => {
             FlowState::Closing
@@ -203,8 +213,8 @@
 }
 
 /// Takes a packet of a known flow into its record.
-fn follow(record: &mut FlowRecord, seen: &Seen<'_>) {
-    match seen.packet.kind {
+fn update_record(record: &mut FlowRecord, context: &PacketContext<'_>) {
+    match context.packet.kind {
         // Anyone can send an ICMP error: it keeps no flow alive.
         PacketKind::IcmpError => return,
         PacketKind::Udp => {}
@@ -214,5 +224,5 @@
         }
         PacketKind::Tcp(_) => {}
     }
-    record.last_seen = seen.now;
+    record.last_seen = context.now;
 }
--- a/crates/bellyoke-core/src/flow/decider/timeouts.rs
+++ b/crates/bellyoke-core/src/flow/decider/timeouts.rs
@@ -1,6 +1,6 @@
 //! When a flow is over.
 
-use crate::flow::decider::packets::Seen;
+use crate::flow::decider::packets::PacketContext;
 use crate::flow::record::{FlowRecord, FlowState};
 use crate::flow::tick::{Tick, TickSpan};
 use crate::packet::Transport;
@@ -25,10 +25,12 @@
 
     /// Whether a packet opens another flow of the same ports. Within the delay horizon it may
     /// be a late copy of the one that opened the flow.
-    pub(super) fn reopens(&self, record: &FlowRecord, seen: &Seen<'_>) -> bool {
+    pub(super) fn reopens(&self, record: &FlowRecord, context: &PacketContext<'_>) -> bool {
         matches!(record.state, FlowState::Closing | FlowState::Reset)
             && record.transport == Transport::Tcp
-            && seen.packet.may_open()
-            && seen.now.is_later_than(record.opened_at, self.delay_horizon)
+            && context.packet.may_open()
+            && context
+                .now
+                .is_later_than(record.opened_at, self.delay_horizon)
     }
 }
--- a/crates/bellyoke-core/src/flow/mod.rs
+++ b/crates/bellyoke-core/src/flow/mod.rs
@@ -4,7 +4,7 @@
 mod decider;
 mod decision;
 mod record;
-mod services;
+mod service_index;
 mod settings;
 mod settlement;
 mod sweep;
--- a/crates/bellyoke-core/src/flow/record.rs
+++ b/crates/bellyoke-core/src/flow/record.rs
@@ -37,7 +37,7 @@
     pub transport: Transport,
     /// Whether this node opened it, by table or through the bucket's owner; not if the
     /// node took it over by a later packet.
-    pub opened_here: bool,
+    pub opened_locally: bool,
 }
 
 /// What a new [`FlowRecord`] is made from.
@@ -49,7 +49,7 @@
     pub(super) transport: Transport,
     pub(super) idle_timeout: TickSpan,
     pub(super) state: FlowState,
-    pub(super) opened_here: bool,
+    pub(super) opened_locally: bool,
 }
 
 impl FlowRecord {
@@ -63,7 +63,7 @@
             idle_timeout: flow.idle_timeout,
             state: flow.state,
             transport: flow.transport,
-            opened_here: flow.opened_here,
+            opened_locally: flow.opened_locally,
         }
     }
 
--- a/crates/bellyoke-core/src/flow/services.rs
+++ b/crates/bellyoke-core/src/flow/service_index.rs
@@ -26,12 +26,12 @@
 }
 
 impl ServiceIndex {
-    pub(super) fn of(forwarding: &Forwarding) -> Self {
+    pub(super) fn new(forwarding: &Forwarding) -> Self {
         let services = forwarding.services.iter();
         let entries = services.map(|(endpoint, service)| {
             let entry = ServiceEntry {
                 endpoint: *endpoint,
-                idle_timeout: TickSpan::covering(service.idle_timeout),
+                idle_timeout: TickSpan::from_duration(service.idle_timeout),
             };
             (service.id, entry)
         });
--- a/crates/bellyoke-core/src/flow/settlement.rs
+++ b/crates/bellyoke-core/src/flow/settlement.rs
@@ -5,7 +5,7 @@
 //! began an idle timeout after that, met every record and found nothing newer.
 
 use crate::flow::record::FlowRecord;
-use crate::flow::services::ServiceIndex;
+use crate::flow::service_index::ServiceIndex;
 use crate::flow::tick::{Tick, TickSpan};
 use crate::flow::{FlowPlace, SettledBucket};
 use crate::generation::{BucketRoute, Forwarding, Placement, ServiceForwarding};
@@ -14,36 +14,36 @@
 
 /// A contested bucket that is being watched.
 #[derive(Clone, Copy, Debug)]
-struct Watch {
+struct WatchedBucket {
     target: Option<BackendId>,
     idle_timeout: TickSpan,
     /// Since when no flow off target was seen.
-    quiet_since: Tick,
+    idle_since: Tick,
 }
 
 /// All contested buckets of hashed services.
 #[derive(Debug, Default)]
 pub(super) struct Settlement {
-    watches: HashMap<SettledBucket, Watch>,
+    watched: HashMap<SettledBucket, WatchedBucket>,
 }
 
 impl Settlement {
     /// Watches the contested buckets of `forwarding`; those that were contested before with
-    /// the same target stay as quiet as they were.
-    pub(super) fn adopt(&mut self, now: Tick, forwarding: &Forwarding) {
+    /// the same target stay as idle as they were.
+    pub(super) fn apply_generation(&mut self, now: Tick, forwarding: &Forwarding) {
         let mut next = HashMap::new();
         let services = forwarding.services.values();
         for service in services.filter(|service| service.placement == Placement::Hashed) {
-            self.adopt_service(now, service, &mut next);
+            self.watch_service(now, service, &mut next);
         }
-        self.watches = next;
+        self.watched = next;
     }
 
-    fn adopt_service(
+    fn watch_service(
         &self,
         now: Tick,
         service: &ServiceForwarding,
-        next: &mut HashMap<SettledBucket, Watch>,
+        next: &mut HashMap<SettledBucket, WatchedBucket>,
     ) {
         for (index, route) in service.routes.iter().enumerate() {
             let BucketRoute::Contested { target } = *route else {
@@ -53,40 +53,40 @@
                 service: service.id,
                 bucket: BucketIndex(index as u32),
             };
-            let before = self.watches.get(&bucket);
-            let quiet_since = before
+            let before = self.watched.get(&bucket);
+            let idle_since = before
                 .filter(|watch| watch.target == target)
-                .map_or(now, |watch| watch.quiet_since);
-            let watch = Watch {
+                .map_or(now, |watch| watch.idle_since);
+            let watch = WatchedBucket {
                 target,
-                idle_timeout: TickSpan::covering(service.idle_timeout),
-                quiet_since,
+                idle_timeout: TickSpan::from_duration(service.idle_timeout),
+                idle_since,
             };
             next.insert(bucket, watch);
         }
     }
 
     /// Takes note that a flow of a bucket was seen on `backend`.
-    pub(super) fn saw(&mut self, at: Tick, place: &FlowPlace, backend: BackendId) {
+    pub(super) fn record_packet(&mut self, at: Tick, place: &FlowPlace, backend: BackendId) {
         let bucket = SettledBucket {
             service: place.service,
             bucket: place.bucket,
         };
-        if let Some(watch) = self.watches.get_mut(&bucket)
+        if let Some(watch) = self.watched.get_mut(&bucket)
             && watch.target != Some(backend)
         {
-            watch.quiet_since = watch.quiet_since.max(at);
+            watch.idle_since = watch.idle_since.max(at);
         }
     }
 
     /// Takes note of a flow that the sweep met.
-    pub(super) fn met(
+    pub(super) fn record_swept(
         &mut self,
         record: &FlowRecord,
         services: &ServiceIndex,
         forwarding: &Forwarding,
     ) {
-        if self.watches.is_empty() {
+        if self.watched.is_empty() {
             return;
         }
         let Some(service) = services.service(forwarding, record.service) else {
@@ -97,16 +97,16 @@
             bucket: service.bucket(record.hash()),
             hash: record.hash(),
         };
-        self.saw(record.last_seen, &place, record.backend);
+        self.record_packet(record.last_seen, &place, record.backend);
     }
 
-    /// All buckets that are settled. `round_began` is the beginning of the newest round of the
+    /// All buckets that are settled. `pass_start` is the beginning of the newest round of the
     /// sweep that is over.
-    pub(super) fn settled(&self, round_began: Tick) -> Vec<SettledBucket> {
-        let is_quiet =
-            |watch: &Watch| round_began.is_later_than(watch.quiet_since, watch.idle_timeout);
-        let quiet = self.watches.iter().filter(|(_, watch)| is_quiet(watch));
-        let mut settled: Vec<SettledBucket> = quiet.map(|(bucket, _)| *bucket).collect();
+    pub(super) fn settled(&self, pass_start: Tick) -> Vec<SettledBucket> {
+        let is_idle =
+            |watch: &WatchedBucket| pass_start.is_later_than(watch.idle_since, watch.idle_timeout);
+        let idle = self.watched.iter().filter(|(_, watch)| is_idle(watch));
+        let mut settled: Vec<SettledBucket> = idle.map(|(bucket, _)| *bucket).collect();
         settled.sort_unstable();
         settled
     }
--- a/crates/bellyoke-core/src/flow/sweep.rs
+++ b/crates/bellyoke-core/src/flow/sweep.rs
@@ -10,28 +10,28 @@
     /// Flows forgotten because they had timed out.
     pub expired: u32,
     /// Whether the step ended a round through the whole table.
-    pub round_complete: bool,
+    pub pass_complete: bool,
 }
 
 /// Where the sweep stands.
 #[derive(Debug, Default)]
 pub(super) struct SweepCursor {
     next: usize,
-    round_began: Tick,
+    pass_start: Tick,
     /// Whether a record was moved from ahead of the sweep to behind it in this round.
-    missed: bool,
-    last_round_began: Option<Tick>,
+    skipped_record: bool,
+    last_complete_pass_start: Option<Tick>,
 }
 
 impl SweepCursor {
     /// The next slot to look at among `slots`; none at the end of a round.
     pub(super) fn advance(&mut self, now: Tick, slots: usize) -> Option<usize> {
         if self.next == 0 {
-            self.round_began = now;
-            self.missed = false;
+            self.pass_start = now;
+            self.skipped_record = false;
         }
         if self.next >= slots {
-            self.end_round();
+            self.end_pass();
             return None;
         }
         let slot = self.next;
@@ -45,21 +45,21 @@
     }
 
     /// Takes note that a record was moved.
-    pub(super) fn note_move(&mut self, from: usize, to: usize) {
+    pub(super) fn record_move(&mut self, from: usize, to: usize) {
         if to < self.next && self.next <= from {
-            self.missed = true;
+            self.skipped_record = true;
         }
     }
 
     /// When the newest round began that is over and met every record.
-    pub(super) fn last_round_began(&self) -> Option<Tick> {
-        self.last_round_began
+    pub(super) fn last_complete_pass_start(&self) -> Option<Tick> {
+        self.last_complete_pass_start
     }
 
-    fn end_round(&mut self) {
+    fn end_pass(&mut self) {
         self.next = 0;
-        if !self.missed {
-            self.last_round_began = Some(self.round_began);
+        if !self.skipped_record {
+            self.last_complete_pass_start = Some(self.pass_start);
         }
     }
 }
--- a/crates/bellyoke-core/src/flow/table.rs
+++ b/crates/bellyoke-core/src/flow/table.rs
@@ -24,7 +24,7 @@
 
 /// Where a search for a flow ends.
 enum Search {
-    Held(usize),
+    Occupied(usize),
     Vacant(usize),
 }
 
@@ -44,7 +44,7 @@
     pub fn new(capacity: u32) -> Self {
         let capacity = capacity.max(1);
         Self {
-            slots: vec![None; slots_for(capacity)],
+            slots: vec![None; slot_count_for(capacity)],
             capacity,
             length: 0,
             sweep: SweepCursor::default(),
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn get(&self, hash: FlowHash) -> Option<&FlowRecord> {
         match self.search(hash) {
-            Search::Held(slot) => self.at(slot),
+            Search::Occupied(slot) => self.record_at(slot),
             Search::Vacant(_) => None,
         }
     }
@@ -99,27 +99,27 @@
     /// The record of the flow with `hash`. Its hash and backend stay as they are.
     pub(super) fn get_mut(&mut self, hash: FlowHash) -> Option<&mut FlowRecord> {
         match self.search(hash) {
-            Search::Held(slot) => self.slots.get_mut(slot)?.as_mut(),
+            Search::Occupied(slot) => self.slots.get_mut(slot)?.as_mut(),
             Search::Vacant(_) => None,
         }
     }
 
     /// Reads the slots where searches for `hashes` begin, none of which waits for another, so
     /// that they are in the cache when the searches come.
-    pub(super) fn touch(&self, hashes: &[FlowHash]) {
+    pub(super) fn prefetch(&self, hashes: &[FlowHash]) {
         for hash in hashes {
-            let slot = &self.slots[self.home(*hash)];
+            let slot = &self.slots[self.home_slot(*hash)];
             black_box(slot.as_ref().map(|record| record.backend));
         }
     }
 
-    /// Number of slots: the range of [`Self::at`].
-    pub(super) fn slots(&self) -> usize {
+    /// Number of slots: the range of [`Self::record_at`].
+    pub(super) fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
     /// The record in a slot, if it holds one.
-    pub(super) fn at(&self, slot: usize) -> Option<&FlowRecord> {
+    pub(super) fn record_at(&self, slot: usize) -> Option<&FlowRecord> {
         self.slots.get(slot)?.as_ref()
     }
 
@@ -130,9 +130,9 @@
     pub(super) fn insert(&mut self, record: FlowRecord) -> Result<(), TableFull> {
         let backend = record.backend;
         match self.search(record.hash()) {
-            Search::Held(slot) => {
+            Search::Occupied(slot) => {
                 if let Some(older) = self.slots[slot].replace(record) {
-                    self.uncount(older.backend);
+                    self.decrement_count(older.backend);
                 }
             }
             Search::Vacant(_) if self.length >= self.capacity => {
@@ -149,7 +149,7 @@
 
     /// Forgets the flow with `hash`.
     pub(super) fn remove(&mut self, hash: FlowHash) {
-        if let Search::Held(slot) = self.search(hash) {
+        if let Search::Occupied(slot) = self.search(hash) {
             self.remove_at(slot);
         }
     }
@@ -159,61 +159,61 @@
         let Some(record) = self.slots[slot].take() else {
             return;
         };
-        self.uncount(record.backend);
+        self.decrement_count(record.backend);
         self.close_gap(slot);
     }
 
     /// The next slot of the sweep; none at the end of a round.
-    pub(super) fn next_swept(&mut self, now: Tick) -> Option<usize> {
-        let slots = self.slots();
+    pub(super) fn next_sweep_slot(&mut self, now: Tick) -> Option<usize> {
+        let slots = self.slot_count();
         self.sweep.advance(now, slots)
     }
 
     /// Forgets the flow in the slot that the sweep is at. The sweep looks at the slot again:
     /// another record may have moved there.
-    pub(super) fn remove_swept(&mut self, slot: usize) {
+    pub(super) fn remove_at_sweep(&mut self, slot: usize) {
         self.sweep.step_back(slot);
         self.remove_at(slot);
     }
 
     /// When the newest round of the sweep began that is over and met every record.
-    pub(super) fn last_round_began(&self) -> Option<Tick> {
-        self.sweep.last_round_began()
+    pub(super) fn last_complete_pass_start(&self) -> Option<Tick> {
+        self.sweep.last_complete_pass_start()
     }
 
     /// Ends, since there are always more slots than records.
     fn search(&self, hash: FlowHash) -> Search {
-        let mut slot = self.home(hash);
+        let mut slot = self.home_slot(hash);
         while let Some(record) = &self.slots[slot] {
             if record.hash() == hash {
-                return Search::Held(slot);
+                return Search::Occupied(slot);
             }
-            slot = self.next(slot);
+            slot = self.next_slot(slot);
         }
         Search::Vacant(slot)
     }
 
     fn close_gap(&mut self, mut gap: usize) {
-        let mut slot = self.next(gap);
+        let mut slot = self.next_slot(gap);
         while let Some(record) = &self.slots[slot] {
-            let home = self.home(record.hash());
+            let home = self.home_slot(record.hash());
             // A record is still found if it doesn't come to lie before its home.
             if self.distance(home, slot) >= self.distance(gap, slot) {
                 self.slots.swap(gap, slot);
-                self.sweep.note_move(slot, gap);
+                self.sweep.record_move(slot, gap);
                 gap = slot;
             }
-            slot = self.next(slot);
+            slot = self.next_slot(slot);
         }
     }
 
     /// By the lower half of the hash: buckets are chosen by the upper one.
-    fn home(&self, hash: FlowHash) -> usize {
+    fn home_slot(&self, hash: FlowHash) -> usize {
         let low = hash.0 & u128::from(u64::MAX);
         ((low * self.slots.len() as u128) >> u64::BITS) as usize
     }
 
-    fn next(&self, slot: usize) -> usize {
+    fn next_slot(&self, slot: usize) -> usize {
         if slot + 1 == self.slots.len() {
             0
         } else {
@@ -229,7 +229,7 @@
         }
     }
 
-    fn uncount(&mut self, backend: BackendId) {
+    fn decrement_count(&mut self, backend: BackendId) {
         self.length -= 1;
         if let Some(count) = self.by_backend.get_mut(&backend) {
             *count -= 1;
@@ -242,6 +242,6 @@
 
 /// Three slots for two records: at a load of two thirds a search looks at two slots for a
 /// known flow and at five for an unknown one, on average (Knuth, TAOCP vol. 3, 6.4).
-fn slots_for(capacity: u32) -> usize {
+fn slot_count_for(capacity: u32) -> usize {
     capacity as usize * 3 / 2 + 1
 }
--- a/crates/bellyoke-core/src/flow/tick.rs
+++ b/crates/bellyoke-core/src/flow/tick.rs
@@ -26,7 +26,7 @@
     }
 
     /// This tick plus `span`, saturating.
-    pub(crate) fn plus(self, span: TickSpan) -> Self {
+    pub(crate) fn saturating_add(self, span: TickSpan) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
@@ -38,7 +38,7 @@
 
 impl TickSpan {
     /// At least `duration`.
-    pub(crate) fn covering(duration: Duration) -> Self {
+    pub(crate) fn from_duration(duration: Duration) -> Self {
         let microseconds = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(saturate(microseconds.div_ceil(TICK_MICROSECONDS)))
     }
--- a/crates/bellyoke-core/tests/decider.rs
+++ b/crates/bellyoke-core/tests/decider.rs
@@ -36,7 +36,7 @@
     assert_eq!(decide(&mut decider, 1, &forwarding, &tcp(1, ACK)), TO_FIRST);
     let record = decider.table().get(hash).unwrap();
     assert_eq!(record.state, FlowState::Established);
-    assert!(record.opened_here);
+    assert!(record.opened_locally);
     assert_eq!(decider.flows_by_backend()[&FIRST], 1);
 }
 
@@ -76,7 +76,7 @@
     decide(&mut decider, 0, &forwarding, &packet);
     decider.learn(second(0), &place(&forwarding, &packet), SECOND);
     assert_eq!(decide(&mut decider, 1, &forwarding, &packet), TO_SECOND);
-    decider.forget(&place(&forwarding, &packet));
+    decider.remove_flow(&place(&forwarding, &packet));
     let expected = escalation(&forwarding, &packet, EscalationKind::Other);
     assert_eq!(decide(&mut decider, 1, &forwarding, &packet), expected);
 }
@@ -248,7 +248,7 @@
     let hash = forwarding.hasher.hash(&tcp(1, ACK).key);
     let record = decider.table().get(hash).unwrap();
     assert_eq!(record.state, FlowState::Established);
-    assert!(!record.opened_here);
+    assert!(!record.opened_locally);
 }
 
 #[test]
@@ -307,8 +307,8 @@
     for left in (0..=visits / 10).rev() {
         let report = decider.sweep(second(61), &forwarding, 10);
         expired += report.expired;
-        assert_eq!(report.round_complete, left == 0);
-        assert!(report.round_complete || report.visited == 10);
+        assert_eq!(report.pass_complete, left == 0);
+        assert!(report.pass_complete || report.visited == 10);
     }
     assert_eq!(expired, 25);
     assert!(decider.table().is_empty());
--- a/crates/bellyoke-core/tests/flow_settlement.rs
+++ b/crates/bellyoke-core/tests/flow_settlement.rs
@@ -11,7 +11,7 @@
 
 fn settled_at(decider: &mut Decider, at: u64, forwarding: &Forwarding) -> Vec<SettledBucket> {
     decider.sweep(second(at), forwarding, 100);
-    decider.settled(second(at), forwarding)
+    decider.settled_buckets(second(at), forwarding)
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let next = contested(2);
-    decider.adopt(second(1), &next);
+    decider.apply_generation(second(1), &next);
     decider.learn(second(2), &place(&next, &tcp(2, SYN)), SECOND);
     decide(&mut decider, 40, &next, &tcp(1, ACK));
     let bucket = |service| SettledBucket {
@@ -43,10 +43,10 @@
 fn a_flow_off_target_that_the_owner_told_of_keeps_its_bucket_from_settling() {
     let mut decider = Decider::new(&settings(10));
     let next = contested(1);
-    decider.adopt(second(0), &next);
+    decider.apply_generation(second(0), &next);
     let flow = place(&next, &tcp(1, ACK));
     decider.learn(second(30), &flow, FIRST);
-    decider.forget(&flow);
+    decider.remove_flow(&flow);
     let bucket = |service| SettledBucket {
         service,
         bucket: BucketIndex(0),
@@ -64,7 +64,7 @@
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     decide(&mut decider, 0, &clean(1), &tcp(2, ACK));
     let next = contested(2);
-    decider.adopt(second(1), &next);
+    decider.apply_generation(second(1), &next);
     decide(&mut decider, 40, &next, &tcp(1, ACK));
     let bucket = |service| SettledBucket {
         service,
@@ -83,13 +83,13 @@
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     decide(&mut decider, 0, &clean(1), &tcp(2, ACK));
     let next = contested(2);
-    decider.adopt(second(1), &next);
+    decider.apply_generation(second(1), &next);
     // Visits the first record, then both flows are seen again.
     decider.sweep(second(50), &next, 1);
     decide(&mut decider, 51, &next, &tcp(1, ACK));
     decide(&mut decider, 51, &next, &tcp(2, ACK));
-    assert!(decider.sweep(second(65), &next, 100).round_complete);
-    assert_eq!(decider.settled(second(65), &next), []);
+    assert!(decider.sweep(second(65), &next, 100).pass_complete);
+    assert_eq!(decider.settled_buckets(second(65), &next), []);
 }
 
 /// Forgets `forgotten` after `slots` slots of a round of the sweep, and tells whether the TCP
@@ -98,7 +98,7 @@
 fn settles_early(ports: Range<u16>, off_target: u16, forgotten: u16, slots: u32) -> bool {
     let mut decider = Decider::new(&settings(8));
     let next = contested(1);
-    decider.adopt(second(0), &next);
+    decider.apply_generation(second(0), &next);
     for port in ports.clone() {
         let backend = if port == off_target { FIRST } else { SECOND };
         decider.learn(second(0), &place(&next, &tcp(port, ACK)), backend);
@@ -107,7 +107,7 @@
         decide(&mut decider, 40, &next, &tcp(port, ACK));
     }
     decider.sweep(second(61), &next, slots);
-    decider.forget(&place(&next, &tcp(forgotten, ACK)));
+    decider.remove_flow(&place(&next, &tcp(forgotten, ACK)));
     decider.sweep(second(61), &next, 100);
     let early = is_tcp_settled(&mut decider, 61, &next);
     decider.sweep(second(101), &next, 100);
@@ -116,7 +116,7 @@
 }
 
 fn is_tcp_settled(decider: &mut Decider, at: u64, forwarding: &Forwarding) -> bool {
-    let settled = decider.settled(second(at), forwarding);
+    let settled = decider.settled_buckets(second(at), forwarding);
     settled.iter().any(|bucket| bucket.service == TCP_SERVICE)
 }
 
@@ -150,7 +150,7 @@
         target: Some(SECOND),
     };
     let next = forwarding(2, to, BucketRoute::Clean(UDP_FIRST));
-    decider.adopt(second(0), &next);
+    decider.apply_generation(second(0), &next);
     decide(&mut decider, 40, &next, &tcp(1, FIN));
     assert_eq!(decide(&mut decider, 60, &next, &udp(1)), TO_UDP_FIRST);
     assert_eq!(settled_at(&mut decider, 61, &next), []);
@@ -160,12 +160,12 @@
 #[test]
 fn a_new_target_starts_the_idle_time_again() {
     let mut decider = Decider::new(&settings(10));
-    decider.adopt(second(0), &contested(1));
+    decider.apply_generation(second(0), &contested(1));
     let back = BucketRoute::Contested {
         target: Some(FIRST),
     };
     let next = forwarding(2, back, BucketRoute::Clean(UDP_FIRST));
-    decider.adopt(second(30), &next);
+    decider.apply_generation(second(30), &next);
     assert_eq!(settled_at(&mut decider, 61, &next), []);
     assert_eq!(settled_at(&mut decider, 91, &next).len(), 1);
 }
@@ -177,6 +177,6 @@
     for service in forwarding.services.values_mut() {
         service.placement = Placement::LeastLoaded;
     }
-    decider.adopt(second(0), &forwarding);
+    decider.apply_generation(second(0), &forwarding);
     assert_eq!(settled_at(&mut decider, 1000, &forwarding), []);
 }
--- a/crates/bellyoke-core/tests/flow_table.rs
+++ b/crates/bellyoke-core/tests/flow_table.rs
@@ -81,7 +81,7 @@
             model.insert(port, backend);
         }
         Step::Forget(port) => {
-            decider.forget(&place(forwarding, &tcp(port, ACK)));
+            decider.remove_flow(&place(forwarding, &tcp(port, ACK)));
             model.remove(&port);
         }
     }
@@ -96,7 +96,7 @@
         let forwarding = clean(1);
         // As full as it gets with all flows, so that runs are long and wrap around.
         let mut decider = Decider::new(&settings(200));
-        decider.adopt(second(0), &forwarding);
+        decider.apply_generation(second(0), &forwarding);
         let mut model = HashMap::new();
         for step in steps {
             take(&mut decider, &forwarding, &mut model, step)?;
--- a/crates/bellyoke-lab/src/experiment/strategy/product/balancer.rs
+++ b/crates/bellyoke-lab/src/experiment/strategy/product/balancer.rs
@@ -213,7 +213,7 @@
         let forwarding = Arc::clone(&self.forwarding);
         let started = ThreadClock::start();
         self.decider.sweep(now, &forwarding, SWEEP_RECORDS);
-        let settled = self.decider.settled(now, &forwarding);
+        let settled = self.decider.settled_buckets(now, &forwarding);
         self.costs.housekeeping += started.elapsed();
         if !settled.is_empty() {
             self.input(now, Input::Settled(settled), effects);
@@ -294,7 +294,7 @@
         let opened = self
             .decider
             .opened_for_handover(now, &self.forwarding, &next);
-        self.decider.adopt(now, &next);
+        self.decider.apply_generation(now, &next);
         self.costs.housekeeping += started.elapsed();
         let generation = next.generation;
         self.revisions.insert(generation, next.revision.services);
