--- a/crates/bellyoke-core/src/flow/counters.rs
+++ b/crates/bellyoke-core/src/flow/counters.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread has done, for metrics.
+//! Counters of a traffic thread, for metrics.
 
 use crate::flow::{Decision, DropReason};
 
@@ -7,32 +7,35 @@
 pub struct FlowCounters {
     /// Packets forwarded to a backend.
     pub forwarded: u64,
-    /// Packets handed to the control thread.
+    /// Packets passed to the control thread.
     pub escalated: u64,
-    /// Packets answered by a reset.
+    /// Packets answered with a reset.
     pub reset: u64,
-    /// Packets dropped because no service has their destination.
+    /// Packets dropped because no service has their destination address, port and protocol.
     pub dropped_unknown_service: u64,
-    /// Packets of unknown flows dropped for want of a lease.
+    /// Packets of unknown flows dropped because the node had no valid lease.
     pub dropped_fenced: u64,
     /// UDP packets dropped because their flow could not be recorded.
     pub dropped_table_full: u64,
-    /// Flows opened by table.
+    /// Flows opened by lookup table.
     pub opened: u64,
-    /// Flows taken over by table from a packet that didn't open them.
+    /// Flows taken over by lookup table on a packet that does not open a flow.
     pub taken_over: u64,
-    /// Flows that the bucket's owner told of.
+    /// Flows reported by the owner of their bucket.
     pub learned: u64,
-    /// Flows that the bucket's owner told of before the generation that brings their backend.
+    /// Flows reported by the owner of their bucket before the generation that adds their
+    /// backend was applied.
     pub learned_early: u64,
     /// Flows that timed out.
     pub expired: u64,
-    /// Flows forgotten to make room; their buckets are clean, so that the lookup table
-    /// still knows them.
+    /// Flows evicted from a full table. Their buckets are clean, so the lookup table still
+    /// gives their backends.
     pub evicted: u64,
-    /// Flows that could not be recorded, whether or not their packet was forwarded.
+    /// Flows that could not be recorded in the full table, whether or not their packet was
+    /// forwarded.
     pub table_full: u64,
-    /// Packets reset because their backend belongs to another service than their flow.
+    /// Packets answered with a reset because their backend serves another service than that of
+    /// their flow.
     pub service_mismatch: u64,
 }
 
--- a/crates/bellyoke-core/src/flow/decider/backend_usability.rs
+++ b/crates/bellyoke-core/src/flow/decider/backend_usability.rs
@@ -1,13 +1,15 @@
-//! Whether a backend may be given a packet.
+//! Whether packets may be sent to a backend.
 
 use crate::generation::{BackendState, Forwarding};
 use crate::identity::{BackendId, ServiceId};
 
-/// Whether a backend may be given packets of a service.
+/// Whether packets of a service may be sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BackendUsability {
     Usable,
+    /// The backend is dead or no longer part of the generation.
     Unavailable,
+    /// The backend serves another service.
     OtherService,
 }
 
--- a/crates/bellyoke-core/src/flow/decider/eviction.rs
+++ b/crates/bellyoke-core/src/flow/decider/eviction.rs
@@ -1,4 +1,4 @@
-//! What is done when the flow table is full.
+//! Inserting records and handling a full flow table.
 
 use crate::flow::decider::Decider;
 use crate::flow::decider::packets::PacketContext;
@@ -9,13 +9,16 @@
 use crate::identity::BackendId;
 use crate::packet::{PacketKind, Transport};
 
-/// Slots that are looked at to make room for one flow.
+/// Maximum number of slots examined to evict one flow.
 const MAXIMUM_EVICTION_SLOTS: u32 = 16;
 
 impl Decider {
-    /// Without a record, the lookup table still knows an established TCP flow of a clean
-    /// bucket. An opening would be missing in a later handover: so the handover waits until
-    /// no copy of it can be under way. A UDP flow would be missing for all its life.
+    /// Handles a packet of a clean bucket whose flow cannot be recorded.
+    ///
+    /// The lookup table still gives the backend of an established TCP flow of a clean bucket.
+    /// An opening would be missing from a later handover, so the handover is delayed until no
+    /// copy of the opening packet can be in transit. A UDP flow would be missing from every
+    /// handover, so its packet is dropped.
     pub(super) fn forward_without_record(
         &mut self,
         backend: BackendId,
@@ -31,6 +34,8 @@
         Decision::Forward(backend)
     }
 
+    /// Inserts a record, evicting another flow if the table is full. Returns whether it was
+    /// inserted.
     pub(super) fn insert_record(
         &mut self,
         forwarding: &Forwarding,
@@ -51,8 +56,7 @@
         true
     }
 
-    /// Forgets a flow that has timed out, or that the lookup table knows as well, among the
-    /// next few.
+    /// Removes the first expired or evictable flow among the next slots, if there is one.
     fn evict_one(&mut self, forwarding: &Forwarding, now: Tick) {
         for _ in 0..MAXIMUM_EVICTION_SLOTS {
             let slot = self.next_eviction_slot % self.table.slot_count();
@@ -75,8 +79,9 @@
         }
     }
 
-    /// Whether a flow would be forwarded just so without its record, now and after any
-    /// change: a TCP flow on its clean bucket's backend of which no SYN is under way.
+    /// Returns whether the packets of a flow are sent to the same backend without its record,
+    /// also after a later generation. This is so for a TCP flow on the backend of its clean
+    /// bucket if no copy of its SYN can be in transit.
     fn is_evictable(&self, record: &FlowRecord, forwarding: &Forwarding, now: Tick) -> bool {
         let horizon = self.timeouts.delay_horizon;
         let route = self
--- a/crates/bellyoke-core/src/flow/decider/maintenance.rs
+++ b/crates/bellyoke-core/src/flow/decider/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is done between packets: the sweep, handover lists and settled buckets.
+//! Maintenance between packets: the sweep, handover lists and settled buckets.
 
 use crate::flow::decider::Decider;
 use crate::flow::record::{FlowRecord, FlowState};
@@ -11,8 +11,8 @@
 use crate::time::Timestamp;
 
 impl Decider {
-    /// Looks at up to `max_slots` slots of the table and forgets flows that have timed out. Its cost
-    /// doesn't depend on how many flows are held.
+    /// Visits up to `max_slots` slots of the table and removes expired flows. The cost does not
+    /// depend on the number of flows.
     pub fn sweep(
         &mut self,
         now: Timestamp,
@@ -42,10 +42,10 @@
         report
     }
 
-    /// Flows to hand over when the node goes from `previous` to `next`: in buckets that
-    /// become contested, TCP flows opened here within the delay horizon or still half open,
-    /// and all UDP flows. Looks at the whole table; call it between two packets, and see
-    /// [`Self::handover_ready_at`].
+    /// Returns the flows to hand over when the node changes from `previous` to `next`: in
+    /// buckets that become contested, TCP flows that this node opened within the delay horizon
+    /// or that are still half open, and all UDP flows. Scans the whole table, so it must be
+    /// called between packets. See [`Self::handover_ready_at`].
     #[must_use]
     pub fn opened_for_handover(
         &self,
@@ -78,9 +78,9 @@
             .collect()
     }
 
-    /// The time before which a generation's adoption must not be reported, if any: flows
-    /// were opened that the full table could not record, and copies of their opening packets
-    /// may be under way until then.
+    /// Returns the time before which the adoption of a generation must not be reported, if
+    /// any. Until then, copies of opening packets whose flows the full table could not record
+    /// may still be in transit.
     #[must_use]
     pub fn handover_ready_at(&self, now: Timestamp) -> Option<Timestamp> {
         let opening = self.last_unrecorded_opening?;
@@ -88,9 +88,9 @@
         (ready > now).then_some(ready)
     }
 
-    /// Contested buckets of hashed services in which, for the idle timeout of the service,
-    /// this table saw no flow off target. The list is whole each time: a bucket that is missing
-    /// from it has had such a flow since.
+    /// Returns the contested buckets of hashed services in which this table had no active
+    /// off-target flow for the idle timeout of the service. The list is complete each time: a
+    /// bucket that is missing from a later list has had such a flow since.
     pub fn settled_buckets(
         &mut self,
         now: Timestamp,
--- a/crates/bellyoke-core/src/flow/decider/mod.rs
+++ b/crates/bellyoke-core/src/flow/decider/mod.rs
@@ -1,4 +1,4 @@
-//! What a traffic thread does with a packet.
+//! Forwarding decisions of a traffic thread.
 
 mod backend_usability;
 mod eviction;
@@ -19,24 +19,24 @@
 use crate::time::Timestamp;
 use std::collections::HashMap;
 
-/// The flow table of a traffic thread and the rules it forwards by.
+/// Flow table of a traffic thread and its forwarding rules.
 #[derive(Debug)]
 pub struct Decider {
     timeouts: Timeouts,
     table: FlowTable,
     services: ServiceIndex,
     settlement: Settlement,
-    /// The slot at which the next search for a flow to forget begins.
+    /// Slot where the next search for a flow to evict starts.
     next_eviction_slot: usize,
     generation: Option<GenerationNumber>,
-    /// Above the number of every backend that a generation has named so far.
+    /// Lowest number above those of all backends in the generations applied so far.
     known_backends_end: BackendId,
     last_unrecorded_opening: Option<Tick>,
     counters: FlowCounters,
 }
 
 impl Decider {
-    /// A decider with an empty flow table.
+    /// Creates a decider with an empty flow table.
     #[must_use]
     pub fn new(settings: &FlowSettings) -> Self {
         Self {
@@ -56,9 +56,8 @@
         }
     }
 
-    /// Prepares for a generation. Every call with a [`Forwarding`] does so when it names a
-    /// generation other than the last; a thread that switches calls this first, so that no
-    /// packet waits for it.
+    /// Applies a generation. Every call with a [`Forwarding`] of another generation does so
+    /// implicitly; calling this method first avoids a delay for the next packet.
     pub fn apply_generation(&mut self, now: Timestamp, forwarding: &Forwarding) {
         if self.generation == Some(forwarding.generation) {
             return;
@@ -71,12 +70,12 @@
         self.settlement.apply_generation(Tick::at(now), forwarding);
     }
 
-    /// Takes note of what a bucket's owner said of a flow.
+    /// Records the backend of a flow as reported by the owner of its bucket.
     ///
-    /// The owner may know a newer generation than this thread. Backends are numbered in order,
-    /// so a number above all that were seen names one that is to come. Its flow isn't recorded:
-    /// its packets are escalated until the generation is here. A record would have them reset,
-    /// as of a backend that is gone.
+    /// The owner may have a newer generation than this thread. Backends are numbered in order,
+    /// so a number above all known ones belongs to a later generation. Such a flow is not
+    /// recorded, and its packets are escalated until that generation is applied. With a record
+    /// they would be reset like those of an unavailable backend.
     pub fn learn(&mut self, now: Timestamp, place: &FlowPlace, backend: BackendId) {
         let now = Tick::at(now);
         self.settlement.record_packet(now, place, backend);
@@ -102,24 +101,24 @@
         }
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove_flow(&mut self, place: &FlowPlace) {
         self.table.remove(place.hash);
     }
 
-    /// The flow table.
+    /// Returns the flow table.
     #[must_use]
     pub const fn table(&self) -> &FlowTable {
         &self.table
     }
 
-    /// Number of flows held on each backend that has any.
+    /// Returns the number of flows of each backend that has any.
     #[must_use]
     pub const fn flows_by_backend(&self) -> &HashMap<BackendId, u32> {
         self.table.flows_by_backend()
     }
 
-    /// What was done so far.
+    /// Returns the counters since the start of the process.
     #[must_use]
     pub const fn counters(&self) -> &FlowCounters {
         &self.counters
--- a/crates/bellyoke-core/src/flow/decider/packets.rs
+++ b/crates/bellyoke-core/src/flow/decider/packets.rs
@@ -1,4 +1,4 @@
-//! What is done with one packet.
+//! Decisions about packets.
 
 use crate::flow::decider::Decider;
 use crate::flow::decider::backend_usability::{BackendUsability, backend_usability};
@@ -10,11 +10,11 @@
 use crate::packet::{FlowHash, PacketKind, PacketSummary};
 use crate::time::Timestamp;
 
-/// Packets whose cache misses overlap: as many as the line fill buffers of current
-/// processors, and some.
+/// Maximum number of packets whose cache misses overlap: somewhat more than the number of line
+/// fill buffers of current processors.
 const MAXIMUM_BATCH_PACKETS: usize = 32;
 
-/// What is known of a packet once its flow's hash is.
+/// A packet with the hash of its flow.
 pub(super) struct PacketContext<'a> {
     pub(super) now: Tick,
     pub(super) hash: FlowHash,
@@ -22,7 +22,7 @@
 }
 
 impl Decider {
-    /// Decides where a packet goes, and takes note of its flow.
+    /// Decides how to handle a packet and updates the record of its flow.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -39,8 +39,9 @@
         self.decide_packet(forwarding, lease, &context)
     }
 
-    /// Decides many packets that came together: as [`Self::decide`] one after the other, but
-    /// the cache misses of a batch overlap. Appends a decision for each to `decisions`.
+    /// Decides how to handle several packets, with the same result as calling [`Self::decide`]
+    /// for each in order, but with overlapping cache misses. Appends a decision for each packet
+    /// to `decisions`.
     pub fn decide_batch(
         &mut self,
         now: Timestamp,
@@ -78,8 +79,8 @@
         decision
     }
 
-    /// Decides a packet of a flow that is held; none if there is no such flow, or if it has
-    /// ended and the packet opens another of the same ports.
+    /// Decides about a packet of a known flow. Returns `None` if the flow is unknown or expired,
+    /// or if it has ended and the packet opens another flow with the same ports.
     fn decide_known(
         &mut self,
         forwarding: &Forwarding,
@@ -90,8 +91,8 @@
             return None;
         }
         if self.timeouts.reopens(record, context) {
-            // The next packets of the new flow may come before the owner's answer: they must
-            // not follow the old one.
+            // Further packets of the new flow may arrive before the answer of the owner and must
+            // not be sent to the backend of the old flow.
             self.table.remove(context.hash);
             return None;
         }
@@ -104,8 +105,8 @@
                 Some(Decision::Forward(record.backend))
             }
             usability => {
-                // Not seen any later: a UDP caller that goes on sending must not keep the
-                // flow alive that it cannot use.
+                // `last_seen` is not updated: a UDP caller that continues to send must not keep
+                // an unusable flow alive.
                 record.state = FlowState::Reset;
                 Some(self.reset_flow(usability))
             }
@@ -126,8 +127,8 @@
         let Some(service) = forwarding.services.get(&endpoint) else {
             return Decision::Drop(DropReason::UnknownService);
         };
-        // Not only an opening packet: by a table that was replaced meanwhile, a flow that opened
-        // on the new backend would go to the old one.
+        // Applies to all packets, not only opening ones: with an outdated lookup table, a flow
+        // that was opened on the new backend would be sent to the old one.
         if lease == LeaseState::Fenced {
             return Decision::Drop(DropReason::Fenced);
         }
@@ -158,7 +159,7 @@
             BackendUsability::Usable => {}
             usability => return self.reset_flow(usability),
         }
-        // Anyone can send an ICMP error: it makes no record.
+        // ICMP errors can be spoofed by any host, so they create no record.
         if context.packet.kind == PacketKind::IcmpError {
             return Decision::Forward(backend);
         }
@@ -212,10 +213,10 @@
     }
 }
 
-/// Takes a packet of a known flow into its record.
+/// Updates the record of a known flow from a packet.
 fn update_record(record: &mut FlowRecord, context: &PacketContext<'_>) {
     match context.packet.kind {
-        // Anyone can send an ICMP error: it keeps no flow alive.
+        // ICMP errors can be spoofed by any host, so they keep no flow alive.
         PacketKind::IcmpError => return,
         PacketKind::Udp => {}
         PacketKind::Tcp(flags) if flags.fin || flags.rst => record.state = FlowState::Closing,
--- a/crates/bellyoke-core/src/flow/decider/timeouts.rs
+++ b/crates/bellyoke-core/src/flow/decider/timeouts.rs
@@ -1,11 +1,11 @@
-//! When a flow is over.
+//! Expiry and reopening of flows.
 
 use crate::flow::decider::packets::PacketContext;
 use crate::flow::record::{FlowRecord, FlowState};
 use crate::flow::tick::{Tick, TickSpan};
 use crate::packet::Transport;
 
-/// Timeouts in ticks.
+/// Flow timeouts in ticks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeouts {
     pub(super) half_open: TickSpan,
@@ -23,8 +23,8 @@
         now.is_later_than(record.last_seen, timeout)
     }
 
-    /// Whether a packet opens another flow of the same ports. Within the delay horizon it may
-    /// be a late copy of the one that opened the flow.
+    /// Returns whether a packet opens another flow with the same ports. Within the delay horizon
+    /// it may be a delayed copy of the packet that opened the known flow.
     pub(super) fn reopens(&self, record: &FlowRecord, context: &PacketContext<'_>) -> bool {
         matches!(record.state, FlowState::Closing | FlowState::Reset)
             && record.transport == Transport::Tcp
--- a/crates/bellyoke-core/src/flow/decision.rs
+++ b/crates/bellyoke-core/src/flow/decision.rs
@@ -1,19 +1,20 @@
-//! What a traffic thread may do with a packet, and what it tells the control thread.
+//! Forwarding decisions of a traffic thread and its messages to the control thread.
 
 use crate::identity::{BackendId, BucketIndex, ServiceId};
 use crate::packet::FlowHash;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Whether the node may forward flows that it doesn't know.
+/// Whether the node may forward packets of unknown flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// A quorum answered recently enough.
+    /// A quorum answered within the lease time.
     Valid,
-    /// The node may have been replaced without knowing: it forwards only flows that it knows.
+    /// The node may have been replaced without having been informed: it forwards known flows
+    /// only.
     Fenced,
 }
 
-/// Where a flow belongs in the lookup tables.
+/// Position of a flow in the lookup tables.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
@@ -21,76 +22,77 @@
 pub struct FlowPlace {
     /// The service.
     pub service: ServiceId,
-    /// The bucket in the service's table.
+    /// Bucket in the lookup table of the service.
     pub bucket: BucketIndex,
-    /// The flow.
+    /// Hash of the flow.
     pub hash: FlowHash,
 }
 
-/// Why a packet cannot be decided by a traffic thread alone.
+/// Kind of a packet that a traffic thread escalates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum EscalationKind {
-    /// It may open a flow: a TCP SYN without ACK, or any UDP packet.
+    /// May open a flow: a TCP SYN without ACK, or any UDP packet.
     Opening,
-    /// It cannot open a flow.
+    /// Cannot open a flow.
     Other,
 }
 
-/// A packet that only the owner of its bucket can decide.
+/// A packet whose backend only the owner of its bucket can determine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Escalation {
-    /// Where its flow belongs.
+    /// Position of its flow in the lookup tables.
     pub place: FlowPlace,
-    /// Whether it may open the flow.
+    /// Whether the packet may open the flow.
     pub kind: EscalationKind,
 }
 
 /// Why a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DropReason {
-    /// Not a whole IP packet, or its headers contradict each other.
+    /// The packet is truncated, or its headers are inconsistent.
     Malformed,
-    /// A header checksum is wrong.
+    /// A checksum is wrong.
     Checksum,
-    /// An IP fragment: its flow cannot be told.
+    /// An IP fragment, whose flow cannot be determined.
     Fragment,
-    /// A transport protocol that is not balanced.
+    /// A transport protocol that is not load-balanced.
     Protocol,
     /// No service has this address, port and protocol.
     UnknownService,
-    /// Longer than the tunnel carries.
+    /// Longer than the maximum packet length of the tunnel.
     Oversized,
     /// The flow table is full.
     TableFull,
-    /// The node holds no valid lease and knows no better node.
+    /// The node has no valid lease and knows no other node to relay to.
     Fenced,
 }
 
-/// What a traffic thread does with a packet.
+/// How a traffic thread handles a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Encapsulate it to this backend.
+    /// Encapsulate and send to this backend.
     Forward(BackendId),
-    /// Hand it to the control thread.
+    /// Pass to the control thread.
     Escalate(Escalation),
-    /// The flow's backend is dead: tell the caller by a reset or an ICMP "unreachable".
+    /// Answer the caller with a reset or an ICMP "unreachable", as the backend of the flow is
+    /// dead.
     Reset,
-    /// Count and drop it.
+    /// Count and drop.
     Drop(DropReason),
 }
 
-/// A flow that a node opened recently in a bucket that has become contested.
+/// A flow that a node recently opened in a bucket that has become contested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 #[rkyv(derive(Debug))]
 pub struct OpenedFlow {
-    /// The flow.
+    /// Position of the flow.
     pub place: FlowPlace,
-    /// The backend it was opened on.
+    /// Backend that the flow was opened on.
     pub backend: BackendId,
 }
 
-/// A contested bucket in which a node has, for the idle timeout, seen no flow on any
-/// backend but the bucket's target.
+/// A contested bucket in which a node has observed no flow on a backend other than the target
+/// for the idle timeout.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
--- a/crates/bellyoke-core/src/flow/mod.rs
+++ b/crates/bellyoke-core/src/flow/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one flow.
+//! Per-flow state: the flow table and the forwarding decision for each packet.
 
 mod counters;
 mod decider;
--- a/crates/bellyoke-core/src/flow/record.rs
+++ b/crates/bellyoke-core/src/flow/record.rs
@@ -1,46 +1,46 @@
-//! One flow in the flow table.
+//! Records of the flow table.
 
 use crate::flow::tick::{Tick, TickSpan};
 use crate::identity::{BackendId, ServiceId};
 use crate::packet::{FlowHash, Transport};
 
-/// How far a flow has come, as seen from the caller's packets alone.
+/// State of a flow, derived from the packets of the caller only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowState {
-    /// Only its opening packet was seen.
+    /// Only the opening packet was received.
     HalfOpen,
-    /// More than its opening packet was seen, or it was learned.
+    /// Later packets were received, or the owner of the bucket reported the flow.
     Established,
-    /// A FIN or RST was seen. It lingers so that retransmitted packets follow it.
+    /// A FIN or RST was received. The record is kept for retransmitted packets.
     Closing,
-    /// Its backend is gone and its caller was told.
+    /// The backend is unavailable and the caller was sent a reset.
     Reset,
 }
 
-/// A flow that the node knows.
+/// A known flow.
 ///
-/// Its bucket isn't held: it follows from the hash and the size of the service's table.
+/// The bucket is not stored, as it follows from the hash and the size of the service's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowRecord {
-    /// Two words in place of [`FlowHash`], whose alignment would cost eight bytes a record.
+    /// [`FlowHash`] as two words, since its alignment would add eight bytes to each record.
     hash: [u64; 2],
     /// The service.
     pub service: ServiceId,
-    /// The backend that all its packets go to.
+    /// Backend that receives all its packets.
     pub backend: BackendId,
     pub(super) opened_at: Tick,
     pub(super) last_seen: Tick,
     pub(super) idle_timeout: TickSpan,
-    /// How far it has come.
+    /// State of the flow.
     pub state: FlowState,
     /// Transport protocol.
     pub transport: Transport,
-    /// Whether this node opened it, by table or through the bucket's owner; not if the
-    /// node took it over by a later packet.
+    /// Whether this node opened the flow, by lookup table or through the owner of the bucket.
+    /// False if the node took the flow over on a later packet.
     pub opened_locally: bool,
 }
 
-/// What a new [`FlowRecord`] is made from.
+/// Arguments of [`FlowRecord::new`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewFlow {
     pub(super) hash: FlowHash,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The flow.
+    /// Returns the hash of the flow.
     #[must_use]
     pub fn hash(&self) -> FlowHash {
         FlowHash((u128::from(self.hash[0]) << 64) | u128::from(self.hash[1]))
--- a/crates/bellyoke-core/src/flow/service_index.rs
+++ b/crates/bellyoke-core/src/flow/service_index.rs
@@ -1,4 +1,4 @@
-//! Services by number: what flow records need and [`Forwarding`] has by endpoint only.
+//! Index of services by number. [`Forwarding`] has them by endpoint only.
 
 use crate::flow::tick::TickSpan;
 use crate::generation::{BucketRoute, Forwarding, ServiceEndpoint, ServiceForwarding};
@@ -6,7 +6,7 @@
 use crate::packet::{FlowHash, Transport};
 use std::collections::HashMap;
 
-/// What is kept of a service.
+/// Properties of a service that flow records need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceEntry {
     pub(super) endpoint: ServiceEndpoint,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Services of one generation by number.
+/// Services of one generation, by number.
 #[derive(Debug, Default)]
 pub(super) struct ServiceIndex {
     entries: HashMap<ServiceId, ServiceEntry>,
@@ -54,7 +54,7 @@
         (found.id == service).then_some(found)
     }
 
-    /// Route of the bucket that the flow with `hash` lies in.
+    /// Returns the route of the bucket that contains the flow with `hash`.
     pub(super) fn route(
         &self,
         forwarding: &Forwarding,
--- a/crates/bellyoke-core/src/flow/settings.rs
+++ b/crates/bellyoke-core/src/flow/settings.rs
@@ -1,22 +1,22 @@
-//! What a traffic thread's flow table is made with.
+//! Settings of the flow table of a traffic thread.
 
 use std::time::Duration;
 
-/// Size and timeouts of a flow table. Idle timeouts belong to services.
+/// Capacity and timeouts of a flow table. Idle timeouts are settings of the services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowSettings {
-    /// Most flows held; fixes the memory, 60 bytes a flow.
+    /// Maximum number of flows. Determines the memory, 60 bytes per flow.
     pub capacity: u32,
-    /// How long a flow is held of which only the opening packet was seen.
+    /// Timeout of a flow of which only the opening packet was received.
     pub half_open_timeout: Duration,
-    /// How long a flow is held, without a packet, after a FIN or RST.
+    /// Idle timeout of a flow after a FIN or RST.
     pub closing_timeout: Duration,
-    /// Longest time that the network may hold back a packet.
+    /// Maximum time that the network may delay a packet.
     pub delay_horizon: Duration,
 }
 
 impl Default for FlowSettings {
-    /// For half a million flows.
+    /// Returns settings for half a million flows.
     fn default() -> Self {
         Self {
             capacity: 500_000,
--- a/crates/bellyoke-core/src/flow/settlement.rs
+++ b/crates/bellyoke-core/src/flow/settlement.rs
@@ -1,8 +1,9 @@
-//! Tells when no flow lives off the target of a contested bucket any more.
+//! Detects that a contested bucket has no flow on a backend other than its target any more.
 //!
-//! Packets pay nothing for it: the incremental sweep looks at each record anyway, and tells
-//! when a flow off target was last seen. A bucket is settled when a whole round of the sweep
-//! began an idle timeout after that, met every record and found nothing newer.
+//! This adds no cost per packet: the incremental sweep visits each record anyway and reports
+//! when an off-target flow was last active. A bucket is settled once a complete pass of the
+//! sweep started an idle timeout after that time, visited every record and found no later
+//! activity.
 
 use crate::flow::record::FlowRecord;
 use crate::flow::service_index::ServiceIndex;
@@ -12,24 +13,24 @@
 use crate::identity::{BackendId, BucketIndex};
 use std::collections::HashMap;
 
-/// A contested bucket that is being watched.
+/// State of a contested bucket.
 #[derive(Clone, Copy, Debug)]
 struct WatchedBucket {
     target: Option<BackendId>,
     idle_timeout: TickSpan,
-    /// Since when no flow off target was seen.
+    /// Last activity of an off-target flow, or the time since when the bucket is watched.
     idle_since: Tick,
 }
 
-/// All contested buckets of hashed services.
+/// Contested buckets of all hashed services.
 #[derive(Debug, Default)]
 pub(super) struct Settlement {
     watched: HashMap<SettledBucket, WatchedBucket>,
 }
 
 impl Settlement {
-    /// Watches the contested buckets of `forwarding`; those that were contested before with
-    /// the same target stay as idle as they were.
+    /// Watches the contested buckets of `forwarding`. Buckets that were contested before with
+    /// the same target keep their idle time.
     pub(super) fn apply_generation(&mut self, now: Tick, forwarding: &Forwarding) {
         let mut next = HashMap::new();
         let services = forwarding.services.values();
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes note that a flow of a bucket was seen on `backend`.
+    /// Records activity of a flow on `backend`.
     pub(super) fn record_packet(&mut self, at: Tick, place: &FlowPlace, backend: BackendId) {
         let bucket = SettledBucket {
             service: place.service,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes note of a flow that the sweep met.
+    /// Records the last activity of a flow that the sweep visited or that was removed.
     pub(super) fn record_swept(
         &mut self,
         record: &FlowRecord,
@@ -100,8 +101,8 @@
         self.record_packet(record.last_seen, &place, record.backend);
     }
 
-    /// All buckets that are settled. `pass_start` is the beginning of the newest round of the
-    /// sweep that is over.
+    /// Returns all settled buckets. `pass_start` is the start of the latest completed pass of
+    /// the sweep.
     pub(super) fn settled(&self, pass_start: Tick) -> Vec<SettledBucket> {
         let is_idle =
             |watch: &WatchedBucket| pass_start.is_later_than(watch.idle_since, watch.idle_timeout);
--- a/crates/bellyoke-core/src/flow/sweep.rs
+++ b/crates/bellyoke-core/src/flow/sweep.rs
@@ -1,30 +1,30 @@
-//! Walks the flow table a few slots at a time.
+//! Incremental sweep over the flow table.
 
 use crate::flow::tick::Tick;
 
-/// What one step of the sweep did.
+/// Result of one step of the sweep.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SweepReport {
-    /// Slots looked at. A table has three for two flows of its capacity.
+    /// Number of slots visited. A table has three slots for every two flows of its capacity.
     pub visited: u32,
-    /// Flows forgotten because they had timed out.
+    /// Number of expired flows that were removed.
     pub expired: u32,
-    /// Whether the step ended a round through the whole table.
+    /// Whether the step completed a pass over the whole table.
     pub pass_complete: bool,
 }
 
-/// Where the sweep stands.
+/// Position of the sweep.
 #[derive(Debug, Default)]
 pub(super) struct SweepCursor {
     next: usize,
     pass_start: Tick,
-    /// Whether a record was moved from ahead of the sweep to behind it in this round.
+    /// Whether a record was moved from ahead of the sweep to behind it in this pass.
     skipped_record: bool,
     last_complete_pass_start: Option<Tick>,
 }
 
 impl SweepCursor {
-    /// The next slot to look at among `slots`; none at the end of a round.
+    /// Returns the next of `slots` slots to visit, or `None` at the end of a pass.
     pub(super) fn advance(&mut self, now: Tick, slots: usize) -> Option<usize> {
         if self.next == 0 {
             self.pass_start = now;
@@ -39,19 +39,19 @@
         Some(slot)
     }
 
-    /// Looks at `slot`, the last one, again.
+    /// Visits `slot`, the most recently visited one, again.
     pub(super) fn step_back(&mut self, slot: usize) {
         self.next = slot;
     }
 
-    /// Takes note that a record was moved.
+    /// Records that a record was moved between slots.
     pub(super) fn record_move(&mut self, from: usize, to: usize) {
         if to < self.next && self.next <= from {
             self.skipped_record = true;
         }
     }
 
-    /// When the newest round began that is over and met every record.
+    /// Returns the start of the latest completed pass that visited every record.
     pub(super) fn last_complete_pass_start(&self) -> Option<Tick> {
         self.last_complete_pass_start
     }
--- a/crates/bellyoke-core/src/flow/table.rs
+++ b/crates/bellyoke-core/src/flow/table.rs
@@ -1,9 +1,8 @@
-//! The flows that a node knows, in memory that is fixed when the table is made.
+//! The flow table, with a fixed amount of memory allocated at creation.
 //!
-//! Records lie in the slots of an open-addressed table: linear probing, deletion by backward
-//! shift (Knuth, TAOCP vol. 3, 6.4, algorithm R). A packet of a known flow so costs one
-//! cache miss; there are no tombstones and nothing grows, so that no packet waits for a
-//! rehash.
+//! It is an open-addressed hash table with linear probing and deletion by backward shift
+//! (Knuth, TAOCP vol. 3, 6.4, algorithm R). A packet of a known flow costs one cache miss. There
+//! are no tombstones and the table never grows, so no packet is delayed by a rehash.
 
 use crate::flow::record::FlowRecord;
 use crate::flow::sweep::SweepCursor;
@@ -14,21 +13,21 @@
 use std::hint::black_box;
 use thiserror::Error;
 
-/// The flow table holds as many flows as it may.
+/// The flow table has reached its capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the flow table holds all the {capacity} flows that it may")]
+#[error("flow table has reached its capacity of {capacity} flows")]
 pub struct TableFull {
-    /// How many flows it may hold.
+    /// Maximum number of flows.
     pub capacity: u32,
 }
 
-/// Where a search for a flow ends.
+/// Result of a search: the slot of the flow, or the vacant slot where it can be inserted.
 enum Search {
     Occupied(usize),
     Vacant(usize),
 }
 
-/// Flows by hash.
+/// Flow records by flow hash.
 #[derive(Debug)]
 pub struct FlowTable {
     slots: Vec<Option<FlowRecord>>,
@@ -39,7 +38,7 @@
 }
 
 impl FlowTable {
-    /// A table for `capacity` flows, at least one. It takes its memory at once and never more.
+    /// Creates a table for `capacity` flows, at least one, and allocates all its memory.
     #[must_use]
     pub fn new(capacity: u32) -> Self {
         let capacity = capacity.max(1);
@@ -52,42 +51,42 @@
         }
     }
 
-    /// Number of flows held.
+    /// Returns the number of flows.
     #[must_use]
     pub const fn len(&self) -> u32 {
         self.length
     }
 
-    /// Whether no flow is held.
+    /// Returns whether the table has no flow.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Number of flows that may be held.
+    /// Returns the maximum number of flows.
     #[must_use]
     pub const fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Bytes taken by the slots, however many flows are held.
+    /// Returns the size of all slots in bytes. It does not depend on the number of flows.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         self.slots.capacity() * size_of::<Option<FlowRecord>>()
     }
 
-    /// Number of flows held on each backend that has any.
+    /// Returns the number of flows of each backend that has any.
     #[must_use]
     pub const fn flows_by_backend(&self) -> &HashMap<BackendId, u32> {
         &self.by_backend
     }
 
-    /// All records.
+    /// Iterates over all records.
     pub fn iter(&self) -> impl Iterator<Item = &FlowRecord> {
         self.slots.iter().flatten()
     }
 
-    /// The record of the flow with `hash`.
+    /// Returns the record of the flow with `hash`.
     #[must_use]
     pub fn get(&self, hash: FlowHash) -> Option<&FlowRecord> {
         match self.search(hash) {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// The record of the flow with `hash`. Its hash and backend stay as they are.
+    /// Returns the record of the flow with `hash`. The caller must not change the backend.
     pub(super) fn get_mut(&mut self, hash: FlowHash) -> Option<&mut FlowRecord> {
         match self.search(hash) {
             Search::Occupied(slot) => self.slots.get_mut(slot)?.as_mut(),
@@ -104,8 +103,8 @@
         }
     }
 
-    /// Reads the slots where searches for `hashes` begin, none of which waits for another, so
-    /// that they are in the cache when the searches come.
+    /// Loads the home slots of `hashes` into the cache. The reads are independent of each other,
+    /// so their cache misses overlap.
     pub(super) fn prefetch(&self, hashes: &[FlowHash]) {
         for hash in hashes {
             let slot = &self.slots[self.home_slot(*hash)];
@@ -113,20 +112,20 @@
         }
     }
 
-    /// Number of slots: the range of [`Self::record_at`].
+    /// Returns the number of slots.
     pub(super) fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// The record in a slot, if it holds one.
+    /// Returns the record in a slot, or `None` if the slot is vacant.
     pub(super) fn record_at(&self, slot: usize) -> Option<&FlowRecord> {
         self.slots.get(slot)?.as_ref()
     }
 
-    /// Holds `record`, in place of an older one of the same flow.
+    /// Inserts `record`, replacing an older one of the same flow.
     ///
     /// # Errors
-    /// [`TableFull`] if the flow is new and there is no room.
+    /// Returns [`TableFull`] if the flow is new and the table is full.
     pub(super) fn insert(&mut self, record: FlowRecord) -> Result<(), TableFull> {
         let backend = record.backend;
         match self.search(record.hash()) {
@@ -147,14 +146,14 @@
         Ok(())
     }
 
-    /// Forgets the flow with `hash`.
+    /// Removes the flow with `hash`.
     pub(super) fn remove(&mut self, hash: FlowHash) {
         if let Search::Occupied(slot) = self.search(hash) {
             self.remove_at(slot);
         }
     }
 
-    /// Forgets the flow in a slot, and moves later records of its run back over the gap.
+    /// Removes the flow in a slot and shifts later records of its run back into the gap.
     pub(super) fn remove_at(&mut self, slot: usize) {
         let Some(record) = self.slots[slot].take() else {
             return;
@@ -163,25 +162,25 @@
         self.close_gap(slot);
     }
 
-    /// The next slot of the sweep; none at the end of a round.
+    /// Returns the next slot of the sweep, or `None` at the end of a pass.
     pub(super) fn next_sweep_slot(&mut self, now: Tick) -> Option<usize> {
         let slots = self.slot_count();
         self.sweep.advance(now, slots)
     }
 
-    /// Forgets the flow in the slot that the sweep is at. The sweep looks at the slot again:
+    /// Removes the flow in the current slot of the sweep. The sweep visits the slot again, as
     /// another record may have moved there.
     pub(super) fn remove_at_sweep(&mut self, slot: usize) {
         self.sweep.step_back(slot);
         self.remove_at(slot);
     }
 
-    /// When the newest round of the sweep began that is over and met every record.
+    /// Returns the start of the latest completed pass of the sweep that visited every record.
     pub(super) fn last_complete_pass_start(&self) -> Option<Tick> {
         self.sweep.last_complete_pass_start()
     }
 
-    /// Ends, since there are always more slots than records.
+    /// Searches for a flow. Terminates because there are always more slots than records.
     fn search(&self, hash: FlowHash) -> Search {
         let mut slot = self.home_slot(hash);
         while let Some(record) = &self.slots[slot] {
@@ -197,7 +196,7 @@
         let mut slot = self.next_slot(gap);
         while let Some(record) = &self.slots[slot] {
             let home = self.home_slot(record.hash());
-            // A record is still found if it doesn't come to lie before its home.
+            // A record can be found as long as it is not moved before its home slot.
             if self.distance(home, slot) >= self.distance(gap, slot) {
                 self.slots.swap(gap, slot);
                 self.sweep.record_move(slot, gap);
@@ -207,7 +206,8 @@
         }
     }
 
-    /// By the lower half of the hash: buckets are chosen by the upper one.
+    /// Returns the slot where a search starts. It is derived from the lower half of the hash, as
+    /// buckets are selected by the upper half.
     fn home_slot(&self, hash: FlowHash) -> usize {
         let low = hash.0 & u128::from(u64::MAX);
         ((low * self.slots.len() as u128) >> u64::BITS) as usize
@@ -240,8 +240,8 @@
     }
 }
 
-/// Three slots for two records: at a load of two thirds a search looks at two slots for a
-/// known flow and at five for an unknown one, on average (Knuth, TAOCP vol. 3, 6.4).
+/// Returns three slots for every two records. At a load of two thirds a search visits two slots
+/// for a known flow and five for an unknown one on average (Knuth, TAOCP vol. 3, 6.4).
 fn slot_count_for(capacity: u32) -> usize {
     capacity as usize * 3 / 2 + 1
 }
--- a/crates/bellyoke-core/tests/flow_handover.rs
+++ b/crates/bellyoke-core/tests/flow_handover.rs
@@ -1,4 +1,4 @@
-//! What a node hands over when buckets become contested, and what a full table may forget.
+//! Handover of flows when buckets become contested, and eviction from a full table.
 
 mod flow_support;
 
@@ -36,7 +36,8 @@
 fn recent_openings_and_all_udp_flows_are_handed_over() {
     let mut decider = Decider::new(&settings(10));
     let previous = clean(1);
-    // Opened long ago, opened recently, taken over recently, half open, UDP.
+    // Flow 1 was opened before the delay horizon, flow 2 within it, flow 3 was taken over within
+    // it, flow 4 is half open and flow 5 is UDP.
     decide(&mut decider, 0, &previous, &tcp(1, SYN));
     decide(&mut decider, 1, &previous, &tcp(1, ACK));
     decide(&mut decider, 0, &previous, &udp(5));
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn nothing_is_handed_over_where_nothing_becomes_contested() {
+fn no_flow_is_handed_over_if_no_bucket_becomes_contested() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, SYN));
     decide(&mut decider, 0, &clean(1), &udp(1));
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_flow_that_timed_out_is_not_handed_over() {
+fn an_expired_flow_is_not_handed_over() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &udp(1));
     let flows = |at| handover(&decider, at, &clean(1), &contested(2)).len();
@@ -92,8 +93,8 @@
     assert_eq!(handover(&decider, 2, &settled, &contested(3)), expected);
 }
 
-/// A decider whose table is full of TCP flows that were opened at second zero.
-fn full(forwarding: &Forwarding) -> Decider {
+/// Returns a decider whose table is full of TCP flows that were opened at second zero.
+fn full_decider(forwarding: &Forwarding) -> Decider {
     let mut decider = Decider::new(&settings(4));
     for port in 0..4 {
         decide(&mut decider, 0, forwarding, &tcp(port, SYN));
@@ -103,9 +104,9 @@
 }
 
 #[test]
-fn a_full_table_forgets_what_the_lookup_table_knows() {
+fn a_full_table_evicts_flows_that_the_lookup_table_covers() {
     let forwarding = clean(1);
-    let mut decider = full(&forwarding);
+    let mut decider = full_decider(&forwarding);
     assert_eq!(decide(&mut decider, 5, &forwarding, &udp(9)), TO_UDP_FIRST);
     assert_eq!(decider.counters().evicted, 1);
     assert_eq!(decider.counters().table_full, 0);
@@ -113,9 +114,9 @@
 }
 
 #[test]
-fn a_full_table_keeps_what_only_it_knows() {
+fn a_full_table_keeps_flows_that_the_lookup_table_does_not_cover() {
     let forwarding = clean(1);
-    let mut decider = full(&forwarding);
+    let mut decider = full_decider(&forwarding);
     let moved = BucketRoute::Contested {
         target: Some(SECOND),
     };
@@ -147,10 +148,10 @@
 }
 
 #[test]
-fn an_opening_that_a_full_table_cannot_record_delays_the_handover() {
+fn an_unrecorded_opening_delays_the_handover() {
     let forwarding = clean(1);
-    let mut decider = full(&forwarding);
-    // All flows are within the delay horizon: none may be forgotten.
+    let mut decider = full_decider(&forwarding);
+    // All flows were opened within the delay horizon, so none may be evicted.
     assert_eq!(decide(&mut decider, 1, &forwarding, &tcp(8, ACK)), TO_FIRST);
     assert_eq!(decider.handover_ready_at(second(1)), None);
     assert_eq!(decide(&mut decider, 1, &forwarding, &tcp(9, SYN)), TO_FIRST);
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_full_table_makes_room_by_flows_that_timed_out() {
+fn a_full_table_removes_expired_flows_first() {
     let forwarding = clean(1);
     let mut decider = Decider::new(&settings(2));
     decide(&mut decider, 0, &forwarding, &udp(1));
--- a/crates/bellyoke-core/tests/flow_settlement.rs
+++ b/crates/bellyoke-core/tests/flow_settlement.rs
@@ -1,4 +1,4 @@
-//! When a contested bucket counts as settled.
+//! Detection of settled buckets.
 
 mod flow_support;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_bucket_settles_when_no_flow_off_target_was_seen_for_the_idle_time() {
+fn a_bucket_settles_after_the_idle_timeout_without_off_target_activity() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let next = contested(2);
@@ -27,20 +27,20 @@
         bucket: BucketIndex(0),
     };
     assert_eq!(settled_at(&mut decider, 61, &next), []);
-    // The UDP bucket has held no flow since the change; the TCP flow was seen at 40.
+    // The UDP bucket has had no flow since the change; the TCP flow was active at second 40.
     assert_eq!(settled_at(&mut decider, 62, &next), [bucket(UDP_SERVICE)]);
     decide(&mut decider, 62, &next, &tcp(2, ACK));
     let both = [bucket(TCP_SERVICE), bucket(UDP_SERVICE)];
     assert_eq!(settled_at(&mut decider, 100, &next), [bucket(UDP_SERVICE)]);
     assert_eq!(settled_at(&mut decider, 101, &next), both);
-    // The list stays whole, also in the next generation: an owner takes a bucket that is
-    // missing from it for one that is in use again.
+    // The list stays complete, also in the next generation: the owner treats a bucket that is
+    // missing from it as in use again.
     assert_eq!(settled_at(&mut decider, 102, &next), both);
     assert_eq!(settled_at(&mut decider, 103, &contested(3)), both);
 }
 
 #[test]
-fn a_flow_off_target_that_the_owner_told_of_keeps_its_bucket_from_settling() {
+fn an_off_target_flow_reported_by_the_owner_delays_settlement() {
     let mut decider = Decider::new(&settings(10));
     let next = contested(1);
     decider.apply_generation(second(0), &next);
@@ -51,7 +51,7 @@
         service,
         bucket: BucketIndex(0),
     };
-    // The UDP bucket has held no flow at all.
+    // The UDP bucket has never had a flow.
     let both = [bucket(TCP_SERVICE), bucket(UDP_SERVICE)];
     assert_eq!(settled_at(&mut decider, 61, &next), [bucket(UDP_SERVICE)]);
     assert_eq!(settled_at(&mut decider, 90, &next), [bucket(UDP_SERVICE)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_flow_off_target_that_was_seen_last_counts() {
+fn the_latest_off_target_activity_determines_settlement() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     decide(&mut decider, 0, &clean(1), &tcp(2, ACK));
@@ -71,20 +71,21 @@
         bucket: BucketIndex(0),
     };
     assert_eq!(settled_at(&mut decider, 59, &next), []);
-    // The second flow was seen at second zero; the first, at 40, holds the bucket.
+    // The second flow was last active at second zero. The first was active at second 40 and
+    // delays the settlement of the bucket.
     assert_eq!(settled_at(&mut decider, 70, &next), [bucket(UDP_SERVICE)]);
     let both = [bucket(TCP_SERVICE), bucket(UDP_SERVICE)];
     assert_eq!(settled_at(&mut decider, 101, &next), both);
 }
 
 #[test]
-fn a_bucket_does_not_settle_before_a_whole_round_of_the_sweep() {
+fn a_bucket_does_not_settle_before_a_complete_pass_of_the_sweep() {
     let mut decider = Decider::new(&settings(10));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     decide(&mut decider, 0, &clean(1), &tcp(2, ACK));
     let next = contested(2);
     decider.apply_generation(second(1), &next);
-    // Visits the first record, then both flows are seen again.
+    // The sweep visits the first record, then both flows are active again.
     decider.sweep(second(50), &next, 1);
     decide(&mut decider, 51, &next, &tcp(1, ACK));
     decide(&mut decider, 51, &next, &tcp(2, ACK));
@@ -92,10 +93,10 @@
     assert_eq!(decider.settled_buckets(second(65), &next), []);
 }
 
-/// Forgets `forgotten` after `slots` slots of a round of the sweep, and tells whether the TCP
-/// bucket then counts as settled though `off_target` was seen within the idle time.
-/// It must settle by the next round that is late enough.
-fn settles_early(ports: Range<u16>, off_target: u16, forgotten: u16, slots: u32) -> bool {
+/// Removes the flow from port `removed` after `slots` slots of a pass of the sweep. Returns
+/// whether the TCP bucket then counts as settled although `off_target` was active within the idle
+/// timeout. Asserts that it settles in the next pass after the idle timeout.
+fn settles_early(ports: Range<u16>, off_target: u16, removed: u16, slots: u32) -> bool {
     let mut decider = Decider::new(&settings(8));
     let next = contested(1);
     decider.apply_generation(second(0), &next);
@@ -107,7 +108,7 @@
         decide(&mut decider, 40, &next, &tcp(port, ACK));
     }
     decider.sweep(second(61), &next, slots);
-    decider.remove_flow(&place(&next, &tcp(forgotten, ACK)));
+    decider.remove_flow(&place(&next, &tcp(removed, ACK)));
     decider.sweep(second(61), &next, 100);
     let early = is_tcp_settled(&mut decider, 61, &next);
     decider.sweep(second(101), &next, 100);
@@ -120,16 +121,20 @@
     settled.iter().any(|bucket| bucket.service == TCP_SERVICE)
 }
 
-/// Forgetting a flow moves others, perhaps from ahead of the sweep to behind it: sets of
-/// ports are tried until some collide.
+/// Removing a flow shifts other records, possibly from ahead of the sweep to behind it, where an
+/// off-target flow would be skipped. The test tries several sets of ports, as only colliding
+/// ones are shifted.
 #[test]
-fn no_flow_off_target_is_overlooked_when_others_are_forgotten() {
+fn no_off_target_flow_is_skipped_when_others_are_removed() {
     for first in (0..80).step_by(8) {
         let ports = first..first + 8;
-        for (off_target, forgotten) in pairs(&ports) {
+        for (off_target, removed) in pairs(&ports) {
             for slots in 1..13 {
-                let early = settles_early(ports.clone(), off_target, forgotten, slots);
-                assert!(!early, "{off_target} after {forgotten} at {slots}");
+                let early = settles_early(ports.clone(), off_target, removed, slots);
+                assert!(
+                    !early,
+                    "bucket settled despite off-target flow {off_target}; removed {removed} after {slots} slots"
+                );
             }
         }
     }
@@ -143,7 +148,7 @@
 }
 
 #[test]
-fn a_flow_off_target_that_made_room_counts_as_it_was_last_seen() {
+fn an_expired_off_target_flow_removed_from_a_full_table_delays_settlement() {
     let mut decider = Decider::new(&settings(1));
     decide(&mut decider, 0, &clean(1), &tcp(1, ACK));
     let to = BucketRoute::Contested {
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn a_new_target_starts_the_idle_time_again() {
+fn a_new_target_restarts_the_idle_timeout() {
     let mut decider = Decider::new(&settings(10));
     decider.apply_generation(second(0), &contested(1));
     let back = BucketRoute::Contested {
@@ -171,7 +176,7 @@
 }
 
 #[test]
-fn services_placed_by_load_never_settle() {
+fn least_loaded_services_never_settle() {
     let mut decider = Decider::new(&settings(10));
     let mut forwarding = contested(1);
     for service in forwarding.services.values_mut() {
--- a/crates/bellyoke-core/tests/flow_support/mod.rs
+++ b/crates/bellyoke-core/tests/flow_support/mod.rs
@@ -1,4 +1,4 @@
-//! Packets and generations for the tests of the packet path.
+//! Packets and generations for tests of flows and packets.
 #![allow(
     dead_code,
     reason = "each test program uses a part of the shared helpers"
@@ -42,7 +42,7 @@
 pub const UDP_FIRST: BackendId = BackendId(3);
 pub const UDP_SECOND: BackendId = BackendId(4);
 
-/// Decisions for the backends.
+/// Decisions to forward to a backend.
 pub const TO_FIRST: Decision = Decision::Forward(FIRST);
 pub const TO_SECOND: Decision = Decision::Forward(SECOND);
 pub const TO_UDP_FIRST: Decision = Decision::Forward(UDP_FIRST);
@@ -69,13 +69,13 @@
     rst: false,
 };
 
-/// A TCP segment over IPv4.
+/// Returns a TCP segment over IPv4.
 pub fn tcp_v4(port: u16, flags: TcpFlags, payload: &[u8]) -> Vec<u8> {
     let ip = PacketBuilder::ipv4(CALLER.octets(), SERVICE.octets(), 64);
     write_tcp(ip.tcp(port, TCP_PORT, 1000, 4096), flags, payload)
 }
 
-/// A TCP segment over IPv6.
+/// Returns a TCP segment over IPv6.
 pub fn tcp_v6(port: u16, flags: TcpFlags, payload: &[u8]) -> Vec<u8> {
     let ip = PacketBuilder::ipv6(CALLER_V6.octets(), SERVICE_V6.octets(), 64);
     write_tcp(ip.tcp(port, TCP_PORT, 1000, 4096), flags, payload)
@@ -103,7 +103,7 @@
     packet
 }
 
-/// A UDP datagram over IPv4.
+/// Returns a UDP datagram over IPv4.
 pub fn udp_v4(port: u16, payload: &[u8]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4(CALLER.octets(), SERVICE.octets(), 64).udp(port, UDP_PORT);
     let mut packet = Vec::new();
@@ -111,7 +111,7 @@
     packet
 }
 
-/// A UDP datagram over IPv6.
+/// Returns a UDP datagram over IPv6.
 pub fn udp_v6(port: u16, payload: &[u8]) -> Vec<u8> {
     let ip = PacketBuilder::ipv6(CALLER_V6.octets(), SERVICE_V6.octets(), 64);
     let mut packet = Vec::new();
@@ -119,7 +119,7 @@
     packet
 }
 
-/// An ICMP message from a router.
+/// Returns an ICMP message from a router.
 pub fn write_icmpv4(to: [u8; 4], message: Icmpv4Type, quote: &[u8]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4([203, 0, 113, 9], to, 64).icmpv4(message);
     let mut packet = Vec::new();
@@ -127,7 +127,7 @@
     packet
 }
 
-/// An ICMPv6 message from a router to the service.
+/// Returns an ICMPv6 message from a router to the service.
 pub fn write_icmpv6(message: Icmpv6Type, quote: &[u8]) -> Vec<u8> {
     let router = "2001:db8:2::9".parse::<std::net::Ipv6Addr>().unwrap();
     let builder = PacketBuilder::ipv6(router.octets(), SERVICE_V6.octets(), 64).icmpv6(message);
@@ -136,7 +136,8 @@
     packet
 }
 
-/// What a backend sends in the service's name to the caller's `port`.
+/// Returns a TCP segment from a backend, with the address of the service, to `port` of the
+/// caller.
 pub fn answer_v4(port: u16) -> Vec<u8> {
     let builder = PacketBuilder::ipv4(SERVICE.octets(), CALLER.octets(), 64);
     let mut packet = Vec::new();
@@ -145,7 +146,7 @@
     packet
 }
 
-/// What a backend sends over IPv6, by UDP.
+/// Returns a UDP datagram over IPv6 from a backend to `port` of the caller.
 pub fn answer_v6(port: u16) -> Vec<u8> {
     let builder = PacketBuilder::ipv6(SERVICE_V6.octets(), CALLER_V6.octets(), 64);
     let mut packet = Vec::new();
@@ -154,12 +155,12 @@
     packet
 }
 
-/// Reads a packet that must be whole.
+/// Parses a packet that must be valid.
 pub fn read(packet: &[u8]) -> PacketSummary {
     parse(packet, &ParseOptions::default()).unwrap()
 }
 
-/// Summary of a TCP segment from `port`.
+/// Returns the summary of a TCP segment from `port`.
 pub fn tcp(port: u16, flags: TcpFlags) -> PacketSummary {
     PacketSummary {
         key: key(Transport::Tcp, port, TCP_PORT),
@@ -168,7 +169,7 @@
     }
 }
 
-/// Summary of a UDP datagram from `port`.
+/// Returns the summary of a UDP datagram from `port`.
 pub fn udp(port: u16) -> PacketSummary {
     PacketSummary {
         key: key(Transport::Udp, port, UDP_PORT),
@@ -177,7 +178,7 @@
     }
 }
 
-/// A flow of the one caller to the one service address.
+/// Returns the key of a flow from the caller to the address of the services.
 pub fn key(transport: Transport, port: u16, service_port: u16) -> FlowKey {
     FlowKey {
         transport,
@@ -188,7 +189,7 @@
     }
 }
 
-/// Both services, with one bucket each.
+/// Returns a generation with both services and one bucket each.
 pub fn forwarding(generation: u64, tcp: BucketRoute, udp: BucketRoute) -> Forwarding {
     let services = [
         (Transport::Tcp, TCP_PORT, TCP_SERVICE, tcp),
@@ -203,7 +204,7 @@
     }
 }
 
-/// Both services with clean buckets, on their first backends.
+/// Returns a generation in which both buckets are clean and mapped to the first backends.
 pub fn clean(generation: u64) -> Forwarding {
     forwarding(
         generation,
@@ -212,7 +213,7 @@
     )
 }
 
-/// Both services with contested buckets, on the way to their second backends.
+/// Returns a generation in which both buckets are contested and move to the second backends.
 pub fn contested(generation: u64) -> Forwarding {
     let to = |backend| BucketRoute::Contested {
         target: Some(backend),
@@ -261,7 +262,7 @@
     forwarding.backends.get_mut(&backend).unwrap().state = BackendState::Dead;
 }
 
-/// Settings for a few flows.
+/// Returns settings for a flow table of `capacity` flows.
 pub fn settings(capacity: u32) -> FlowSettings {
     FlowSettings {
         capacity,
@@ -271,12 +272,12 @@
     }
 }
 
-/// A point in time.
+/// Returns the timestamp `seconds` after the start of the clock.
 pub fn second(seconds: u64) -> Timestamp {
     Timestamp::ZERO.after(Duration::from_secs(seconds))
 }
 
-/// Where a packet's flow belongs in `forwarding`.
+/// Returns the position of a packet's flow in the lookup tables of `forwarding`.
 pub fn place(forwarding: &Forwarding, packet: &PacketSummary) -> FlowPlace {
     let endpoint = ServiceEndpoint {
         transport: packet.key.transport,
@@ -292,7 +293,7 @@
     }
 }
 
-/// Decides with a valid lease.
+/// Decides about a packet with a valid lease.
 pub fn decide(
     decider: &mut Decider,
     at: u64,
@@ -302,7 +303,7 @@
     decider.decide(second(at), forwarding, LeaseState::Valid, packet)
 }
 
-/// Properties with the same `cases` every time.
+/// Returns a proptest configuration with a fixed seed and `cases` cases.
 pub fn seeded(cases: u32) -> Config {
     Config {
         cases,
--- a/crates/bellyoke-core/tests/flow_table.rs
+++ b/crates/bellyoke-core/tests/flow_table.rs
@@ -1,4 +1,4 @@
-//! The flow table against a plain map, and its memory.
+//! Comparison of the flow table with a hash map, and its memory usage.
 
 mod flow_support;
 
@@ -9,20 +9,23 @@
 use proptest::prelude::*;
 use std::collections::HashMap;
 
-/// Bytes that a held flow may take.
-const BYTES_A_FLOW: usize = 64;
+/// Maximum memory per flow.
+const MAXIMUM_BYTES_PER_FLOW: usize = 64;
 
 #[test]
 fn a_flow_takes_no_more_than_64_bytes() {
     for capacity in [1_000, 50_000, 500_000, 917_505] {
         let table = FlowTable::new(capacity);
         let bytes = table.memory_bytes() / capacity as usize;
-        assert!(bytes <= BYTES_A_FLOW, "{bytes} bytes at {capacity} flows");
+        assert!(
+            bytes <= MAXIMUM_BYTES_PER_FLOW,
+            "{bytes} bytes per flow with a capacity of {capacity} flows"
+        );
     }
 }
 
 #[test]
-fn memory_does_not_grow() {
+fn memory_stays_constant() {
     let forwarding = clean(1);
     let mut decider = Decider::new(&settings(1_000));
     let before = decider.table().memory_bytes();
@@ -40,16 +43,16 @@
 }
 
 #[test]
-fn a_table_holds_at_least_one_flow() {
+fn the_capacity_is_at_least_one_flow() {
     assert_eq!(FlowTable::new(0).capacity(), 1);
 }
 
-/// What is done to a table; ports are few, so that the same flow comes again.
+/// An operation on the table. Ports are few, so operations repeat on the same flow.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Packet(u16),
     Learn(u16, BackendId),
-    Forget(u16),
+    Remove(u16),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -58,13 +61,13 @@
     let step = prop_oneof![
         4 => port.clone().prop_map(Step::Packet),
         2 => (port.clone(), backend).prop_map(|(port, backend)| Step::Learn(port, backend)),
-        3 => port.prop_map(Step::Forget),
+        3 => port.prop_map(Step::Remove),
     ];
     proptest::collection::vec(step, 0..1_500)
 }
 
-/// Takes a step and gives back what a plain map would hold.
-fn take(
+/// Applies a step to the table and to a hash map as its model.
+fn apply(
     decider: &mut Decider,
     forwarding: &Forwarding,
     model: &mut HashMap<u16, BackendId>,
@@ -80,7 +83,7 @@
             decider.learn(second(0), &place(forwarding, &tcp(port, ACK)), backend);
             model.insert(port, backend);
         }
-        Step::Forget(port) => {
+        Step::Remove(port) => {
             decider.remove_flow(&place(forwarding, &tcp(port, ACK)));
             model.remove(&port);
         }
@@ -92,14 +95,14 @@
     #![proptest_config(seeded(64))]
 
     #[test]
-    fn the_table_is_a_map(steps in steps()) {
+    fn the_table_behaves_like_a_hash_map(steps in steps()) {
         let forwarding = clean(1);
-        // As full as it gets with all flows, so that runs are long and wrap around.
+        // The capacity is the number of possible flows, so runs are long and wrap around.
         let mut decider = Decider::new(&settings(200));
         decider.apply_generation(second(0), &forwarding);
         let mut model = HashMap::new();
         for step in steps {
-            take(&mut decider, &forwarding, &mut model, step)?;
+            apply(&mut decider, &forwarding, &mut model, step)?;
         }
         prop_assert_eq!(decider.table().len() as usize, model.len());
         let mut by_backend = HashMap::new();
