--- a/crates/bellyoke-core/src/generation/codec.rs
+++ b/crates/bellyoke-core/src/generation/codec.rs
@@ -10,12 +10,12 @@
 use thiserror::Error;
 
 /// Number of the byte format; another number is refused.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 /// Alignment that archived values need, bytes.
-const ALIGNMENT: usize = 16;
+const ARCHIVE_ALIGNMENT_BYTES: usize = 16;
 /// Longest archive that is accepted, bytes: ten times that of 5,700 backends in 1,800
 /// services with 1,024 buckets each.
-const MAX_ARCHIVE_LENGTH: usize = 32 << 20;
+const MAXIMUM_ARCHIVE_BYTES: usize = 32 << 20;
 
 /// Why bytes of a peer or of the store aren't taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -24,10 +24,10 @@
     #[error("no data")]
     Empty,
     /// A format that this version doesn't know.
-    #[error("byte format {0} is unknown, {FORMAT} is expected")]
+    #[error("byte format {0} is unknown, {FORMAT_VERSION} is expected")]
     Format(u8),
     /// An archive above the limit.
-    #[error("archive of {0} bytes, more than {MAX_ARCHIVE_LENGTH}")]
+    #[error("archive of {0} bytes, more than {MAXIMUM_ARCHIVE_BYTES}")]
     TooLong(usize),
     /// The compressed data is damaged.
     #[error("damaged compression: {0}")]
@@ -49,7 +49,7 @@
 }
 
 /// The archive of `value`: equal values have equal archives.
-pub(super) fn archive<T>(value: &T) -> AlignedVec
+pub(super) fn to_archive<T>(value: &T) -> AlignedVec
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, ArchiveError>>,
 {
@@ -58,27 +58,27 @@
 }
 
 /// Compresses an archive.
-pub(super) fn pack(archive: &[u8]) -> Vec<u8> {
-    let mut bytes = vec![FORMAT];
+pub(super) fn compress_archive(archive: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![FORMAT_VERSION];
     bytes.extend(compress_prepend_size(archive));
     bytes
 }
 
 /// Decompresses and validates a value.
-pub(super) fn unpack<T>(bytes: &[u8]) -> Result<T, DecodeError>
+pub(super) fn decode_archive<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: Archive,
     T::Archived: for<'a> CheckBytes<HighValidator<'a, ArchiveError>>
         + Deserialize<T, HighDeserializer<ArchiveError>>,
 {
-    let (format, packed) = bytes.split_first().ok_or(DecodeError::Empty)?;
-    if *format != FORMAT {
+    let (format, payload) = bytes.split_first().ok_or(DecodeError::Empty)?;
+    if *format != FORMAT_VERSION {
         return Err(DecodeError::Format(*format));
     }
     let compression =
         |error: lz4_flex::block::DecompressError| DecodeError::Compression(error.to_string());
-    let (length, compressed) = uncompressed_size(packed).map_err(compression)?;
-    if length > MAX_ARCHIVE_LENGTH {
+    let (length, compressed) = uncompressed_size(payload).map_err(compression)?;
+    if length > MAXIMUM_ARCHIVE_BYTES {
         return Err(DecodeError::TooLong(length));
     }
     let archive = decompress(compressed, length).map_err(compression)?;
@@ -88,7 +88,7 @@
             found: archive.len(),
         });
     }
-    let mut aligned = AlignedVec::<ALIGNMENT>::with_capacity(archive.len());
+    let mut aligned = AlignedVec::<ARCHIVE_ALIGNMENT_BYTES>::with_capacity(archive.len());
     aligned.extend_from_slice(&archive);
     rkyv::from_bytes::<T, ArchiveError>(&aligned)
         .map_err(|error| DecodeError::Archive(error.to_string()))
--- a/crates/bellyoke-core/src/generation/compile/backends.rs
+++ b/crates/bellyoke-core/src/generation/compile/backends.rs
@@ -2,7 +2,7 @@
 
 use super::matching::{DesiredBackend, Membership, Memberships};
 use super::services::AdmittedService;
-use super::{Context, Problem, service_by_id};
+use super::{CompileContext, Problem, service_by_id};
 use crate::flow::SettledBucket;
 use crate::generation::objects::ObjectUid;
 use crate::generation::types::{Backend, BackendState, Placement, Service, ServiceBackend};
@@ -21,7 +21,7 @@
 
 /// Backends of the next generation, by number, and the number of the next new one.
 pub(super) fn advance(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     services: &[AdmittedService<'_>],
     desired: &Memberships<'_>,
     problems: &mut Vec<Problem>,
@@ -69,7 +69,7 @@
     for ((service, selector), group) in groups {
         let members = match selector {
             Some(_) => group.scaled(),
-            None => former_shares(services, service, &group),
+            None => previous_shares(services, service, &group),
         };
         shares.entry(service).or_default().extend(members);
     }
@@ -123,7 +123,7 @@
 }
 
 /// Shares in an invalid service, which keeps what it had.
-fn former_shares(
+fn previous_shares(
     services: &[AdmittedService<'_>],
     service: ServiceId,
     group: &SelectorGroup,
@@ -138,29 +138,29 @@
     former.iter().filter(is_member).copied().collect()
 }
 
-fn is_unreadable(context: &Context<'_>, backend: &Backend) -> bool {
+fn is_unreadable(context: &CompileContext<'_>, backend: &Backend) -> bool {
     context.unreadable.backends.contains(&backend.name)
 }
 
-fn draining(context: &Context<'_>, backend: &Backend) -> Backend {
+fn draining(context: &CompileContext<'_>, backend: &Backend) -> Backend {
     Backend {
         state: BackendState::Draining,
-        draining_since: first_or(backend.draining_since, context.number),
+        draining_since: if_unset(backend.draining_since, context.number),
         ..backend.clone()
     }
 }
 
-fn dead(context: &Context<'_>, backend: &Backend) -> Backend {
+fn dead(context: &CompileContext<'_>, backend: &Backend) -> Backend {
     Backend {
         state: BackendState::Dead,
-        draining_since: first_or(backend.draining_since, context.number),
+        draining_since: if_unset(backend.draining_since, context.number),
         ..backend.clone()
     }
 }
 
 /// A backend whose object is still there; none once it serves nothing.
 fn advance_alive(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     services: &[AdmittedService<'_>],
     backend: &Backend,
     wanted: &DesiredBackend<'_>,
@@ -188,7 +188,7 @@
     let draining_since = match (active, moved) {
         (true, _) => GenerationNumber::default(),
         (false, true) => context.number,
-        (false, false) => first_or(backend.draining_since, context.number),
+        (false, false) => if_unset(backend.draining_since, context.number),
     };
     Some(Backend {
         id: backend.id,
@@ -204,7 +204,7 @@
 
 fn report_draining(
     services: &[AdmittedService<'_>],
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     backend: &Backend,
     target: Option<ServiceId>,
     problems: &mut Vec<Problem>,
@@ -229,7 +229,7 @@
 ///
 /// It looks at the previous generation only: a backend joins its next service a generation
 /// after its last bucket of the former one was found settled, never in the same.
-fn is_released(context: &Context<'_>, backend: &Backend) -> bool {
+fn is_released(context: &CompileContext<'_>, backend: &Backend) -> bool {
     let Some(id) = backend.service else {
         return true;
     };
@@ -246,22 +246,22 @@
         return false;
     }
     match service.placement {
-        Placement::Hashed => !may_hold_pins(service, backend.draining_since),
+        Placement::Hashed => !may_have_pins(service, backend.draining_since),
         Placement::LeastLoaded => all_settled(context, service),
     }
 }
 
 /// Whether flows may be pinned on a backend that took new ones until `draining_since`:
 /// in buckets that were contested before.
-fn may_hold_pins(service: &Service, draining_since: GenerationNumber) -> bool {
+fn may_have_pins(service: &Service, draining_since: GenerationNumber) -> bool {
     let mut buckets = service.buckets.iter();
     buckets.any(|bucket| bucket.is_contested() && bucket.contested_since < draining_since)
 }
 
-fn all_settled(context: &Context<'_>, service: &Service) -> bool {
+fn all_settled(context: &CompileContext<'_>, service: &Service) -> bool {
     let mut indices = (0..service.buckets.len()).map(|index| BucketIndex(index as u32));
     indices.all(|bucket| {
-        context.cleaned.contains(&SettledBucket {
+        context.settled.contains(&SettledBucket {
             service: service.id,
             bucket,
         })
@@ -270,7 +270,7 @@
 
 /// Numbers backends that are selected for the first time.
 fn admit_new(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     former: &[Backend],
     desired: &Memberships<'_>,
     backends: &mut BTreeMap<BackendId, Backend>,
@@ -309,7 +309,7 @@
 }
 
 fn new_backend(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     id: BackendId,
     wanted: &DesiredBackend<'_>,
     service: ServiceId,
@@ -344,7 +344,7 @@
     }
 }
 
-fn first_or(number: GenerationNumber, otherwise: GenerationNumber) -> GenerationNumber {
+fn if_unset(number: GenerationNumber, otherwise: GenerationNumber) -> GenerationNumber {
     if number == GenerationNumber::default() {
         otherwise
     } else {
--- a/crates/bellyoke-core/src/generation/compile/buckets.rs
+++ b/crates/bellyoke-core/src/generation/compile/buckets.rs
@@ -24,28 +24,28 @@
     is_settled: impl Fn(BucketIndex) -> bool,
 ) -> Vec<Bucket> {
     let Some(previous) = change.previous else {
-        return first_buckets(change);
+        return initial_buckets(change);
     };
-    let targets = target_list(&previous.buckets);
+    let targets = bucket_targets(&previous.buckets);
     let next_targets = rebalance(&targets, change.backends);
     let mut buckets = previous.buckets.clone();
     for (index, (bucket, target)) in buckets.iter_mut().zip(next_targets).enumerate() {
         let hashed = previous.placement == Placement::Hashed;
         if hashed && bucket.target.is_some() && is_settled(BucketIndex(index as u32)) {
-            *bucket = clean(bucket.target);
+            *bucket = clean_bucket(bucket.target);
         }
         if bucket.target != target || previous.placement != change.placement {
-            contest(bucket, change.number);
+            mark_contested(bucket, change.number);
         }
         bucket.target = target;
     }
     buckets
 }
 
-fn first_buckets(change: &TableChange<'_>) -> Vec<Bucket> {
+fn initial_buckets(change: &TableChange<'_>) -> Vec<Bucket> {
     let empty = vec![None; change.size];
     let bucket = |target: Option<BackendId>| {
-        let mut bucket = clean(target);
+        let mut bucket = clean_bucket(target);
         if target.is_none() || change.placement == Placement::LeastLoaded {
             bucket.contested_since = change.number;
         }
@@ -57,7 +57,7 @@
         .collect()
 }
 
-fn clean(target: Option<BackendId>) -> Bucket {
+fn clean_bucket(target: Option<BackendId>) -> Bucket {
     Bucket {
         target,
         base: None,
@@ -67,13 +67,13 @@
 
 /// Flows of a clean bucket live on its target. Those of a contested one are pinned, or live
 /// on the base that it has: nothing changes for them.
-fn contest(bucket: &mut Bucket, number: GenerationNumber) {
+fn mark_contested(bucket: &mut Bucket, number: GenerationNumber) {
     if !bucket.is_contested() {
         bucket.base = bucket.target;
         bucket.contested_since = number;
     }
 }
 
-fn target_list(buckets: &[Bucket]) -> Vec<Option<BackendId>> {
+fn bucket_targets(buckets: &[Bucket]) -> Vec<Option<BackendId>> {
     buckets.iter().map(|bucket| bucket.target).collect()
 }
--- a/crates/bellyoke-core/src/generation/compile/matching.rs
+++ b/crates/bellyoke-core/src/generation/compile/matching.rs
@@ -1,7 +1,7 @@
 //! Which service each backend belongs to by labels and selectors.
 
 use super::services::AdmittedService;
-use super::{Context, Problem};
+use super::{CompileContext, Problem};
 use crate::generation::objects::{BackendObject, ObjectUid, WeightedSelector};
 use crate::identity::ServiceId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -32,13 +32,13 @@
 
 /// Finds each backend's service: the first by name of those that select it.
 pub(super) fn memberships<'a>(
-    context: &Context<'a>,
+    context: &CompileContext<'a>,
     services: &[AdmittedService<'a>],
     objects: &'a [BackendObject],
     problems: &mut Vec<Problem>,
 ) -> Memberships<'a> {
     let index = SelectorIndex::new(services);
-    let kept = kept_by_invalid_services(context, services);
+    let kept = memberships_of_invalid_services(context, services);
     let mut matched = BTreeSet::new();
     let mut memberships = Memberships::new();
     for object in objects {
@@ -52,7 +52,7 @@
         }
         let chosen = index.matches(object);
         matched.extend(chosen.iter().map(|entry| (entry.service, entry.index)));
-        report_second_service(object, &chosen, problems);
+        report_ambiguous_selection(object, &chosen, problems);
         let selected = chosen.first().map(SelectorEntry::membership);
         let membership = kept.get(&object.uid).copied().or(selected);
         let desired = DesiredBackend {
@@ -142,8 +142,8 @@
 }
 
 /// An invalid service keeps the backends that it has.
-fn kept_by_invalid_services<'a>(
-    context: &Context<'a>,
+fn memberships_of_invalid_services<'a>(
+    context: &CompileContext<'a>,
     services: &[AdmittedService<'a>],
 ) -> HashMap<&'a ObjectUid, Membership> {
     let mut kept = HashMap::new();
@@ -168,7 +168,7 @@
     kept
 }
 
-fn report_second_service(
+fn report_ambiguous_selection(
     object: &BackendObject,
     chosen: &[SelectorEntry<'_>],
     problems: &mut Vec<Problem>,
--- a/crates/bellyoke-core/src/generation/compile/mod.rs
+++ b/crates/bellyoke-core/src/generation/compile/mod.rs
@@ -77,7 +77,7 @@
 
 /// Compiles the generation that follows `previous`.
 ///
-/// `cleaned` names buckets that were found settled under `previous` itself; reports under an
+/// `settled` names buckets that were found settled under `previous` itself; reports under an
 /// older generation must not be passed, as their buckets may have moved since. When it
 /// names all buckets of a service that is placed by load, then no draining backend of that
 /// service holds a flow.
@@ -88,17 +88,17 @@
     previous: Option<&Generation>,
     desired: &DesiredState,
     members: &[MemberObject],
-    cleaned: &[SettledBucket],
+    settled: &[SettledBucket],
     parameters: ClusterParameters,
 ) -> Result<Compilation, CompileError> {
     if let Some(previous) = previous {
         check_history(previous, desired, parameters)?;
     }
-    let context = Context {
+    let context = CompileContext {
         previous,
         unreadable: &desired.unreadable,
         number: GenerationNumber(previous.map_or(0, |generation| generation.number.0) + 1),
-        cleaned: cleaned.iter().copied().collect(),
+        settled: settled.iter().copied().collect(),
     };
     let mut problems = Vec::new();
     let (admitted, next_service) = services::admit(&context, desired, &mut problems);
@@ -110,7 +110,7 @@
         number: context.number,
         revision: desired.revision,
         parameters,
-        backends: without_forgotten(backends, &services),
+        backends: without_unreferenced(backends, &services),
         services,
         members: member_list(members),
         next_service,
@@ -124,11 +124,11 @@
 }
 
 /// What all steps need.
-struct Context<'a> {
+struct CompileContext<'a> {
     previous: Option<&'a Generation>,
     unreadable: &'a UnreadableObjects,
     number: GenerationNumber,
-    cleaned: HashSet<SettledBucket>,
+    settled: HashSet<SettledBucket>,
 }
 
 fn check_history(
@@ -153,7 +153,7 @@
 }
 
 fn compile_services(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     admitted: Vec<AdmittedService<'_>>,
     backends: &BTreeMap<BackendId, Backend>,
     memberships: &matching::Memberships<'_>,
@@ -171,7 +171,7 @@
             number: context.number,
         };
         service.buckets = next_buckets(&change, |bucket| {
-            context.cleaned.contains(&SettledBucket {
+            context.settled.contains(&SettledBucket {
                 service: service.id,
                 bucket,
             })
@@ -184,7 +184,10 @@
 
 /// Drops dead backends that no bucket has as its base any more: an unknown backend is
 /// treated like a dead one.
-fn without_forgotten(backends: BTreeMap<BackendId, Backend>, services: &[Service]) -> Vec<Backend> {
+fn without_unreferenced(
+    backends: BTreeMap<BackendId, Backend>,
+    services: &[Service],
+) -> Vec<Backend> {
     let buckets = services.iter().flat_map(|service| &service.buckets);
     let bases: BTreeSet<BackendId> = buckets.filter_map(|bucket| bucket.base).collect();
     let kept = |backend: &Backend| backends::is_alive(backend) || bases.contains(&backend.id);
--- a/crates/bellyoke-core/src/generation/compile/services.rs
+++ b/crates/bellyoke-core/src/generation/compile/services.rs
@@ -1,6 +1,6 @@
 //! Which services are served, under which number and on which address.
 
-use super::{Context, DesiredState, Problem, service_by_id};
+use super::{CompileContext, DesiredState, Problem, service_by_id};
 use crate::generation::encoding::without_table;
 use crate::generation::forwarding::ServiceEndpoint;
 use crate::generation::objects::{ObjectUid, ServiceObject};
@@ -23,9 +23,9 @@
 /// A service that asks for an address.
 enum Candidate<'a> {
     /// A valid object, and the service in the previous generation.
-    Wanted(&'a ServiceObject, Option<&'a Service>),
+    Valid(&'a ServiceObject, Option<&'a Service>),
     /// A service whose object is invalid: it stays as it was.
-    Kept(&'a Service),
+    Unchanged(&'a Service),
 }
 
 /// Admits services and numbers new ones.
@@ -33,7 +33,7 @@
 /// An address goes to the service that has it, then to the older by number, then to the
 /// first by name. A served service that can't have its new address keeps the former one.
 pub(super) fn admit<'a>(
-    context: &Context<'a>,
+    context: &CompileContext<'a>,
     desired: &'a DesiredState,
     problems: &mut Vec<Problem>,
 ) -> (Vec<AdmittedService<'a>>, ServiceId) {
@@ -71,7 +71,7 @@
 }
 
 fn candidates<'a>(
-    context: &Context<'a>,
+    context: &CompileContext<'a>,
     desired: &'a DesiredState,
     problems: &mut Vec<Problem>,
 ) -> Vec<Candidate<'a>> {
@@ -83,13 +83,13 @@
         let id = numbers.get(uid).copied();
         let previous = id.and_then(|id| service_by_id(context.previous, id));
         match object.validate() {
-            Ok(()) => candidates.push(Candidate::Wanted(object, previous)),
+            Ok(()) => candidates.push(Candidate::Valid(object, previous)),
             Err(error) => {
                 problems.push(Problem::InvalidService {
                     service: object.name.clone(),
                     error,
                 });
-                candidates.extend(previous.map(Candidate::Kept));
+                candidates.extend(previous.map(Candidate::Unchanged));
             }
         }
     }
@@ -100,12 +100,12 @@
         let is_unreadable = context.unreadable.services.contains(&service.name);
         is_unreadable && !by_uid.contains_key(&service.uid)
     });
-    candidates.extend(unreadable.map(Candidate::Kept));
+    candidates.extend(unreadable.map(Candidate::Unchanged));
     candidates.sort_by(|left, right| left.order().cmp(&right.order()));
     candidates
 }
 
-fn numbers_by_uid<'a>(context: &Context<'a>) -> HashMap<&'a ObjectUid, ServiceId> {
+fn numbers_by_uid<'a>(context: &CompileContext<'a>) -> HashMap<&'a ObjectUid, ServiceId> {
     let services = context
         .previous
         .map_or(&[][..], |generation| &generation.services);
@@ -126,33 +126,33 @@
 
     fn previous(&self) -> Option<&'a Service> {
         match self {
-            Self::Wanted(_, previous) => *previous,
-            Self::Kept(service) => Some(service),
+            Self::Valid(_, previous) => *previous,
+            Self::Unchanged(service) => Some(service),
         }
     }
 
     fn name(&self) -> &'a str {
         match self {
-            Self::Wanted(object, _) => &object.name,
-            Self::Kept(service) => &service.name,
+            Self::Valid(object, _) => &object.name,
+            Self::Unchanged(service) => &service.name,
         }
     }
 
     fn uid(&self) -> &'a ObjectUid {
         match self {
-            Self::Wanted(object, _) => &object.uid,
-            Self::Kept(service) => &service.uid,
+            Self::Valid(object, _) => &object.uid,
+            Self::Unchanged(service) => &service.uid,
         }
     }
 
     fn endpoint(&self) -> ServiceEndpoint {
         match self {
-            Self::Wanted(object, _) => ServiceEndpoint {
+            Self::Valid(object, _) => ServiceEndpoint {
                 transport: object.transport,
                 address: object.address,
                 port: object.port,
             },
-            Self::Kept(service) => service.endpoint(),
+            Self::Unchanged(service) => service.endpoint(),
         }
     }
 
@@ -163,13 +163,13 @@
         problems: &mut Vec<Problem>,
     ) -> AdmittedService<'a> {
         match self {
-            Self::Kept(service) => AdmittedService {
+            Self::Unchanged(service) => AdmittedService {
                 service: without_table(service),
                 object: None,
                 previous: Some(service),
                 table_size: service.buckets.len(),
             },
-            Self::Wanted(object, previous) => AdmittedService {
+            Self::Valid(object, previous) => AdmittedService {
                 service: new_settings(object, id, endpoint),
                 object: Some(object),
                 previous,
--- a/crates/bellyoke-core/src/generation/delta.rs
+++ b/crates/bellyoke-core/src/generation/delta.rs
@@ -4,7 +4,7 @@
 //! delta corrects only the buckets where that doesn't give the later generation, such as
 //! those that were found settled. The digest decides whether the result is right.
 
-use crate::generation::codec::{DecodeError, archive, pack, unpack};
+use crate::generation::codec::{DecodeError, compress_archive, decode_archive, to_archive};
 use crate::generation::compile::{TableChange, next_buckets};
 use crate::generation::encoding::{BucketRun, GenerationDigest, without_table};
 use crate::generation::objects::StoreRevision;
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
     /// It starts from another generation.
-    #[error("the delta starts from generation {expected}, not {held}")]
+    #[error("the delta starts from generation {expected}, not {actual}")]
     Base {
         /// The generation that it starts from.
         expected: GenerationNumber,
         /// The generation at hand.
-        held: GenerationNumber,
+        actual: GenerationNumber,
     },
     /// Its parts contradict each other.
     #[error(transparent)]
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 struct ServiceDelta {
     /// All but the table, which is empty here.
-    head: Service,
+    metadata: Service,
     /// Size of the table.
     table_size: u32,
     /// Buckets that differ from the computed ones.
@@ -130,7 +130,7 @@
         if old.number != self.from {
             return Err(DeltaError::Base {
                 expected: self.from,
-                held: old.number,
+                actual: old.number,
             });
         }
         let generation = Generation {
@@ -156,7 +156,7 @@
     /// The delta as compact bytes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        pack(&archive(self))
+        compress_archive(&to_archive(self))
     }
 
     /// The delta that `bytes` hold.
@@ -164,7 +164,7 @@
     /// # Errors
     /// When the bytes aren't those of a delta in a known format.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        unpack(bytes)
+        decode_archive(bytes)
     }
 
     fn apply_services(&self, old: &Generation) -> Result<Vec<Service>, DecodeError> {
@@ -178,7 +178,7 @@
             services.remove(id);
         }
         for delta in &self.services {
-            let previous = old_services.get(&delta.head.id).copied();
+            let previous = old_services.get(&delta.metadata.id).copied();
             let service = delta.apply(previous, self.number)?;
             services.insert(service.id, service);
         }
@@ -197,8 +197,8 @@
 
 impl ServiceDelta {
     fn between(previous: Option<&Service>, service: &Service, number: GenerationNumber) -> Self {
-        let head = without_table(service);
-        let computed = computed_buckets(previous, &head, service.buckets.len(), number);
+        let metadata = without_table(service);
+        let computed = computed_buckets(previous, &metadata, service.buckets.len(), number);
         let mut corrections = Vec::<Correction>::new();
         for (index, bucket) in service.buckets.iter().enumerate() {
             if computed.get(index) == Some(bucket) {
@@ -213,7 +213,7 @@
             }
         }
         Self {
-            head,
+            metadata,
             table_size: u32::try_from(service.buckets.len()).unwrap_or(u32::MAX),
             corrections,
         }
@@ -228,7 +228,7 @@
             return Err(DecodeError::Table);
         }
         let size = self.table_size as usize;
-        let mut buckets = computed_buckets(previous, &self.head, size, number);
+        let mut buckets = computed_buckets(previous, &self.metadata, size, number);
         for correction in &self.corrections {
             for run in &correction.runs {
                 run.entries(&mut buckets)?.fill(correction.content);
@@ -236,7 +236,7 @@
         }
         Ok(Service {
             buckets,
-            ..self.head.clone()
+            ..self.metadata.clone()
         })
     }
 }
@@ -252,14 +252,14 @@
 /// The table that a publisher computes when no bucket was found settled.
 fn computed_buckets(
     previous: Option<&Service>,
-    head: &Service,
+    metadata: &Service,
     size: usize,
     number: GenerationNumber,
 ) -> Vec<Bucket> {
     let change = TableChange {
         previous,
-        placement: head.placement,
-        backends: &head.backends,
+        placement: metadata.placement,
+        backends: &metadata.backends,
         size,
         number,
     };
--- a/crates/bellyoke-core/src/generation/encoding.rs
+++ b/crates/bellyoke-core/src/generation/encoding.rs
@@ -1,6 +1,6 @@
 //! The canonical encoding of a generation and its digest.
 
-use crate::generation::codec::{DecodeError, archive, pack, unpack};
+use crate::generation::codec::{DecodeError, compress_archive, decode_archive, to_archive};
 use crate::generation::types::{Bucket, Generation, Service};
 use crate::identity::{BackendId, GenerationNumber};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -26,7 +26,7 @@
     /// The generation as compact bytes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        pack(&archive(&EncodedGeneration::new(self)))
+        compress_archive(&to_archive(&EncodedGeneration::new(self)))
     }
 
     /// The generation that `bytes` hold.
@@ -34,13 +34,13 @@
     /// # Errors
     /// When the bytes aren't those of a generation in a known format.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        unpack::<EncodedGeneration>(bytes)?.into_generation()
+        decode_archive::<EncodedGeneration>(bytes)?.into_generation()
     }
 
     /// Hash of the content: two generations with one digest are equal.
     #[must_use]
     pub fn digest(&self) -> GenerationDigest {
-        let archive = archive(&EncodedGeneration::new(self));
+        let archive = to_archive(&EncodedGeneration::new(self));
         GenerationDigest(*blake3::hash(&archive).as_bytes())
     }
 }
@@ -81,7 +81,7 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedGeneration {
     /// All but the tables, which are empty here.
-    head: Generation,
+    metadata: Generation,
     /// A table for each service.
     tables: Vec<EncodedTable>,
 }
@@ -89,7 +89,7 @@
 impl EncodedGeneration {
     fn new(generation: &Generation) -> Self {
         let services = generation.services.iter();
-        let head = Generation {
+        let metadata = Generation {
             services: services.map(without_table).collect(),
             backends: generation.backends.clone(),
             members: generation.members.clone(),
@@ -97,7 +97,7 @@
         };
         let services = generation.services.iter();
         Self {
-            head,
+            metadata,
             tables: services
                 .map(|service| EncodedTable::new(&service.buckets))
                 .collect(),
@@ -105,10 +105,10 @@
     }
 
     fn into_generation(self) -> Result<Generation, DecodeError> {
-        if self.tables.len() != self.head.services.len() {
+        if self.tables.len() != self.metadata.services.len() {
             return Err(DecodeError::Table);
         }
-        let mut generation = self.head;
+        let mut generation = self.metadata;
         for (service, table) in generation.services.iter_mut().zip(&self.tables) {
             service.buckets = table.buckets()?;
         }
@@ -127,12 +127,12 @@
     }
 }
 
-/// A lookup table: targets as positions in a list of its backends, contests as runs.
+/// A lookup table: targets as positions in a list of its backends, contested as runs.
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedTable {
     backends: Vec<BackendId>,
     targets: Targets,
-    contests: Vec<Contest>,
+    contested: Vec<ContestedRuns>,
 }
 
 /// Position of each bucket's target, from 1; 0 for none.
@@ -144,7 +144,7 @@
 
 /// Buckets that became contested together and have the same base.
 #[derive(Archive, Serialize, Deserialize)]
-struct Contest {
+struct ContestedRuns {
     base: Option<BackendId>,
     since: GenerationNumber,
     runs: Vec<BucketRun>,
@@ -169,7 +169,7 @@
         Self {
             backends: backends.into_iter().collect(),
             targets,
-            contests: contests(buckets),
+            contested: contested(buckets),
         }
     }
 
@@ -185,11 +185,11 @@
                 .map(|entry| clean(*entry as usize))
                 .collect::<Result<Vec<_>, _>>(),
         }?;
-        for contest in &self.contests {
-            for run in &contest.runs {
+        for entry in &self.contested {
+            for run in &entry.runs {
                 for bucket in run.entries(&mut buckets)? {
-                    bucket.base = contest.base;
-                    bucket.contested_since = contest.since;
+                    bucket.base = entry.base;
+                    bucket.contested_since = entry.since;
                 }
             }
         }
@@ -208,15 +208,15 @@
     }
 }
 
-fn contests(buckets: &[Bucket]) -> Vec<Contest> {
+fn contested(buckets: &[Bucket]) -> Vec<ContestedRuns> {
     let mut runs = BTreeMap::<(GenerationNumber, Option<BackendId>), Vec<BucketRun>>::new();
     for (index, bucket) in buckets.iter().enumerate() {
         if bucket.is_contested() {
-            let contest = (bucket.contested_since, bucket.base);
-            BucketRun::append(runs.entry(contest).or_default(), index);
+            let entry = (bucket.contested_since, bucket.base);
+            BucketRun::append(runs.entry(entry).or_default(), index);
         }
     }
     runs.into_iter()
-        .map(|((since, base), runs)| Contest { base, since, runs })
+        .map(|((since, base), runs)| ContestedRuns { base, since, runs })
         .collect()
 }
--- a/crates/bellyoke-core/src/generation/maglev.rs
+++ b/crates/bellyoke-core/src/generation/maglev.rs
@@ -20,10 +20,10 @@
 
 impl Preference {
     fn new(backend: BackendId, size: usize) -> Self {
-        let size_hash = size as u64;
-        let position = backend_hash(backend, OFFSET_SEED) % size_hash;
-        let mut skip = backend_hash(backend, SKIP_SEED) % size_hash.max(2).saturating_sub(1) + 1;
-        while greatest_common_divisor(skip, size_hash) != 1 {
+        let table_size = size as u64;
+        let position = backend_hash(backend, OFFSET_SEED) % table_size;
+        let mut skip = backend_hash(backend, SKIP_SEED) % table_size.max(2).saturating_sub(1) + 1;
+        while greatest_common_divisor(skip, table_size) != 1 {
             skip += 1;
         }
         Self {
@@ -53,8 +53,8 @@
         .iter()
         .map(|backend| Preference::new(*backend, size))
         .collect();
-    for turn in 0..size {
-        preferences[turn % backends.len()].claim(&mut table);
+    for step in 0..size {
+        preferences[step % backends.len()].claim(&mut table);
     }
     table
 }
--- a/crates/bellyoke-core/src/generation/selector.rs
+++ b/crates/bellyoke-core/src/generation/selector.rs
@@ -4,9 +4,9 @@
 use thiserror::Error;
 
 /// Longest name part and longest value of a label, bytes (Kubernetes label syntax).
-const MAX_LABEL_LENGTH: usize = 63;
+const MAXIMUM_LABEL_BYTES: usize = 63;
 /// Longest prefix of a label key, bytes (Kubernetes label syntax).
-const MAX_PREFIX_LENGTH: usize = 253;
+const MAXIMUM_PREFIX_BYTES: usize = 253;
 
 /// Why a selector or a label is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -126,7 +126,7 @@
 fn is_label_prefix(prefix: &str) -> bool {
     let bytes = prefix.as_bytes();
     let allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-.".contains(byte);
-    !bytes.is_empty() && bytes.len() <= MAX_PREFIX_LENGTH && bytes.iter().all(allowed)
+    !bytes.is_empty() && bytes.len() <= MAXIMUM_PREFIX_BYTES && bytes.iter().all(allowed)
 }
 
 /// Empty, or letters, digits, `-`, `_` and `.` between a letter or digit at each end.
@@ -136,7 +136,7 @@
         return true;
     };
     let allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
-    bytes.len() <= MAX_LABEL_LENGTH
+    bytes.len() <= MAXIMUM_LABEL_BYTES
         && first.is_ascii_alphanumeric()
         && last.is_ascii_alphanumeric()
         && bytes.iter().all(allowed)
--- a/crates/bellyoke-core/src/generation/table.rs
+++ b/crates/bellyoke-core/src/generation/table.rs
@@ -27,7 +27,7 @@
     if total == 0 {
         return Vec::new();
     }
-    let held = held_buckets(previous);
+    let current_buckets = buckets_by_backend(previous);
     let buckets = previous.len() as u128;
     let mut shares = Vec::with_capacity(weights.len());
     let mut assigned = 0;
@@ -41,14 +41,14 @@
                 buckets: whole,
             },
             remainder: product % total,
-            held: held.get(&entry.backend).map_or(0, Vec::len),
+            current: current_buckets.get(&entry.backend).map_or(0, Vec::len),
         });
     }
     shares.sort_by_key(|share| {
         let remainder = std::cmp::Reverse(share.remainder);
         (
             remainder,
-            std::cmp::Reverse(share.held),
+            std::cmp::Reverse(share.current),
             share.quota.backend,
         )
     });
@@ -83,17 +83,17 @@
 struct Share {
     quota: BucketQuota,
     remainder: u128,
-    held: usize,
+    current: usize,
 }
 
-fn held_buckets(table: &[Option<BackendId>]) -> BTreeMap<BackendId, Vec<usize>> {
-    let mut held = BTreeMap::<BackendId, Vec<usize>>::new();
+fn buckets_by_backend(table: &[Option<BackendId>]) -> BTreeMap<BackendId, Vec<usize>> {
+    let mut current_buckets = BTreeMap::<BackendId, Vec<usize>>::new();
     for (index, target) in table.iter().enumerate() {
         if let Some(backend) = target {
-            held.entry(*backend).or_default().push(index);
+            current_buckets.entry(*backend).or_default().push(index);
         }
     }
-    held
+    current_buckets
 }
 
 /// The table without the buckets that their backends must give up.
@@ -102,14 +102,14 @@
 /// backends are neighbours.
 fn kept_buckets(previous: &[Option<BackendId>], quotas: &[BucketQuota]) -> Vec<Option<BackendId>> {
     let quota_of: BTreeMap<_, _> = quotas.iter().map(|q| (q.backend, q.buckets)).collect();
-    let held = held_buckets(previous);
-    let givers = held.len();
+    let current_buckets = buckets_by_backend(previous);
+    let backend_count = current_buckets.len();
     let mut table = previous.to_vec();
-    for (rank, (backend, indices)) in held.into_iter().enumerate() {
+    for (rank, (backend, indices)) in current_buckets.into_iter().enumerate() {
         let quota = quota_of.get(&backend).copied().unwrap_or(0);
         let excess = indices.len().saturating_sub(quota);
         for step in 0..excess {
-            let position = (step * givers + rank) * indices.len() / (excess * givers);
+            let position = (step * backend_count + rank) * indices.len() / (excess * backend_count);
             table[indices[position]] = None;
         }
     }
@@ -117,10 +117,10 @@
 }
 
 fn deficits(table: &[Option<BackendId>], quotas: &[BucketQuota]) -> Vec<BucketQuota> {
-    let held = held_buckets(table);
+    let current_buckets = buckets_by_backend(table);
     let missing = |quota: &BucketQuota| BucketQuota {
         backend: quota.backend,
-        buckets: quota.buckets - held.get(&quota.backend).map_or(0, Vec::len),
+        buckets: quota.buckets - current_buckets.get(&quota.backend).map_or(0, Vec::len),
     };
     quotas.iter().map(missing).collect()
 }
@@ -128,14 +128,14 @@
 /// A sequence in which each backend stands as often as its quota says, evenly spaced.
 fn interleave(quotas: &[BucketQuota]) -> Vec<BackendId> {
     const POSITION_BITS: u32 = 64;
-    let mut slots = Vec::with_capacity(quotas.iter().map(|quota| quota.buckets).sum());
+    let mut positions = Vec::with_capacity(quotas.iter().map(|quota| quota.buckets).sum());
     for quota in quotas {
         let denominator = 2 * quota.buckets as u128;
         for occurrence in 0..quota.buckets as u128 {
             let position = ((2 * occurrence + 1) << POSITION_BITS) / denominator;
-            slots.push((position, quota.backend));
+            positions.push((position, quota.backend));
         }
     }
-    slots.sort_unstable();
-    slots.into_iter().map(|(_, backend)| backend).collect()
+    positions.sort_unstable();
+    positions.into_iter().map(|(_, backend)| backend).collect()
 }
--- a/crates/bellyoke-core/tests/generation/compile.rs
+++ b/crates/bellyoke-core/tests/generation/compile.rs
@@ -1,6 +1,6 @@
 use crate::fixture::{
-    PARAMETERS, advance, backend, contested, market, members, named_backend, named_service, select,
-    service,
+    PARAMETERS, advance, backend, contested, members, named_backend, named_service, select,
+    service, two_services,
 };
 use bellyoke_core::flow::SettledBucket;
 use bellyoke_core::generation::{
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_first_generation_is_clean_and_numbered_by_name() {
-    let compilation = advance(None, &market(3, 2), &[]);
+    let compilation = advance(None, &two_services(3, 2), &[]);
     let generation = compilation.generation;
     assert!(compilation.changed);
     assert_eq!(compilation.problems, []);
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_same_objects_change_nothing() {
-    let mut desired = market(3, 2);
+    let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.revision.backends += 5;
     desired.backends.reverse();
@@ -39,7 +39,7 @@
 
 #[test]
 fn older_objects_are_refused() {
-    let mut desired = market(3, 2);
+    let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.revision.services -= 1;
     let result = compile(Some(&first), &desired, &members(3), &[], PARAMETERS);
@@ -48,7 +48,7 @@
 
 #[test]
 fn other_parameters_are_refused() {
-    let desired = market(3, 2);
+    let desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     let other = ClusterParameters {
         flow_hash_seed: 8,
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_drain_contests_only_the_buckets_of_the_backend() {
-    let mut desired = market(4, 1);
+    let mut desired = two_services(4, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[1].drain = true;
     let second = advance(Some(&first), &desired, &[]).generation;
@@ -82,7 +82,7 @@
 
 #[test]
 fn the_base_stays_through_a_second_change_and_goes_when_settled() {
-    let mut desired = market(3, 1);
+    let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].drain = true;
     let second = advance(Some(&first), &desired, &[]).generation;
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_backend_drains_from_one_service_before_it_joins_another() {
-    let mut desired = market(3, 2);
+    let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     let till = named_service(&first, "till").id;
     let listings = named_service(&first, "listings").id;
@@ -143,7 +143,7 @@
 /// the backend is neither its base nor its target.
 #[test]
 fn pinned_flows_hold_a_backend_back() {
-    let mut desired = market(3, 2);
+    let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].drain = true;
     let second = advance(Some(&first), &desired, &[]).generation;
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_deleted_backend_is_dead_until_no_bucket_needs_it() {
-    let mut desired = market(3, 1);
+    let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends.remove(0);
     let second = advance(Some(&first), &desired, &[]).generation;
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_reused_address_is_another_backend() {
-    let mut desired = market(3, 1);
+    let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].uid.0.push_str("-again");
     let second = advance(Some(&first), &desired, &[]);
@@ -206,7 +206,7 @@
 
 #[test]
 fn a_changed_address_is_not_followed() {
-    let mut desired = market(3, 1);
+    let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].tunnel.set_port(6081);
     let second = advance(Some(&first), &desired, &[]);
@@ -219,7 +219,7 @@
 
 #[test]
 fn the_older_service_keeps_a_shared_address() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services.push(service("aaa", 1));
     let second = advance(Some(&first), &desired, &[]);
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_service_that_asks_for_a_taken_address_keeps_its_own() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services[0].address = desired.services[1].address;
     let second = advance(Some(&first), &desired, &[]);
@@ -246,7 +246,7 @@
 
 #[test]
 fn an_invalid_service_keeps_its_former_settings() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services[0].port = 0;
     desired.services[0].selectors.clear();
@@ -261,7 +261,7 @@
 /// A wrong field must not cut the flows of a service or a backend.
 #[test]
 fn objects_that_cannot_be_understood_are_not_taken_for_deleted() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     let service = desired.services.remove(0);
     desired.unreadable.services.insert(service.name);
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_backend_of_two_services_serves_the_first_by_name() {
-    let mut desired = market(2, 0);
+    let mut desired = two_services(2, 0);
     desired.services[1].selectors = vec![select(&[("service", "till")], 1)];
     let compilation = advance(None, &desired, &[]);
     let twice = Problem::SelectedTwice {
@@ -297,7 +297,7 @@
 
 #[test]
 fn selector_weights_share_the_service_not_the_backends() {
-    let mut desired = market(9, 0);
+    let mut desired = two_services(9, 0);
     desired.services[0].buckets = 100;
     desired.services[0].selectors = vec![
         select(&[("service", "till")], 90),
@@ -324,7 +324,7 @@
 /// A flow that the owner refused must not reach a backend that comes later.
 #[test]
 fn a_service_without_backends_stays_contested_when_one_comes() {
-    let mut desired = market(0, 0);
+    let mut desired = two_services(0, 0);
     let first = advance(None, &desired, &[]).generation;
     desired.backends.push(backend(1, "till"));
     let second = advance(Some(&first), &desired, &contested(&first)).generation;
@@ -339,7 +339,7 @@
 
 #[test]
 fn a_service_placed_by_load_is_contested_without_base() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     desired.services[0].placement = Placement::LeastLoaded;
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0] = backend(1, "listings");
@@ -368,7 +368,7 @@
 
 #[test]
 fn a_change_of_placement_keeps_flows_on_their_backends() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services[0].placement = Placement::LeastLoaded;
     let second = advance(Some(&first), &desired, &[]).generation;
@@ -381,7 +381,7 @@
 
 #[test]
 fn forwarding_routes_clean_buckets_by_table() {
-    let mut desired = market(2, 1);
+    let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].drain = true;
     let second = advance(Some(&first), &desired, &[]).generation;
--- a/crates/bellyoke-core/tests/generation/encoding.rs
+++ b/crates/bellyoke-core/tests/generation/encoding.rs
@@ -1,4 +1,4 @@
-use crate::fixture::{PARAMETERS, advance, backend, contested, market, members, service};
+use crate::fixture::{PARAMETERS, advance, backend, contested, members, service, two_services};
 use bellyoke_core::generation::{
     DecodeError, DeltaError, DesiredState, Generation, GenerationDelta, compile,
 };
@@ -6,7 +6,7 @@
 
 /// A few generations of today's size: 15 and 4 backends, 1,024 buckets a service.
 fn history() -> Vec<Generation> {
-    let mut desired = market(15, 4);
+    let mut desired = two_services(15, 4);
     for service in &mut desired.services {
         service.buckets = 1024;
     }
@@ -25,7 +25,7 @@
 
 /// 5,700 backends in 1,800 services.
 fn large() -> DesiredState {
-    let mut desired = market(0, 0);
+    let mut desired = two_services(0, 0);
     desired.services.clear();
     for index in 0..1800_u16 {
         let mut service = service(&format!("service-{index}"), (index % 250) as u8);
@@ -67,7 +67,7 @@
     let delta = GenerationDelta::between(&history[0], &history[1]);
     let error = DeltaError::Base {
         expected: GenerationNumber(1),
-        held: GenerationNumber(2),
+        actual: GenerationNumber(2),
     };
     assert_eq!(delta.apply(&history[1]), Err(error));
     let mut other = history[0].clone();
--- a/crates/bellyoke-core/tests/generation/fixture.rs
+++ b/crates/bellyoke-core/tests/generation/fixture.rs
@@ -70,9 +70,11 @@
     (1..=count).map(member).collect()
 }
 
-/// Two services, `till` with `tills` backends and `listings` with `listings`.
-pub fn market(tills: u16, listings: u16) -> DesiredState {
-    let mut backends: Vec<_> = (1..=tills).map(|host| backend(host, "till")).collect();
+/// Two services, `till` with `till_backends` backends and `listings` with `listings`.
+pub fn two_services(till_backends: u16, listings: u16) -> DesiredState {
+    let mut backends: Vec<_> = (1..=till_backends)
+        .map(|host| backend(host, "till"))
+        .collect();
     backends.extend((1..=listings).map(|host| backend(1000 + host, "listings")));
     DesiredState {
         services: vec![service("till", 1), service("listings", 2)],
@@ -88,9 +90,9 @@
 pub fn advance(
     previous: Option<&Generation>,
     desired: &DesiredState,
-    cleaned: &[SettledBucket],
+    settled_buckets: &[SettledBucket],
 ) -> Compilation {
-    let result = compile(previous, desired, &members(3), cleaned, PARAMETERS);
+    let result = compile(previous, desired, &members(3), settled_buckets, PARAMETERS);
     result.expect("the input follows the previous generation")
 }
 
--- a/crates/bellyoke-core/tests/generation/history.rs
+++ b/crates/bellyoke-core/tests/generation/history.rs
@@ -1,6 +1,6 @@
 //! Random histories against a record of where flows may live.
 
-use crate::fixture::{advance, backend, market, seeded};
+use crate::fixture::{advance, backend, seeded, two_services};
 use bellyoke_core::flow::SettledBucket;
 use bellyoke_core::generation::{BackendState, DesiredState, Generation, Placement};
 use bellyoke_core::identity::{BackendId, BucketIndex, ServiceId};
@@ -31,7 +31,7 @@
 }
 
 /// Backends on which flows of a bucket may live, by service and bucket.
-type Homes = BTreeMap<(ServiceId, u32), BTreeSet<BackendId>>;
+type FlowBackends = BTreeMap<(ServiceId, u32), BTreeSet<BackendId>>;
 
 /// What a step has settled: the settled buckets' flows live on their targets only.
 fn settled(step: Step, generation: &Generation) -> Vec<SettledBucket> {
@@ -51,7 +51,7 @@
     buckets
 }
 
-fn operate(step: Step, desired: &mut DesiredState, next_host: &mut u16) {
+fn apply_step(step: Step, desired: &mut DesiredState, next_host: &mut u16) {
     let count = desired.backends.len();
     match step {
         Step::Move { position, service } if position < count => {
@@ -76,7 +76,10 @@
     }
 }
 
-fn check(homes: &Homes, generation: &Generation) -> Result<(), TestCaseError> {
+fn check_generation(
+    flow_backends: &FlowBackends,
+    generation: &Generation,
+) -> Result<(), TestCaseError> {
     for service in &generation.services {
         for (index, bucket) in service.buckets.iter().enumerate() {
             let target = bucket.target;
@@ -86,16 +89,17 @@
                 prop_assert_eq!(state, Some((BackendState::Active, Some(service.id))));
             }
             if !bucket.is_contested() {
-                let homes = &homes[&(service.id, index as u32)];
-                prop_assert!(homes.iter().all(|home| Some(*home) == target));
+                let flow_backends = &flow_backends[&(service.id, index as u32)];
+                prop_assert!(flow_backends.iter().all(|backend| Some(*backend) == target));
             }
         }
     }
     for backend in &generation.backends {
-        let lives = |((service, _), homes): (&(ServiceId, u32), &BTreeSet<BackendId>)| {
-            homes.contains(&backend.id).then_some(*service)
-        };
-        for service in homes.iter().filter_map(lives) {
+        let has_flows =
+            |((service, _), flow_backends): (&(ServiceId, u32), &BTreeSet<BackendId>)| {
+                flow_backends.contains(&backend.id).then_some(*service)
+            };
+        for service in flow_backends.iter().filter_map(has_flows) {
             prop_assert_eq!(backend.service, Some(service), "{:?}", backend);
         }
     }
@@ -109,37 +113,37 @@
     fn no_backend_serves_two_services(
         steps in proptest::collection::vec(step(), 1..40),
     ) {
-        let mut desired = market(4, 3);
+        let mut desired = two_services(4, 3);
         for service in &mut desired.services {
             service.buckets = 16;
         }
         let mut generation = advance(None, &desired, &[]).generation;
-        let mut homes = Homes::new();
+        let mut flow_backends = FlowBackends::new();
         let mut next_host = 5000;
-        record(&mut homes, &generation);
+        record_targets(&mut flow_backends, &generation);
         for step in steps {
-            let cleaned = settled(step, &generation);
-            for bucket in &cleaned {
+            let settled_buckets = settled(step, &generation);
+            for bucket in &settled_buckets {
                 let service = generation.services.iter().find(|s| s.id == bucket.service).unwrap();
                 let target = service.bucket(bucket.bucket).unwrap().target;
                 if target.is_some() {
-                    homes.insert((bucket.service, bucket.bucket.0), target.into_iter().collect());
+                    flow_backends.insert((bucket.service, bucket.bucket.0), target.into_iter().collect());
                 }
             }
-            operate(step, &mut desired, &mut next_host);
-            generation = advance(Some(&generation), &desired, &cleaned).generation;
+            apply_step(step, &mut desired, &mut next_host);
+            generation = advance(Some(&generation), &desired, &settled_buckets).generation;
             prop_assert!(generation.services.iter().all(|s| s.placement == Placement::Hashed));
-            record(&mut homes, &generation);
-            check(&homes, &generation)?;
+            record_targets(&mut flow_backends, &generation);
+            check_generation(&flow_backends, &generation)?;
         }
     }
 }
 
 /// From now on new flows may live on the targets.
-fn record(homes: &mut Homes, generation: &Generation) {
+fn record_targets(flow_backends: &mut FlowBackends, generation: &Generation) {
     for service in &generation.services {
         for (index, bucket) in service.buckets.iter().enumerate() {
-            let entry = homes.entry((service.id, index as u32)).or_default();
+            let entry = flow_backends.entry((service.id, index as u32)).or_default();
             entry.extend(bucket.target);
         }
     }
