--- a/crates/bellyoke-core/src/generation/codec.rs
+++ b/crates/bellyoke-core/src/generation/codec.rs
@@ -1,4 +1,5 @@
-//! Bytes of values that nodes send each other: a format number, then rkyv compressed by LZ4.
+//! Byte format of values that nodes exchange: a format version, then an rkyv archive compressed
+//! with LZ4.
 
 use lz4_flex::block::{compress_prepend_size, decompress, uncompressed_size};
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
@@ -9,55 +10,55 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 
-/// Number of the byte format; another number is refused.
+/// Version of the byte format. Other versions are rejected.
 const FORMAT_VERSION: u8 = 1;
-/// Alignment that archived values need, bytes.
+/// Alignment required by archived values.
 const ARCHIVE_ALIGNMENT_BYTES: usize = 16;
-/// Longest archive that is accepted, bytes: ten times that of 5,700 backends in 1,800
-/// services with 1,024 buckets each.
+/// Maximum accepted size of an archive: ten times the size for 5,700 backends in 1,800 services
+/// with 1,024 buckets each.
 const MAXIMUM_ARCHIVE_BYTES: usize = 32 << 20;
 
-/// Why bytes of a peer or of the store aren't taken.
+/// An error in decoding bytes from a peer or the store.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// No byte at all.
+    /// The input is empty.
     #[error("no data")]
     Empty,
-    /// A format that this version doesn't know.
-    #[error("byte format {0} is unknown, {FORMAT_VERSION} is expected")]
+    /// The format version is unsupported.
+    #[error("unsupported byte format {0}, expected {FORMAT_VERSION}")]
     Format(u8),
-    /// An archive above the limit.
-    #[error("archive of {0} bytes, more than {MAXIMUM_ARCHIVE_BYTES}")]
+    /// The archive exceeds the maximum size.
+    #[error("archive of {0} bytes exceeds the maximum of {MAXIMUM_ARCHIVE_BYTES}")]
     TooLong(usize),
-    /// The compressed data is damaged.
-    #[error("damaged compression: {0}")]
+    /// The compressed data is corrupt.
+    #[error("corrupt compressed data: {0}")]
     Compression(String),
-    /// The archive hasn't the length that was announced.
-    #[error("archive of {found} bytes, {expected} were announced")]
+    /// The length of the archive differs from the declared length.
+    #[error("archive has {found} bytes, but {expected} were declared")]
     Length {
-        /// The announced length.
+        /// The declared length.
         expected: usize,
-        /// The length that was found.
+        /// The actual length.
         found: usize,
     },
-    /// The archive is damaged.
-    #[error("damaged archive: {0}")]
+    /// The archive is corrupt.
+    #[error("corrupt archive: {0}")]
     Archive(String),
-    /// A lookup table that contradicts itself.
-    #[error("damaged lookup table")]
+    /// A lookup table is inconsistent.
+    #[error("inconsistent lookup table")]
     Table,
 }
 
-/// The archive of `value`: equal values have equal archives.
+/// Serializes `value` to an archive. Equal values have equal archives.
 pub(super) fn to_archive<T>(value: &T) -> AlignedVec
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, ArchiveError>>,
 {
-    // Serializing fails only when a length exceeds 32 bits, which the limits rule out.
+    // Serialization fails only if a length exceeds 32 bits, which the size limits exclude.
     rkyv::to_bytes::<ArchiveError>(value).unwrap_or_default()
 }
 
-/// Compresses an archive.
+/// Compresses an archive and prepends the format version.
 pub(super) fn compress_archive(archive: &[u8]) -> Vec<u8> {
     let mut bytes = vec![FORMAT_VERSION];
     bytes.extend(compress_prepend_size(archive));
--- a/crates/bellyoke-core/src/generation/compile/backends.rs
+++ b/crates/bellyoke-core/src/generation/compile/backends.rs
@@ -1,4 +1,4 @@
-//! What becomes of each backend: its number, its state and its one service.
+//! Numbers, states and services of the backends.
 
 use super::matching::{DesiredBackend, Membership, Memberships};
 use super::services::AdmittedService;
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Scale of the shares in a service, so that dividing a selector's weight by the number of
-/// its backends loses less than a millionth.
+/// Scale of the weights in a service. Limits the rounding error of distributing the weight of a
+/// selector over its backends to less than a millionth.
 const SHARE_SCALE: u64 = 1_000_000;
 
-/// Whether packets may still go to `backend`.
+/// Returns whether packets may still be sent to `backend`.
 pub(super) fn is_alive(backend: &Backend) -> bool {
     backend.state != BackendState::Dead
 }
 
-/// Backends of the next generation, by number, and the number of the next new one.
+/// Returns the backends of the next generation by number, and the number for the next new one.
 pub(super) fn advance(
     context: &CompileContext<'_>,
     services: &[AdmittedService<'_>],
@@ -46,7 +46,7 @@
     (backends, next_backend)
 }
 
-/// The shares of all services' active backends, by service and backend number.
+/// Returns the weights of the active backends of each service, by service and backend number.
 pub(super) fn shares(
     services: &[AdmittedService<'_>],
     backends: &BTreeMap<BackendId, Backend>,
@@ -79,7 +79,7 @@
     shares
 }
 
-/// Active backends that one selector chose.
+/// Active backends of one selector.
 #[derive(Default)]
 struct SelectorGroup {
     weight: u32,
@@ -87,7 +87,7 @@
 }
 
 impl SelectorGroup {
-    /// The selector's weight shared out by the backends' weights.
+    /// Distributes the weight of the selector in proportion to the weights of the backends.
     fn scaled(&self) -> Vec<ServiceBackend> {
         let total: u64 = self
             .members
@@ -122,7 +122,7 @@
     })
 }
 
-/// Shares in an invalid service, which keeps what it had.
+/// Returns the previous weights of an invalid service.
 fn previous_shares(
     services: &[AdmittedService<'_>],
     service: ServiceId,
@@ -158,7 +158,8 @@
     }
 }
 
-/// A backend whose object is still there; none once it serves nothing.
+/// Returns the next state of a backend whose object still exists, or `None` if it no longer
+/// serves any service.
 fn advance_alive(
     context: &CompileContext<'_>,
     services: &[AdmittedService<'_>],
@@ -225,10 +226,10 @@
     });
 }
 
-/// Whether no node forwards packets of its service to a draining backend any more.
+/// Returns whether no node forwards packets of its service to a draining backend any more.
 ///
-/// It looks at the previous generation only: a backend joins its next service a generation
-/// after its last bucket of the former one was found settled, never in the same.
+/// Only the previous generation is considered: a backend joins its next service one generation
+/// after the last bucket of the previous service was settled, never in the same generation.
 fn is_released(context: &CompileContext<'_>, backend: &Backend) -> bool {
     let Some(id) = backend.service else {
         return true;
@@ -251,8 +252,8 @@
     }
 }
 
-/// Whether flows may be pinned on a backend that took new ones until `draining_since`:
-/// in buckets that were contested before.
+/// Returns whether flows may be pinned to a backend that received new ones until
+/// `draining_since`. This requires a bucket that was contested before.
 fn may_have_pins(service: &Service, draining_since: GenerationNumber) -> bool {
     let mut buckets = service.buckets.iter();
     buckets.any(|bucket| bucket.is_contested() && bucket.contested_since < draining_since)
@@ -268,7 +269,8 @@
     })
 }
 
-/// Numbers backends that are selected for the first time.
+/// Adds and numbers backends that are selected for the first time. Returns the number for the
+/// next new one.
 fn admit_new(
     context: &CompileContext<'_>,
     former: &[Backend],
--- a/crates/bellyoke-core/src/generation/compile/buckets.rs
+++ b/crates/bellyoke-core/src/generation/compile/buckets.rs
@@ -1,24 +1,24 @@
-//! How the buckets of a service change (docs/PROTOCOL.md, section 2).
+//! Transitions of the buckets of a service (docs/PROTOCOL.md, section 2).
 
 use crate::generation::table::rebalance;
 use crate::generation::types::{Bucket, Placement, Service, ServiceBackend};
 use crate::identity::{BackendId, BucketIndex, GenerationNumber};
 
-/// What a service's next table depends on.
+/// Inputs of the next table of a service.
 pub(crate) struct TableChange<'a> {
     /// The service in the previous generation.
     pub previous: Option<&'a Service>,
-    /// How new flows are placed from now on.
+    /// Placement of new flows in the next generation.
     pub placement: Placement,
-    /// Backends that take new flows from now on.
+    /// Backends that receive new flows in the next generation.
     pub backends: &'a [ServiceBackend],
-    /// Size of the table, if it's a new one.
+    /// Number of buckets, for a new table.
     pub size: usize,
-    /// The generation that is made.
+    /// Number of the next generation.
     pub number: GenerationNumber,
 }
 
-/// The next table. `is_settled` tells whether no flow of a bucket is off its target.
+/// Computes the next table. `is_settled` returns whether all flows of a bucket are on its target.
 pub(crate) fn next_buckets(
     change: &TableChange<'_>,
     is_settled: impl Fn(BucketIndex) -> bool,
@@ -65,8 +65,8 @@
     }
 }
 
-/// Flows of a clean bucket live on its target. Those of a contested one are pinned, or live
-/// on the base that it has: nothing changes for them.
+/// Marks a clean bucket as contested. Its flows are on its target, which becomes the base. A
+/// contested bucket is unchanged, as its flows are pinned or on its base.
 fn mark_contested(bucket: &mut Bucket, number: GenerationNumber) {
     if !bucket.is_contested() {
         bucket.base = bucket.target;
--- a/crates/bellyoke-core/src/generation/compile/matching.rs
+++ b/crates/bellyoke-core/src/generation/compile/matching.rs
@@ -1,4 +1,4 @@
-//! Which service each backend belongs to by labels and selectors.
+//! Assignment of backends to services by label selectors.
 
 use super::services::AdmittedService;
 use super::{CompileContext, Problem};
@@ -6,31 +6,31 @@
 use crate::identity::ServiceId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The service that an operator wants a backend to serve.
+/// The service that a backend should serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Membership {
     /// The service.
     pub service: ServiceId,
-    /// Position of the selector that chose it; none if an invalid service keeps it.
+    /// Position of the matching selector, or `None` if an invalid service keeps the backend.
     pub selector: Option<usize>,
     /// Weight of that selector.
     pub weight: u32,
 }
 
-/// A backend object and the service that it should serve.
+/// A backend object and the service that it is assigned to.
 pub(super) struct DesiredBackend<'a> {
     /// The object.
     pub object: &'a BackendObject,
-    /// Whether it keeps the limits.
+    /// Whether the object is valid.
     pub valid: bool,
-    /// The service, if any selects it.
+    /// The service, if one selects the backend.
     pub membership: Option<Membership>,
 }
 
 /// Backends by UID.
 pub(super) type Memberships<'a> = BTreeMap<&'a ObjectUid, DesiredBackend<'a>>;
 
-/// Finds each backend's service: the first by name of those that select it.
+/// Assigns each backend to a service: the first by name among those that select it.
 pub(super) fn memberships<'a>(
     context: &CompileContext<'a>,
     services: &[AdmittedService<'a>],
@@ -66,7 +66,7 @@
     memberships
 }
 
-/// One selector of one service.
+/// A selector of a service.
 #[derive(Clone, Copy)]
 struct SelectorEntry<'a> {
     name: &'a str,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Selectors by one label that they ask for, so that a backend isn't compared with all.
+/// Index of selectors by one required label. It avoids matching a backend against all selectors.
 struct SelectorIndex<'a> {
     by_label: HashMap<(&'a str, &'a str), Vec<SelectorEntry<'a>>>,
     others: Vec<SelectorEntry<'a>>,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Selectors that choose `backend`, by name of their service and position.
+    /// Returns the selectors that match `backend`, ordered by service name and position.
     fn matches(&self, backend: &BackendObject) -> Vec<SelectorEntry<'a>> {
         let labels = backend.labels.iter();
         let by_label = labels
@@ -141,7 +141,7 @@
     }
 }
 
-/// An invalid service keeps the backends that it has.
+/// Returns the backends of invalid services, which keep their previous backends.
 fn memberships_of_invalid_services<'a>(
     context: &CompileContext<'a>,
     services: &[AdmittedService<'a>],
--- a/crates/bellyoke-core/src/generation/compile/mod.rs
+++ b/crates/bellyoke-core/src/generation/compile/mod.rs
@@ -1,6 +1,6 @@
-//! How a generation follows from the one before, the operators' objects and the membership.
+//! Compilation of a generation from the previous one, the operators' objects and the membership.
 //!
-//! A pure function: every publisher that starts from the same input gets the same content.
+//! Compilation is deterministic: every publisher gets the same content from the same input.
 
 mod backends;
 mod buckets;
@@ -26,14 +26,14 @@
     pub services: Vec<ServiceObject>,
     /// All backends.
     pub backends: Vec<BackendObject>,
-    /// How far in the store's history they were read.
+    /// Store revision at which they were read.
     pub revision: StoreRevision,
-    /// Names of objects that are there but can't be understood: they aren't taken for
-    /// deleted. Such a service keeps its settings, such a backend drains.
+    /// Names of objects that exist but cannot be parsed. They are not treated as deleted: a
+    /// service keeps its previous settings and a backend is drained.
     pub unreadable: UnreadableObjects,
 }
 
-/// Names of objects that can't be understood.
+/// Names of objects that cannot be parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnreadableObjects {
     /// Names of services.
@@ -42,31 +42,33 @@
     pub backends: BTreeSet<String>,
 }
 
-/// The generation that follows, and what operators should know about it.
+/// Result of a compilation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Compilation {
     /// The generation.
     pub generation: Generation,
-    /// Whether it differs from the one before in more than number and revision. If not, it
-    /// isn't published.
+    /// Whether it differs from the previous generation in more than number and revision.
+    /// Otherwise it is not published.
     pub changed: bool,
-    /// What of the objects isn't in force, and why.
+    /// Parts of the objects that are not in effect, for the operators.
     pub problems: Vec<Problem>,
 }
 
-/// Why no generation can follow.
+/// An error in compiling a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CompileError {
-    /// The objects are older than those of the previous generation.
-    #[error("the objects were read at {read:?}, before {previous:?} of the newest generation")]
+    /// The objects are older than those that the previous generation was compiled from.
+    #[error("the objects were read at {read:?}, before {previous:?} of the previous generation")]
     StaleRevision {
-        /// Where the previous generation's objects were read.
+        /// Store revision of the previous generation.
         previous: StoreRevision,
-        /// Where these were read.
+        /// Store revision of the objects.
         read: StoreRevision,
     },
-    /// What is fixed when a cluster is founded differs.
-    #[error("the cluster was founded with {previous:?}, this node is set to {configured:?}")]
+    /// The cluster parameters differ from those of the previous generation.
+    #[error(
+        "the cluster was created with {previous:?}, but this node is configured with {configured:?}"
+    )]
     ParametersDiffer {
         /// Parameters of the previous generation.
         previous: ClusterParameters,
@@ -77,13 +79,12 @@
 
 /// Compiles the generation that follows `previous`.
 ///
-/// `settled` names buckets that were found settled under `previous` itself; reports under an
-/// older generation must not be passed, as their buckets may have moved since. When it
-/// names all buckets of a service that is placed by load, then no draining backend of that
-/// service holds a flow.
+/// `settled` lists buckets that were reported as settled with `previous` itself. Reports for an
+/// older generation must not be passed, as the buckets may have moved since. If it contains all
+/// buckets of a least-loaded service, no draining backend of that service has a flow.
 ///
 /// # Errors
-/// When the input contradicts `previous`.
+/// Returns an error if the input is inconsistent with `previous`.
 pub fn compile(
     previous: Option<&Generation>,
     desired: &DesiredState,
@@ -123,7 +124,7 @@
     })
 }
 
-/// What all steps need.
+/// Input shared by all compilation steps.
 struct CompileContext<'a> {
     previous: Option<&'a Generation>,
     unreadable: &'a UnreadableObjects,
@@ -182,8 +183,8 @@
     services
 }
 
-/// Drops dead backends that no bucket has as its base any more: an unknown backend is
-/// treated like a dead one.
+/// Removes dead backends that are no longer the base of a bucket. An unknown backend is treated
+/// like a dead one.
 fn without_unreferenced(
     backends: BTreeMap<BackendId, Backend>,
     services: &[Service],
--- a/crates/bellyoke-core/src/generation/compile/problem.rs
+++ b/crates/bellyoke-core/src/generation/compile/problem.rs
@@ -1,90 +1,93 @@
-//! What of the operators' objects isn't in force.
+//! Problems in the operators' objects.
 
 use crate::generation::validate::ObjectError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A part of the operators' objects that isn't in force as written.
+/// A part of the operators' objects that is not in effect as configured.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// A service that breaks a limit. If it was served before, its former settings stay.
+    /// A service is invalid. If it was served before, it keeps its previous settings.
     #[error("service {service} is invalid: {error}")]
     InvalidService {
-        /// Its name.
+        /// Name of the service.
         service: String,
-        /// What is wrong.
+        /// The error.
         error: ObjectError,
     },
-    /// A backend that breaks a limit. If it served before, it drains.
+    /// A backend is invalid. If it was in use before, it is drained.
     #[error("backend {backend} is invalid: {error}")]
     InvalidBackend {
-        /// Its name.
+        /// Name of the backend.
         backend: String,
-        /// What is wrong.
+        /// The error.
         error: ObjectError,
     },
-    /// Two services on one address, port and protocol: only the older is served there.
+    /// Two services have the same address, port and protocol. Only the older one is served there.
     #[error("service {service} is not served: service {holder} has its address and port")]
     AddressTaken {
-        /// The service that isn't served there.
+        /// The service that is not served there.
         service: String,
         /// The service that is.
         holder: String,
     },
-    /// A backend that several services select: it serves the first by name.
-    #[error("backend {backend} is selected by {other} too; it serves {service}")]
+    /// Several services select a backend. It serves the first by name.
+    #[error("backend {backend} is also selected by {other}; it serves {service}")]
     SelectedTwice {
         /// The backend.
         backend: String,
-        /// The service it serves.
+        /// The service that it serves.
         service: String,
-        /// The service it doesn't serve.
+        /// The service that it does not serve.
         other: String,
     },
-    /// A selector that no backend matches.
+    /// No backend matches a selector.
     #[error("selector {index} of service {service} matches no backend")]
     NothingSelected {
         /// The service.
         service: String,
-        /// Position of the selector, from 0.
+        /// Position of the selector, starting at 0.
         index: usize,
     },
-    /// The size of a lookup table is fixed when its service is created.
-    #[error("service {service} keeps its {current} buckets; {wanted} need a new service")]
+    /// The configured table size differs from the one that was fixed when the service was created.
+    #[error(
+        "service {service} keeps its {current} buckets; a table of {wanted} requires a new service"
+    )]
     TableSizeFixed {
         /// The service.
         service: String,
-        /// Its size.
+        /// Current number of buckets.
         current: usize,
-        /// The size that was asked for.
+        /// Configured number of buckets.
         wanted: u32,
     },
-    /// A backend's address is fixed while it serves: another host would inherit its flows.
+    /// The configured address of a backend in use differs from its current one. The address is
+    /// fixed because otherwise another host would inherit its flows.
     #[error("backend {backend} keeps {current}; {wanted} needs a new object")]
     BackendAddressFixed {
         /// The backend.
         backend: String,
-        /// Its address.
+        /// Current address.
         current: SocketAddr,
-        /// The address that was asked for.
+        /// Configured address.
         wanted: SocketAddr,
     },
-    /// Two backends with one address: only the older is used.
+    /// Two backends have the same address. Only the older one is used.
     #[error("backend {backend} is not used: backend {holder} has its address")]
     BackendAddressTaken {
-        /// The backend that isn't used.
+        /// The backend that is not used.
         backend: String,
         /// The backend that is.
         holder: String,
     },
-    /// A backend whose flows in its former service haven't ended yet.
+    /// A backend still has flows in its previous service.
     #[error("backend {backend} still drains from {from}{}", joins(.to))]
     StillDraining {
         /// The backend.
         backend: String,
-        /// The service that it drains from.
+        /// The previous service.
         from: String,
-        /// The service that it joins then.
+        /// The service that it joins afterwards.
         to: Option<String>,
     },
 }
--- a/crates/bellyoke-core/src/generation/compile/services.rs
+++ b/crates/bellyoke-core/src/generation/compile/services.rs
@@ -1,4 +1,4 @@
-//! Which services are served, under which number and on which address.
+//! Admission of services: their numbers and addresses.
 
 use super::{CompileContext, DesiredState, Problem, service_by_id};
 use crate::generation::encoding::without_table;
@@ -10,28 +10,29 @@
 
 /// A service of the next generation, without its backends and table.
 pub(super) struct AdmittedService<'a> {
-    /// Its settings.
+    /// Settings of the service.
     pub service: Service,
-    /// The operators' object; none if that is invalid and the former settings stay.
+    /// The operators' object, or `None` if it is invalid and the previous settings are kept.
     pub object: Option<&'a ServiceObject>,
     /// The service in the previous generation.
     pub previous: Option<&'a Service>,
-    /// Size of its table.
+    /// Number of buckets in its table.
     pub table_size: usize,
 }
 
-/// A service that asks for an address.
+/// A service to be admitted.
 enum Candidate<'a> {
     /// A valid object, and the service in the previous generation.
     Valid(&'a ServiceObject, Option<&'a Service>),
-    /// A service whose object is invalid: it stays as it was.
+    /// A service with an invalid or unreadable object, which keeps its previous settings.
     Unchanged(&'a Service),
 }
 
 /// Admits services and numbers new ones.
 ///
-/// An address goes to the service that has it, then to the older by number, then to the
-/// first by name. A served service that can't have its new address keeps the former one.
+/// An address is assigned to the service that already has it, then to the service with the lowest
+/// number, then to the first by name. An existing service whose new address is taken keeps the
+/// previous one.
 pub(super) fn admit<'a>(
     context: &CompileContext<'a>,
     desired: &'a DesiredState,
@@ -116,7 +117,8 @@
 }
 
 impl<'a> Candidate<'a> {
-    /// Those that keep their address first, then the served by number, then by name.
+    /// Sort key: services that keep their address first, then existing services by number, then
+    /// new services by name.
     fn order(&self) -> (bool, bool, Option<ServiceId>, &'a str, &'a ObjectUid) {
         let former = self.previous().map(Service::endpoint);
         let number = self.previous().map(|service| service.id);
--- a/crates/bellyoke-core/src/generation/delta.rs
+++ b/crates/bellyoke-core/src/generation/delta.rs
@@ -1,8 +1,8 @@
-//! What changed from one generation to a later one.
+//! Deltas from one generation to a later one.
 //!
-//! A receiver computes the tables of changed services itself, as the publisher did. The
-//! delta corrects only the buckets where that doesn't give the later generation, such as
-//! those that were found settled. The digest decides whether the result is right.
+//! The receiver computes the tables of changed services like the publisher. The delta contains
+//! only the buckets whose computed content differs from the later generation, such as settled
+//! buckets. The digest verifies the result.
 
 use crate::generation::codec::{DecodeError, compress_archive, decode_archive, to_archive};
 use crate::generation::compile::{TableChange, next_buckets};
@@ -14,22 +14,22 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a delta doesn't lead to the later generation.
+/// An error in applying a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// It starts from another generation.
-    #[error("the delta starts from generation {expected}, not {actual}")]
+    /// The delta is based on another generation.
+    #[error("the delta is based on generation {expected}, not {actual}")]
     Base {
-        /// The generation that it starts from.
+        /// The base generation of the delta.
         expected: GenerationNumber,
-        /// The generation at hand.
+        /// The generation that it was applied to.
         actual: GenerationNumber,
     },
-    /// Its parts contradict each other.
+    /// The delta is inconsistent.
     #[error(transparent)]
     Damaged(#[from] DecodeError),
-    /// The result isn't the generation that was published.
-    #[error("the result has digest {found}, not {expected}")]
+    /// The result differs from the published generation.
+    #[error("the result has digest {found}, expected {expected}")]
     Digest {
         /// Digest of the published generation.
         expected: GenerationDigest,
@@ -38,7 +38,7 @@
     },
 }
 
-/// What leads from one generation to a later one.
+/// The difference between a generation and a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GenerationDelta {
     from: GenerationNumber,
@@ -58,15 +58,15 @@
 /// A changed service.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 struct ServiceDelta {
-    /// All but the table, which is empty here.
+    /// The service with an empty table.
     metadata: Service,
-    /// Size of the table.
+    /// Number of buckets in the table.
     table_size: u32,
-    /// Buckets that differ from the computed ones.
+    /// Buckets whose content differs from the computed one.
     corrections: Vec<Correction>,
 }
 
-/// Buckets that have the same content.
+/// Buckets with the same content.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 struct Correction {
     content: Bucket,
@@ -74,7 +74,7 @@
 }
 
 impl GenerationDelta {
-    /// What leads from `old` to `new`.
+    /// Computes the delta from `old` to `new`.
     #[must_use]
     pub fn between(old: &Generation, new: &Generation) -> Self {
         let old_services = services_by_id(old);
@@ -103,29 +103,29 @@
         }
     }
 
-    /// The generation that it starts from.
+    /// Returns the number of the base generation.
     #[must_use]
     pub fn from(&self) -> GenerationNumber {
         self.from
     }
 
-    /// The generation that it leads to.
+    /// Returns the number of the resulting generation.
     #[must_use]
     pub fn number(&self) -> GenerationNumber {
         self.number
     }
 
-    /// Digest of the generation that it leads to.
+    /// Returns the digest of the resulting generation.
     #[must_use]
     pub fn digest(&self) -> GenerationDigest {
         self.digest
     }
 
-    /// The later generation.
+    /// Applies the delta to `old` and returns the later generation.
     ///
     /// # Errors
-    /// When `old` isn't the generation that the delta starts from, or the result isn't the
-    /// one that was published: the whole generation is needed then.
+    /// Returns an error if `old` is not the base of the delta or the result differs from the
+    /// published generation. The full generation must be fetched in that case.
     pub fn apply(&self, old: &Generation) -> Result<Generation, DeltaError> {
         if old.number != self.from {
             return Err(DeltaError::Base {
@@ -153,16 +153,16 @@
         Ok(generation)
     }
 
-    /// The delta as compact bytes.
+    /// Encodes the delta.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         compress_archive(&to_archive(self))
     }
 
-    /// The delta that `bytes` hold.
+    /// Decodes a delta.
     ///
     /// # Errors
-    /// When the bytes aren't those of a delta in a known format.
+    /// Returns an error if `bytes` is not a delta in the supported format.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         decode_archive(bytes)
     }
@@ -249,7 +249,7 @@
     }
 }
 
-/// The table that a publisher computes when no bucket was found settled.
+/// Computes the table of a service if no bucket is settled.
 fn computed_buckets(
     previous: Option<&Service>,
     metadata: &Service,
--- a/crates/bellyoke-core/src/generation/encoding.rs
+++ b/crates/bellyoke-core/src/generation/encoding.rs
@@ -1,4 +1,4 @@
-//! The canonical encoding of a generation and its digest.
+//! Canonical encoding and digest of a generation.
 
 use crate::generation::codec::{DecodeError, compress_archive, decode_archive, to_archive};
 use crate::generation::types::{Bucket, Generation, Service};
@@ -23,21 +23,21 @@
 }
 
 impl Generation {
-    /// The generation as compact bytes.
+    /// Encodes the generation.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         compress_archive(&to_archive(&EncodedGeneration::new(self)))
     }
 
-    /// The generation that `bytes` hold.
+    /// Decodes a generation.
     ///
     /// # Errors
-    /// When the bytes aren't those of a generation in a known format.
+    /// Returns an error if `bytes` is not a generation in the supported format.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         decode_archive::<EncodedGeneration>(bytes)?.into_generation()
     }
 
-    /// Hash of the content: two generations with one digest are equal.
+    /// Returns the hash of the content. Generations with equal digests are equal.
     #[must_use]
     pub fn digest(&self) -> GenerationDigest {
         let archive = to_archive(&EncodedGeneration::new(self));
@@ -45,7 +45,7 @@
     }
 }
 
-/// Buckets `first` to `last`.
+/// Consecutive buckets from `first` to `last`, inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(super) struct BucketRun {
     /// The first bucket.
@@ -55,7 +55,7 @@
 }
 
 impl BucketRun {
-    /// Adds bucket `index`, which is above all of `runs`.
+    /// Adds bucket `index`, which must be higher than all buckets in `runs`.
     pub fn append(runs: &mut Vec<Self>, index: usize) {
         let index = u16::try_from(index).unwrap_or(u16::MAX);
         match runs.last_mut() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The entries of `buckets` in the run.
+    /// Returns the entries of `buckets` in the run.
     pub fn entries<'a>(&self, buckets: &'a mut [Bucket]) -> Result<&'a mut [Bucket], DecodeError> {
         let range = usize::from(self.first)..=usize::from(self.last);
         if range.is_empty() {
@@ -77,12 +77,12 @@
     }
 }
 
-/// A generation with its tables apart.
+/// A generation with separately encoded tables.
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedGeneration {
-    /// All but the tables, which are empty here.
+    /// The generation with empty tables.
     metadata: Generation,
-    /// A table for each service.
+    /// The table of each service, in the order of the services.
     tables: Vec<EncodedTable>,
 }
 
@@ -116,7 +116,7 @@
     }
 }
 
-/// All of a service but its table.
+/// Returns a copy of the service with an empty table.
 pub(super) fn without_table(service: &Service) -> Service {
     Service {
         uid: service.uid.clone(),
@@ -127,7 +127,8 @@
     }
 }
 
-/// A lookup table: targets as positions in a list of its backends, contested as runs.
+/// A lookup table: targets as positions in the list of its backends, and runs of contested
+/// buckets.
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedTable {
     backends: Vec<BackendId>,
@@ -135,7 +136,7 @@
     contested: Vec<ContestedRuns>,
 }
 
-/// Position of each bucket's target, from 1; 0 for none.
+/// Position of the target of each bucket, starting at 1; 0 if there is no target.
 #[derive(Archive, Serialize, Deserialize)]
 enum Targets {
     Narrow(Vec<u8>),
--- a/crates/bellyoke-core/src/generation/forwarding.rs
+++ b/crates/bellyoke-core/src/generation/forwarding.rs
@@ -1,4 +1,4 @@
-//! The form of a generation that traffic threads read, without a lock, for each packet.
+//! Forwarding tables of a generation, which traffic threads read without a lock for each packet.
 
 use crate::generation::objects::StoreRevision;
 use crate::generation::types::{
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Where callers reach a service.
+/// Address, port and protocol of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServiceEndpoint {
     /// Transport protocol.
@@ -21,42 +21,43 @@
     pub port: u16,
 }
 
-/// Where a bucket's packets go that belong to no flow the node knows.
+/// Route of the packets of a bucket that belong to no known flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BucketRoute {
-    /// By table, at once.
+    /// Forwarded by lookup table to this backend.
     Clean(BackendId),
-    /// Only the bucket's owner can tell: the packet is escalated to the control thread.
+    /// Escalated to the control thread, as only the owner of the bucket can determine the
+    /// backend.
     Contested {
-        /// Backend that its new flows are placed on: a flow there doesn't keep the bucket
-        /// from settling.
+        /// Backend that new flows are placed on. A flow on it does not prevent the bucket from
+        /// settling.
         target: Option<BackendId>,
     },
 }
 
-/// A service as traffic threads see it.
+/// Forwarding properties of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceForwarding {
     /// The service.
     pub id: ServiceId,
     /// How its new flows are placed.
     pub placement: Placement,
-    /// What a refused caller is told.
+    /// How a refused caller is answered.
     pub refusal: RefusalStyle,
-    /// Idle time after which a flow is forgotten.
+    /// Idle time after which a flow is removed.
     pub idle_timeout: Duration,
-    /// A route for each bucket; never empty.
+    /// Route of each bucket. Never empty.
     pub routes: Vec<BucketRoute>,
 }
 
 impl ServiceForwarding {
-    /// Bucket of the flow with `hash`.
+    /// Returns the bucket of the flow with `hash`.
     #[must_use]
     pub fn bucket(&self, hash: FlowHash) -> BucketIndex {
         BucketIndex(hash.bucket(self.routes.len()) as u32)
     }
 
-    /// Route of `bucket`.
+    /// Returns the route of `bucket`.
     #[must_use]
     pub fn route(&self, bucket: BucketIndex) -> BucketRoute {
         self.routes
@@ -66,34 +67,34 @@
     }
 }
 
-/// Where a backend is reached, and whether it may be.
+/// Forwarding properties of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendForwarding {
     /// UDP address that encapsulated packets are sent to.
     pub tunnel: SocketAddr,
-    /// Whether it may be given packets.
+    /// Whether packets may be sent to it.
     pub state: BackendState,
-    /// The one service whose packets it may be given.
+    /// The only service whose packets may be sent to it.
     pub service: Option<ServiceId>,
 }
 
-/// All that traffic threads need of one generation.
+/// Forwarding tables of one generation.
 #[derive(Clone, Debug)]
 pub struct Forwarding {
-    /// The generation it was made from.
+    /// Number of the generation.
     pub generation: GenerationNumber,
-    /// How far in the store's history that was read.
+    /// Store revision of the generation.
     pub revision: StoreRevision,
-    /// The cluster's flow hash.
+    /// Flow hasher with the seed of the cluster.
     pub hasher: FlowHasher,
-    /// Services by where callers reach them.
+    /// Services by endpoint.
     pub services: HashMap<ServiceEndpoint, ServiceForwarding>,
     /// Backends by number.
     pub backends: HashMap<BackendId, BackendForwarding>,
 }
 
 impl Forwarding {
-    /// Forwarding of a node that knows no generation yet: it drops everything.
+    /// Returns the tables of a node without a generation, which drops all packets.
     #[must_use]
     pub fn empty() -> Self {
         Self {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// What traffic threads need of `generation`.
+    /// Builds the forwarding tables of `generation`.
     #[must_use]
     pub fn from_generation(generation: &Generation) -> Self {
         let services = generation.services.iter();
--- a/crates/bellyoke-core/src/generation/maglev.rs
+++ b/crates/bellyoke-core/src/generation/maglev.rs
@@ -1,8 +1,8 @@
-//! Maglev hashing, the baseline that [`super::rebalance`] is compared with.
+//! Maglev hashing, a baseline for comparison with [`super::rebalance`].
 //!
 //! D. Eisenbud et al., "Maglev: A Fast and Reliable Software Network Load Balancer", NSDI
-//! 2016, section 3.4. The paper takes a prime table size so that every skip visits all
-//! entries; here a skip is raised until it has no common divisor with the size, which also
+//! 2016, section 3.4. The paper requires a prime table size, for which every skip visits all
+//! entries. This implementation increments a skip until it is coprime to the size, which also
 //! allows powers of two.
 
 use crate::identity::BackendId;
@@ -11,7 +11,7 @@
 const OFFSET_SEED: u64 = 1;
 const SKIP_SEED: u64 = 2;
 
-/// The order in which a backend asks for table entries.
+/// Preference list of a backend: the order in which it claims table entries.
 struct Preference {
     backend: BackendId,
     position: usize,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes the first entry of the preference list that is still free.
+    /// Claims the first free entry of the preference list.
     fn claim(&mut self, table: &mut [Option<BackendId>]) {
         while table[self.position].is_some() {
             self.position = (self.position + self.skip) % table.len();
@@ -42,7 +42,7 @@
     }
 }
 
-/// A Maglev table of `size` entries for backends of equal weight.
+/// Computes a Maglev table of `size` entries for backends of equal weight.
 #[must_use]
 pub fn maglev_table(backends: &[BackendId], size: usize) -> Vec<Option<BackendId>> {
     let mut table = vec![None; size];
--- a/crates/bellyoke-core/src/generation/mod.rs
+++ b/crates/bellyoke-core/src/generation/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one version of the configuration.
+//! Generations: versions of the cluster configuration, and how the next one is compiled.
 
 mod codec;
 mod compile;
--- a/crates/bellyoke-core/src/generation/objects.rs
+++ b/crates/bellyoke-core/src/generation/objects.rs
@@ -1,4 +1,4 @@
-//! The operators' objects, as the platform's store holds them, in plain types.
+//! Objects that operators store in the platform's store.
 
 use crate::generation::types::{Placement, RefusalStyle, Zone};
 use crate::identity::NodeId;
@@ -9,7 +9,8 @@
 /// Labels of an object.
 pub type Labels = BTreeMap<String, String>;
 
-/// UID that the platform gave an object. A name that is used again has another one.
+/// UID that the platform assigned to an object. A recreated object of the same name has another
+/// UID.
 #[derive(
     Clone,
     Debug,
@@ -27,9 +28,9 @@
 #[serde(transparent)]
 pub struct ObjectUid(pub String);
 
-/// How far in the store's history each kind was read.
+/// Resource versions up to which the objects of each kind were read.
 ///
-/// Kubernetes API conventions: resource versions of one store are compared as integers.
+/// Resource versions of one store are compared as integers (Kubernetes API conventions).
 #[derive(
     Clone,
     Copy,
@@ -51,57 +52,57 @@
     pub backends: u64,
 }
 
-/// How a requirement compares a label.
+/// Operator of a requirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum SelectorOperator {
-    /// The label's value is one of the values.
+    /// The label has one of the values.
     In,
-    /// The label is missing or its value is none of the values.
+    /// The label is missing or has none of the values.
     NotIn,
-    /// The label is there.
+    /// The label is present.
     Exists,
     /// The label is missing.
     DoesNotExist,
 }
 
-/// One condition on one label (Kubernetes `matchExpressions`).
+/// A condition on a label (Kubernetes `matchExpressions`).
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Requirement {
     /// Name of the label.
     pub key: String,
-    /// How its value is compared.
+    /// How the value of the label is compared.
     pub operator: SelectorOperator,
-    /// The values it is compared with.
+    /// The values to compare with.
     #[serde(default)]
     pub values: Vec<String>,
 }
 
-/// Conditions that must all hold (Kubernetes label selectors).
+/// A label selector, which matches if all conditions hold (Kubernetes label selectors).
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Selector {
-    /// Labels that must have just these values.
+    /// Labels that must have exactly these values.
     pub match_labels: Labels,
     /// Further conditions.
     pub match_expressions: Vec<Requirement>,
 }
 
-/// A selector and the share of new flows that its backends take together.
+/// A selector and the share of new flows that its backends receive together.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WeightedSelector {
-    /// Which backends.
+    /// Selector of the backends.
     #[serde(flatten)]
     pub selector: Selector,
-    /// Share of the service's new flows, relative to its other selectors; 0 to 1000.
+    /// Share of the new flows of the service, relative to its other selectors, from 0 to 1000.
     pub weight: u32,
 }
 
-/// A service as an operator wrote it.
+/// A service as configured by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceObject {
-    /// The store's UID of the object.
+    /// UID of the object.
     pub uid: ObjectUid,
-    /// The object's name.
+    /// Name of the object.
     pub name: String,
     /// Address that callers use.
     pub address: IpAddr,
@@ -109,43 +110,44 @@
     pub port: u16,
     /// Transport protocol.
     pub transport: Transport,
-    /// Which backends serve it. A backend that several match counts for the first.
+    /// Selectors of the backends. A backend that several selectors match is assigned to the
+    /// first.
     pub selectors: Vec<WeightedSelector>,
     /// How its new flows are placed.
     pub placement: Placement,
-    /// What a refused caller is told.
+    /// How a refused caller is answered.
     pub refusal: RefusalStyle,
-    /// Idle time after which a flow is forgotten, seconds.
+    /// Idle time after which a flow is removed, in seconds.
     pub idle_timeout_seconds: u32,
-    /// Size of the lookup table.
+    /// Number of buckets in the lookup table.
     pub buckets: u32,
 }
 
-/// A backend as an operator wrote it.
+/// A backend as configured by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendObject {
-    /// The store's UID of the object.
+    /// UID of the object.
     pub uid: ObjectUid,
-    /// The object's name.
+    /// Name of the object.
     pub name: String,
-    /// The object's labels.
+    /// Labels of the object.
     pub labels: Labels,
     /// UDP address that encapsulated packets are sent to.
     pub tunnel: SocketAddr,
-    /// The zone it stands in.
+    /// Zone that it is located in.
     pub zone: Zone,
-    /// Relative capacity; 1 to 1000.
+    /// Relative capacity, from 1 to 1000.
     pub weight: u32,
-    /// True once an operator wants no new flow on it.
+    /// Whether the backend is drained: it receives no new flows.
     pub drain: bool,
 }
 
-/// A balancer that takes part, as seen by membership.
+/// A balancer that is a member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberObject {
-    /// The process.
+    /// Identifier of the process.
     pub node: NodeId,
-    /// The zone it stands in.
+    /// Zone that it is located in.
     pub zone: Zone,
     /// UDP address of its peer socket.
     pub peer_address: SocketAddr,
--- a/crates/bellyoke-core/src/generation/selector.rs
+++ b/crates/bellyoke-core/src/generation/selector.rs
@@ -1,40 +1,40 @@
-//! Which backends a service's selectors choose, and what makes a selector invalid.
+//! Matching and validation of label selectors.
 
 use crate::generation::objects::{Labels, Requirement, Selector, SelectorOperator};
 use thiserror::Error;
 
-/// Longest name part and longest value of a label, bytes (Kubernetes label syntax).
+/// Maximum length of the name part and of the value of a label (Kubernetes label syntax).
 const MAXIMUM_LABEL_BYTES: usize = 63;
-/// Longest prefix of a label key, bytes (Kubernetes label syntax).
+/// Maximum length of the prefix of a label key (Kubernetes label syntax).
 const MAXIMUM_PREFIX_BYTES: usize = 253;
 
-/// Why a selector or a label is invalid.
+/// A validation error of a selector or a label.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SelectorError {
-    /// A selector without a condition would match every backend.
+    /// The selector has no condition and would match every backend.
     #[error("a selector without a condition would match every backend")]
     NoCondition,
-    /// Not a label key.
-    #[error("`{0}` is not a label key")]
+    /// Invalid label key.
+    #[error("`{0}` is not a valid label key")]
     Key(String),
-    /// Not a label value.
-    #[error("`{value}` is not a value that label `{key}` can have")]
+    /// Invalid label value.
+    #[error("`{value}` is not a valid value of label `{key}`")]
     Value {
         /// Name of the label.
         key: String,
         /// The invalid value.
         value: String,
     },
-    /// `In` and `NotIn` compare with at least one value.
+    /// `In` and `NotIn` require at least one value.
     #[error("the condition on label `{0}` names no value to compare with")]
     ValuesMissing(String),
-    /// `Exists` and `DoesNotExist` compare with none.
+    /// `Exists` and `DoesNotExist` take no values.
     #[error("the condition on label `{0}` takes no values")]
     ValuesUnexpected(String),
 }
 
 impl Selector {
-    /// Whether all conditions hold for `labels`.
+    /// Returns whether all conditions hold for `labels`.
     #[must_use]
     pub fn matches(&self, labels: &Labels) -> bool {
         let equal = self
@@ -44,10 +44,10 @@
         equal && self.match_expressions.iter().all(|r| r.matches(labels))
     }
 
-    /// Checks that the selector has a condition and that each is well formed.
+    /// Checks that the selector has at least one condition and that all conditions are well formed.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first error found.
     pub fn validate(&self) -> Result<(), SelectorError> {
         if self.match_labels.is_empty() && self.match_expressions.is_empty() {
             return Err(SelectorError::NoCondition);
@@ -60,7 +60,7 @@
 }
 
 impl Requirement {
-    /// Whether the condition holds for `labels`.
+    /// Returns whether the condition holds for `labels`.
     #[must_use]
     pub fn matches(&self, labels: &Labels) -> bool {
         let value = labels.get(&self.key);
@@ -90,10 +90,10 @@
     }
 }
 
-/// Checks the syntax of all keys and values.
+/// Checks the syntax of all label keys and values.
 ///
 /// # Errors
-/// The first fault found.
+/// Returns the first error found.
 pub fn validate_labels(labels: &Labels) -> Result<(), SelectorError> {
     labels.iter().try_for_each(|(key, value)| {
         validate_key(key)?;
@@ -129,7 +129,8 @@
     !bytes.is_empty() && bytes.len() <= MAXIMUM_PREFIX_BYTES && bytes.iter().all(allowed)
 }
 
-/// Empty, or letters, digits, `-`, `_` and `.` between a letter or digit at each end.
+/// Returns whether `text` is empty, or consists of ASCII letters, digits, `-`, `_` and `.` with a
+/// letter or digit at each end.
 fn is_label_text(text: &str) -> bool {
     let bytes = text.as_bytes();
     let (Some(first), Some(last)) = (bytes.first(), bytes.last()) else {
--- a/crates/bellyoke-core/src/generation/table.rs
+++ b/crates/bellyoke-core/src/generation/table.rs
@@ -1,26 +1,26 @@
-//! Lookup tables: which backend each bucket is mapped to.
+//! Lookup tables, which map each bucket to a backend.
 //!
-//! A new table keeps every bucket of the former one that it can: it moves exactly as many as
-//! the quotas differ. Maglev hashing (`super::maglev`) computes a table from nothing and so
-//! moves more; every node here holds the former table anyway.
+//! A new table moves the minimum number of buckets for the change of the quotas. Maglev hashing
+//! (`super::maglev`) computes a table without the previous one and moves more buckets. Here every
+//! node has the previous table anyway.
 
 use crate::generation::types::ServiceBackend;
 use crate::identity::BackendId;
 use std::collections::BTreeMap;
 
-/// A backend and how many buckets it is to have.
+/// Number of buckets assigned to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketQuota {
     /// The backend.
     pub backend: BackendId,
-    /// Its number of buckets.
+    /// Number of buckets.
     pub buckets: usize,
 }
 
-/// Shares `buckets` out by weight with the largest remainder method (Hamilton).
+/// Distributes the buckets of a table by weight with the largest remainder (Hamilton) method.
 ///
-/// Among equal remainders the backend that holds more buckets of `previous` comes first,
-/// so that a tie moves nothing; then the lower number. Backends of weight 0 get none.
+/// Equal remainders are ordered by the number of buckets in `previous`, descending, so a tie
+/// moves no bucket, and then by backend number. Backends of weight 0 get no quota.
 #[must_use]
 pub fn quotas(previous: &[Option<BackendId>], weights: &[ServiceBackend]) -> Vec<BucketQuota> {
     let total: u128 = weights.iter().map(|entry| u128::from(entry.weight)).sum();
@@ -60,12 +60,12 @@
     quotas
 }
 
-/// The table that follows `previous` when the backends have `weights`.
+/// Computes the table that follows `previous` for the given `weights`.
 ///
-/// Every backend gets its quota and the fewest buckets move: the sum of what backends gain.
-/// The buckets that a backend gives up are spread over all it had, and each receiver's over
-/// all that are given up. A table whose `previous` is all empty is interleaved: every prefix
-/// is shared out in proportion.
+/// Every backend gets its quota, and the number of moved buckets is minimal: the sum of the gains
+/// of all backends. The buckets that a backend loses are evenly spaced among its buckets, and the
+/// buckets that a backend gains are evenly spaced among all reassigned ones. If `previous` has no
+/// targets, the table is interleaved: every prefix is distributed in proportion to the weights.
 #[must_use]
 pub fn rebalance(
     previous: &[Option<BackendId>],
@@ -96,10 +96,10 @@
     current_buckets
 }
 
-/// The table without the buckets that their backends must give up.
+/// Returns the table without the buckets above the quotas of their backends.
 ///
-/// Each backend starts at another phase: in an interleaved table the same positions of all
-/// backends are neighbours.
+/// Each backend uses a different phase, because buckets at the same position of all backends are
+/// adjacent in an interleaved table.
 fn kept_buckets(previous: &[Option<BackendId>], quotas: &[BucketQuota]) -> Vec<Option<BackendId>> {
     let quota_of: BTreeMap<_, _> = quotas.iter().map(|q| (q.backend, q.buckets)).collect();
     let current_buckets = buckets_by_backend(previous);
@@ -125,7 +125,7 @@
     quotas.iter().map(missing).collect()
 }
 
-/// A sequence in which each backend stands as often as its quota says, evenly spaced.
+/// Returns a sequence in which each backend occurs as often as its quota, evenly spaced.
 fn interleave(quotas: &[BucketQuota]) -> Vec<BackendId> {
     const POSITION_BITS: u32 = 64;
     let mut positions = Vec::with_capacity(quotas.iter().map(|quota| quota.buckets).sum());
--- a/crates/bellyoke-core/src/generation/types.rs
+++ b/crates/bellyoke-core/src/generation/types.rs
@@ -1,4 +1,4 @@
-//! The content of a generation: all that nodes must agree on.
+//! Content of a generation, on which all nodes agree.
 
 use crate::generation::forwarding::ServiceEndpoint;
 use crate::generation::objects::{ObjectUid, StoreRevision};
@@ -7,7 +7,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// Name of a zone: machines that fail together.
+/// Name of a zone, a group of machines that may fail together.
 #[derive(
     Clone,
     Debug,
@@ -26,7 +26,7 @@
 #[serde(transparent)]
 pub struct Zone(pub String);
 
-/// How a service's new flows are placed.
+/// How new flows of a service are assigned to backends.
 #[derive(
     Clone,
     Copy,
@@ -42,15 +42,15 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
-    /// By lookup table: no message and no shared state for a flow.
+    /// By lookup table, without messages or shared state per flow.
     #[default]
     Hashed,
-    /// By one of few owners, on the backend with the least load. All buckets of
-    /// such a service are contested all the time.
+    /// By the owner of the bucket, on the backend with the least load. All buckets of such a
+    /// service are always contested.
     LeastLoaded,
 }
 
-/// What a caller is told whose flow is refused.
+/// How the caller of a refused flow is answered.
 #[derive(
     Clone,
     Copy,
@@ -73,7 +73,7 @@
     Reset,
 }
 
-/// Whether a backend may be given packets.
+/// Whether packets may be sent to a backend.
 #[derive(
     Clone,
     Copy,
@@ -88,63 +88,63 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendState {
-    /// Takes new flows.
+    /// Receives new flows.
     Active,
-    /// Keeps its flows and takes no new one.
+    /// Keeps its flows and receives no new ones.
     Draining,
-    /// Gone: its flows are reset.
+    /// Removed. Its flows are reset.
     Dead,
 }
 
 /// A backend of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its number, never used for another.
+    /// Its number, which is never reused.
     pub id: BackendId,
-    /// The store's UID.
+    /// UID of the object in the store.
     pub uid: ObjectUid,
-    /// The object's name, for people.
+    /// Name of the object, for display.
     pub name: String,
     /// UDP address that encapsulated packets are sent to.
     pub tunnel: SocketAddr,
-    /// The zone it stands in.
+    /// Zone that it is located in.
     pub zone: Zone,
-    /// Whether it may be given packets.
+    /// Whether packets may be sent to it.
     pub state: BackendState,
-    /// The service it serves or drains from; at no time two.
+    /// The service that it serves or drains from, at most one at any time.
     pub service: Option<ServiceId>,
-    /// Generation since which it takes no new flow; 0 while it takes some. A bucket that
-    /// was contested before may hold flows on it that were pinned there.
+    /// Generation since which it receives no new flows, or 0 while it receives them. Buckets
+    /// that were contested before may have flows that are pinned to it.
     pub draining_since: GenerationNumber,
 }
 
-/// A backend's share in a service.
+/// Weight of a backend in a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ServiceBackend {
     /// The backend.
     pub backend: BackendId,
-    /// Its share of new flows, relative to the others of the service.
+    /// Its share of new flows, relative to the other backends of the service.
     pub weight: u32,
 }
 
 /// One entry of a lookup table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Bucket {
-    /// Backend that new flows are placed on; none when the service has none.
+    /// Backend that new flows are placed on, or `None` if the service has no backend.
     pub target: Option<BackendId>,
-    /// Backend that the bucket was mapped to when it was last clean, while flows may
-    /// still live there. A bucket with a base is contested: a flow in it that no owner
-    /// has pinned belongs to the base.
+    /// Backend that the bucket was mapped to when it was last clean, as long as it may have
+    /// flows there. A bucket with a base is contested, and a flow that no owner has pinned
+    /// belongs to the base.
     pub base: Option<BackendId>,
-    /// Generation in which the bucket became contested; 0 while it is clean.
+    /// Generation in which the bucket became contested, or 0 while it is clean.
     pub contested_since: GenerationNumber,
 }
 
 impl Bucket {
-    /// Whether only the owner can tell where an unknown flow of the bucket belongs.
+    /// Returns whether only the owner can determine the backend of an unknown flow.
     ///
-    /// A bucket can be contested without a base: one that had no target, whose flows were
-    /// refused by the owner, and those of a service that is placed by load.
+    /// A bucket without a base can be contested: if it had no target, so that the owner refused
+    /// its flows, or if the service uses [`Placement::LeastLoaded`].
     #[must_use]
     pub fn is_contested(&self) -> bool {
         self.base.is_some() || self.contested_since != GenerationNumber::default()
@@ -154,38 +154,38 @@
 /// A service of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Service {
-    /// Its number, never used for another.
+    /// Its number, which is never reused.
     pub id: ServiceId,
-    /// The store's UID.
+    /// UID of the object in the store.
     pub uid: ObjectUid,
-    /// The object's name, for people.
+    /// Name of the object, for display.
     pub name: String,
-    /// Address that callers use.
+    /// Address of the service.
     pub address: IpAddr,
-    /// Port that callers use.
+    /// Port of the service.
     pub port: u16,
     /// Transport protocol.
     pub transport: Transport,
-    /// How its new flows are placed.
+    /// How new flows are assigned to backends.
     pub placement: Placement,
-    /// What a refused caller is told.
+    /// How a refused caller is answered.
     pub refusal: RefusalStyle,
-    /// Idle time after which a flow is forgotten, seconds.
+    /// Idle time after which a flow is removed, in seconds.
     pub idle_timeout_seconds: u32,
-    /// Backends that take new flows.
+    /// Backends that receive new flows.
     pub backends: Vec<ServiceBackend>,
     /// The lookup table.
     pub buckets: Vec<Bucket>,
 }
 
 impl Service {
-    /// The bucket at `index`, if the table is that long.
+    /// Returns the bucket at `index`, or `None` if the index is out of range.
     #[must_use]
     pub fn bucket(&self, index: BucketIndex) -> Option<&Bucket> {
         self.buckets.get(index.0 as usize)
     }
 
-    /// Where callers reach the service.
+    /// Returns the address, port and protocol of the service.
     #[must_use]
     pub fn endpoint(&self) -> ServiceEndpoint {
         ServiceEndpoint {
@@ -196,18 +196,18 @@
     }
 }
 
-/// A balancer that takes part in a generation.
+/// A balancer that is a member of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Member {
-    /// The process.
+    /// Identifier of the process.
     pub node: NodeId,
-    /// The zone it stands in.
+    /// Zone that it is located in.
     pub zone: Zone,
     /// UDP address of its peer socket.
     pub peer_address: SocketAddr,
 }
 
-/// What holds for the whole cluster and is fixed when it is founded.
+/// Cluster-wide parameters that are fixed when the cluster is created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ClusterParameters {
     /// Seed of the flow hash.
@@ -218,24 +218,24 @@
 
 /// One version of the configuration.
 ///
-/// Its number is agreed by a conditional write in the platform's store, and its digest is
-/// part of that write: two nodes that hold the same number hold the same content.
+/// A conditional write to the platform's store assigns the number and includes the digest, so
+/// all nodes have the same content for the same number.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Generation {
-    /// Position in the one sequence.
+    /// Position in the sequence of generations.
     pub number: GenerationNumber,
-    /// How far in the store's history it was read.
+    /// Store revision of the objects that it was compiled from.
     pub revision: StoreRevision,
-    /// What is fixed for the cluster.
+    /// Parameters of the cluster.
     pub parameters: ClusterParameters,
     /// All services, by number.
     pub services: Vec<Service>,
-    /// All backends that serve or still drain, by number.
+    /// All backends that serve, drain or are still referenced by a bucket, by number.
     pub backends: Vec<Backend>,
-    /// All balancers that must acknowledge, by node.
+    /// All balancers that must acknowledge the generation, by node.
     pub members: Vec<Member>,
-    /// Number of the next new service.
+    /// Number for the next new service.
     pub next_service: ServiceId,
-    /// Number of the next new backend.
+    /// Number for the next new backend.
     pub next_backend: BackendId,
 }
--- a/crates/bellyoke-core/src/generation/validate.rs
+++ b/crates/bellyoke-core/src/generation/validate.rs
@@ -1,56 +1,56 @@
-//! Limits of the operators' objects.
+//! Validation of the operators' objects.
 
 use crate::generation::objects::{BackendObject, ServiceObject};
 use crate::generation::selector::{SelectorError, validate_labels};
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Weights that a backend may have.
+/// Valid weights of a backend.
 pub const BACKEND_WEIGHTS: RangeInclusive<u32> = 1..=1000;
-/// Weights that a selector may have.
+/// Valid weights of a selector.
 pub const SELECTOR_WEIGHTS: RangeInclusive<u32> = 0..=1000;
-/// Sizes that a lookup table may have.
+/// Valid numbers of buckets in a lookup table.
 pub const TABLE_SIZES: RangeInclusive<u32> = 1..=65_536;
-/// Idle times that a service may have, seconds.
+/// Valid idle timeouts of a service, in seconds.
 pub const IDLE_TIMEOUTS: RangeInclusive<u32> = 1..=86_400;
 
-/// Why an operator's object is invalid.
+/// A validation error of an operator's object.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ObjectError {
-    /// A number outside of its limits.
-    #[error("{field} is {value}, outside of {}..={}", .limits.start(), .limits.end())]
+    /// A number is out of range.
+    #[error("{field} is {value}, outside the range {}..={}", .limits.start(), .limits.end())]
     OutOfRange {
         /// Name of the field.
         field: &'static str,
         /// Its value.
         value: u32,
-        /// What it may be.
+        /// Its valid range.
         limits: RangeInclusive<u32>,
     },
-    /// Port 0.
+    /// The port is 0.
     #[error("{0} has port 0")]
     PortZero(&'static str),
-    /// An address that no single host has.
+    /// The address is not that of a single host.
     #[error("{0} is unspecified or multicast")]
     Address(&'static str),
-    /// A selector of the service.
+    /// A selector of the service is invalid.
     #[error("selector {index}: {error}")]
     Selector {
-        /// Its position, from 0.
+        /// Position of the selector, starting at 0.
         index: usize,
-        /// What is wrong.
+        /// The error.
         error: SelectorError,
     },
-    /// A label of the backend.
+    /// A label of the backend is invalid.
     #[error(transparent)]
     Label(#[from] SelectorError),
 }
 
 impl ServiceObject {
-    /// Checks all fields against their limits.
+    /// Checks that all fields are valid.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first error found.
     pub fn validate(&self) -> Result<(), ObjectError> {
         if self.port == 0 {
             return Err(ObjectError::PortZero("address"));
@@ -74,10 +74,10 @@
 }
 
 impl BackendObject {
-    /// Checks all fields against their limits.
+    /// Checks that all fields are valid.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first error found.
     pub fn validate(&self) -> Result<(), ObjectError> {
         if self.tunnel.port() == 0 {
             return Err(ObjectError::PortZero("tunnel"));
--- a/crates/bellyoke-core/tests/generation/compile.rs
+++ b/crates/bellyoke-core/tests/generation/compile.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_same_objects_change_nothing() {
+fn unchanged_objects_leave_the_generation_unchanged() {
     let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.revision.backends += 5;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn older_objects_are_refused() {
+fn older_objects_are_rejected() {
     let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.revision.services -= 1;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn other_parameters_are_refused() {
+fn different_parameters_are_rejected() {
     let desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     let other = ClusterParameters {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_base_stays_through_a_second_change_and_goes_when_settled() {
+fn the_base_is_kept_until_the_bucket_is_settled() {
     let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].drain = true;
@@ -122,12 +122,12 @@
         (moving.service, moving.state),
         (Some(till), BackendState::Draining)
     );
-    let waits = Problem::StillDraining {
+    let still_draining = Problem::StillDraining {
         backend: "b1".to_owned(),
         from: "till".to_owned(),
         to: Some("listings".to_owned()),
     };
-    assert_eq!(second.problems, [waits]);
+    assert_eq!(second.problems, [still_draining]);
     let settled = contested(&second.generation);
     let third = advance(Some(&second.generation), &desired, &settled).generation;
     assert_eq!(named_backend(&third, "b1").unwrap().service, Some(till));
@@ -139,10 +139,10 @@
     );
 }
 
-/// A bucket that was contested before the backend left may hold flows pinned on it, though
-/// the backend is neither its base nor its target.
+/// A bucket that was contested before the backend left may have flows pinned to the backend,
+/// although it is neither the base nor the target of the bucket.
 #[test]
-fn pinned_flows_hold_a_backend_back() {
+fn a_backend_with_pinned_flows_stays_in_its_service() {
     let mut desired = two_services(3, 2);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].drain = true;
@@ -159,8 +159,8 @@
         .collect();
     let fourth = advance(Some(&third), &desired, &on_leaving).generation;
     let fifth = advance(Some(&fourth), &desired, &[]).generation;
-    let held_back = named_backend(&fifth, "b2").unwrap();
-    assert_eq!(held_back.service, Some(named_service(&first, "till").id));
+    let retained = named_backend(&fifth, "b2").unwrap();
+    assert_eq!(retained.service, Some(named_service(&first, "till").id));
     let sixth = advance(Some(&fifth), &desired, &contested(&fifth)).generation;
     let seventh = advance(Some(&sixth), &desired, &[]).generation;
     let joined = named_backend(&seventh, "b2").unwrap();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_deleted_backend_is_dead_until_no_bucket_needs_it() {
+fn a_deleted_backend_stays_dead_until_no_bucket_references_it() {
     let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends.remove(0);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_reused_address_is_another_backend() {
+fn a_reused_address_gets_a_new_backend_number() {
     let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].uid.0.push_str("-again");
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_changed_address_is_not_followed() {
+fn a_changed_backend_address_is_ignored() {
     let mut desired = two_services(3, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.backends[0].tunnel.set_port(6081);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_service_that_asks_for_a_taken_address_keeps_its_own() {
+fn a_service_whose_new_address_is_taken_keeps_its_address() {
     let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services[0].address = desired.services[1].address;
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn an_invalid_service_keeps_its_former_settings() {
+fn an_invalid_service_keeps_its_previous_settings() {
     let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     desired.services[0].port = 0;
@@ -258,9 +258,9 @@
     ));
 }
 
-/// A wrong field must not cut the flows of a service or a backend.
+/// An invalid field must not interrupt the flows of a service or a backend.
 #[test]
-fn objects_that_cannot_be_understood_are_not_taken_for_deleted() {
+fn unreadable_objects_are_not_treated_as_deleted() {
     let mut desired = two_services(2, 1);
     let first = advance(None, &desired, &[]).generation;
     let service = desired.services.remove(0);
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_backend_of_two_services_serves_the_first_by_name() {
+fn a_backend_selected_by_two_services_serves_the_first_by_name() {
     let mut desired = two_services(2, 0);
     desired.services[1].selectors = vec![select(&[("service", "till")], 1)];
     let compilation = advance(None, &desired, &[]);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn selector_weights_share_the_service_not_the_backends() {
+fn selector_weights_are_distributed_over_their_backends() {
     let mut desired = two_services(9, 0);
     desired.services[0].buckets = 100;
     desired.services[0].selectors = vec![
@@ -308,7 +308,7 @@
     desired.backends.push(backend(51, "parked"));
     let generation = advance(None, &desired, &[]).generation;
     let buckets = &named_service(&generation, "till").buckets;
-    let held = |name| {
+    let bucket_count = |name| {
         let id = named_backend(&generation, name).unwrap().id;
         buckets
             .iter()
@@ -316,29 +316,39 @@
             .count()
     };
     assert_eq!(
-        [held("b1"), held("b9"), held("b50"), held("b51")],
+        [
+            bucket_count("b1"),
+            bucket_count("b9"),
+            bucket_count("b50"),
+            bucket_count("b51")
+        ],
         [10, 10, 10, 0]
     );
 }
 
-/// A flow that the owner refused must not reach a backend that comes later.
+/// A flow that the owner refused must not be forwarded to a backend that is added later.
 #[test]
-fn a_service_without_backends_stays_contested_when_one_comes() {
+fn a_service_without_backends_stays_contested_when_one_is_added() {
     let mut desired = two_services(0, 0);
     let first = advance(None, &desired, &[]).generation;
     desired.backends.push(backend(1, "till"));
     let second = advance(Some(&first), &desired, &contested(&first)).generation;
     let till = named_service(&second, "till");
-    let awaits = |bucket: &bellyoke_core::generation::Bucket| {
+    let is_contested_without_base = |bucket: &bellyoke_core::generation::Bucket| {
         bucket.is_contested() && bucket.base.is_none() && bucket.target.is_some()
     };
-    assert!(till.buckets.iter().all(awaits));
+    assert!(till.buckets.iter().all(is_contested_without_base));
     let third = advance(Some(&second), &desired, &contested(&second)).generation;
-    assert!(!named_service(&third, "till").buckets.iter().any(awaits));
+    assert!(
+        !named_service(&third, "till")
+            .buckets
+            .iter()
+            .any(is_contested_without_base)
+    );
 }
 
 #[test]
-fn a_service_placed_by_load_is_contested_without_base() {
+fn a_least_loaded_service_is_contested_without_base() {
     let mut desired = two_services(2, 1);
     desired.services[0].placement = Placement::LeastLoaded;
     let first = advance(None, &desired, &[]).generation;
@@ -356,8 +366,11 @@
             bucket: BucketIndex(index),
         })
         .collect();
-    let waits = advance(Some(&second), &desired, &all[1..]).generation;
-    assert_eq!(named_backend(&waits, "b1").unwrap().service, Some(till.id));
+    let waiting = advance(Some(&second), &desired, &all[1..]).generation;
+    assert_eq!(
+        named_backend(&waiting, "b1").unwrap().service,
+        Some(till.id)
+    );
     let joined = advance(Some(&second), &desired, &all).generation;
     let listings = named_service(&second, "listings").id;
     assert_eq!(
--- a/crates/bellyoke-core/tests/generation/encoding.rs
+++ b/crates/bellyoke-core/tests/generation/encoding.rs
@@ -4,7 +4,7 @@
 };
 use bellyoke_core::identity::GenerationNumber;
 
-/// A few generations of today's size: 15 and 4 backends, 1,024 buckets a service.
+/// Returns successive generations with services of 15 and 4 backends and 1,024 buckets each.
 fn history() -> Vec<Generation> {
     let mut desired = two_services(15, 4);
     for service in &mut desired.services {
@@ -23,7 +23,7 @@
     vec![first, second, third, fourth, fifth]
 }
 
-/// 5,700 backends in 1,800 services.
+/// Returns a configuration of 5,700 backends in 1,800 services.
 fn large() -> DesiredState {
     let mut desired = two_services(0, 0);
     desired.services.clear();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn deltas_lead_from_any_generation_to_any_later_one() {
+fn deltas_apply_between_any_two_generations_in_order() {
     let history = history();
     for (index, old) in history.iter().enumerate() {
         for new in &history[index..] {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_delta_applies_to_its_own_base_only() {
+fn a_delta_applies_only_to_its_base() {
     let history = history();
     let delta = GenerationDelta::between(&history[0], &history[1]);
     let error = DeltaError::Base {
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn damaged_bytes_are_refused_without_panic() {
+fn corrupt_bytes_are_rejected_without_panic() {
     let encoded = history()[1].encode();
     assert_eq!(Generation::decode(&[]), Err(DecodeError::Empty));
     assert_eq!(Generation::decode(&[9, 0]), Err(DecodeError::Format(9)));
-    let bomb = [1, 255, 255, 255, 255, 0];
+    let oversized_length = [1, 255, 255, 255, 255, 0];
     assert!(matches!(
-        Generation::decode(&bomb),
+        Generation::decode(&oversized_length),
         Err(DecodeError::TooLong(_))
     ));
     for length in 0..encoded.len() {
@@ -104,9 +104,9 @@
     }
     let original = Generation::decode(&encoded).unwrap();
     for position in (0..encoded.len()).step_by(3) {
-        let mut damaged = encoded.clone();
-        damaged[position] ^= 0x55;
-        if let Ok(generation) = Generation::decode(&damaged) {
+        let mut corrupt = encoded.clone();
+        corrupt[position] ^= 0x55;
+        if let Ok(generation) = Generation::decode(&corrupt) {
             let same_digest = generation.digest() == original.digest();
             assert_eq!(same_digest, generation == original);
         }
--- a/crates/bellyoke-core/tests/generation/fixture.rs
+++ b/crates/bellyoke-core/tests/generation/fixture.rs
@@ -1,4 +1,4 @@
-//! Small objects to compile.
+//! Test objects and generations.
 
 use bellyoke_core::flow::SettledBucket;
 use bellyoke_core::generation::{
@@ -31,7 +31,7 @@
     }
 }
 
-/// A service that selects label `service` with its own name.
+/// Returns a service that selects backends whose label `service` has its name.
 pub fn service(name: &str, host: u8) -> ServiceObject {
     ServiceObject {
         uid: ObjectUid(format!("uid-{name}")),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A backend with label `service`; `host` makes its name and address.
+/// Returns a backend with the given label `service`. `host` determines its name and address.
 pub fn backend(host: u16, service: &str) -> BackendObject {
     let [high, low] = host.to_be_bytes();
     BackendObject {
@@ -70,7 +70,7 @@
     (1..=count).map(member).collect()
 }
 
-/// Two services, `till` with `till_backends` backends and `listings` with `listings`.
+/// Returns two services, `till` with `till_backends` backends and `listings` with `listings`.
 pub fn two_services(till_backends: u16, listings: u16) -> DesiredState {
     let mut backends: Vec<_> = (1..=till_backends)
         .map(|host| backend(host, "till"))
@@ -106,7 +106,7 @@
     backends.find(|backend| backend.name == name)
 }
 
-/// All contested buckets of a generation.
+/// Returns all contested buckets of a generation.
 pub fn contested(generation: &Generation) -> Vec<SettledBucket> {
     let of_service = |service: &Service| {
         let id = service.id;
@@ -122,7 +122,7 @@
     generation.services.iter().flat_map(of_service).collect()
 }
 
-/// Properties are tried with the same cases in every run.
+/// Returns a proptest configuration with a fixed seed.
 pub fn seeded() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(20_261_202),
--- a/crates/bellyoke-core/tests/generation/history.rs
+++ b/crates/bellyoke-core/tests/generation/history.rs
@@ -1,4 +1,4 @@
-//! Random histories against a record of where flows may live.
+//! Random histories, compared with a model of the backends that may have flows.
 
 use crate::fixture::{advance, backend, seeded, two_services};
 use bellyoke_core::flow::SettledBucket;
@@ -30,10 +30,10 @@
     ]
 }
 
-/// Backends on which flows of a bucket may live, by service and bucket.
+/// Backends that may have flows of a bucket, by service and bucket.
 type FlowBackends = BTreeMap<(ServiceId, u32), BTreeSet<BackendId>>;
 
-/// What a step has settled: the settled buckets' flows live on their targets only.
+/// Returns the buckets that a step settles. Their flows are only on their targets.
 fn settled(step: Step, generation: &Generation) -> Vec<SettledBucket> {
     let mut buckets = Vec::new();
     for service in &generation.services {
@@ -139,7 +139,7 @@
     }
 }
 
-/// From now on new flows may live on the targets.
+/// Records that the targets may have new flows.
 fn record_targets(flow_backends: &mut FlowBackends, generation: &Generation) {
     for service in &generation.services {
         for (index, bucket) in service.buckets.iter().enumerate() {
--- a/crates/bellyoke-core/tests/generation/selector.rs
+++ b/crates/bellyoke-core/tests/generation/selector.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn faults_are_told_apart() {
+fn validation_errors_are_distinguished() {
     let empty = Selector::default();
     assert_eq!(empty.validate(), Err(SelectorError::NoCondition));
     let without_values = expression(SelectorOperator::In, &[]);
--- a/crates/bellyoke-core/tests/generation/table.rs
+++ b/crates/bellyoke-core/tests/generation/table.rs
@@ -48,14 +48,14 @@
         let before = rebalance(&vec![None; size], &first);
         let after = rebalance(&before, &second);
         let total: u64 = second.iter().map(|share| u64::from(share.weight)).sum();
-        let held = counts(&after);
+        let assigned = counts(&after);
         for share in &second {
-            let held = held.get(&share.backend).copied().unwrap_or(0) as u64;
+            let assigned = assigned.get(&share.backend).copied().unwrap_or(0) as u64;
             let product = size as u64 * u64::from(share.weight);
             let floor = product.checked_div(total).unwrap_or(0);
-            prop_assert!(held == floor || held == floor + 1, "{held} of {floor}");
+            prop_assert!(assigned == floor || assigned == floor + 1, "{assigned} buckets, expected {floor} or one more");
         }
-        prop_assert_eq!(held.values().sum::<usize>(), if total > 0 { size } else { 0 });
+        prop_assert_eq!(assigned.values().sum::<usize>(), if total > 0 { size } else { 0 });
         let former = counts(&before);
         let gain = |quota: &bellyoke_core::generation::BucketQuota| {
             let had = former.get(&quota.backend).copied().unwrap_or(0);
@@ -68,34 +68,37 @@
     }
 
     #[test]
-    fn every_prefix_of_a_first_table_is_even(shares in weights(), size in 1_usize..600) {
+    fn every_prefix_of_an_initial_table_is_even(shares in weights(), size in 1_usize..600) {
         let empty = vec![None; size];
         let table = rebalance(&empty, &shares);
         for quota in quotas(&empty, &shares) {
-            let mut held = 0;
+            let mut assigned = 0;
             for (index, target) in table.iter().enumerate() {
-                held += usize::from(*target == Some(quota.backend));
+                assigned += usize::from(*target == Some(quota.backend));
                 let ideal = ((index + 1) * quota.buckets) as f64 / size as f64;
-                let deviation = (held as f64 - ideal).abs();
-                prop_assert!(deviation < 3.0, "{deviation} at {index}");
+                let deviation = (assigned as f64 - ideal).abs();
+                prop_assert!(deviation < 3.0, "deviation of {deviation} buckets at index {index}");
             }
         }
     }
 }
 
 #[test]
-fn buckets_that_move_are_spread_over_the_table() {
+fn moved_buckets_are_evenly_spread_over_the_table() {
     let before = rebalance(&vec![None; 1024], &equal_weights(1..=4));
     let after = rebalance(&before, &equal_weights(1..=5));
     for part in 0..8 {
         let range = part * 128..(part + 1) * 128;
         let moved = moved(&before[range.clone()].to_vec(), &after[range].to_vec());
-        assert!((24..=27).contains(&moved), "{moved} of 128 in part {part}");
+        assert!(
+            (24..=27).contains(&moved),
+            "{moved} of 128 buckets moved in part {part}"
+        );
     }
 }
 
 #[test]
-fn one_backend_more_or_less_moves_fewer_buckets_than_maglev() {
+fn adding_or_removing_a_backend_moves_fewer_buckets_than_maglev() {
     const BUCKETS: usize = 1024;
     let ids = |last: u32| (1..=last).map(BackendId).collect::<Vec<_>>();
     let fifteen = rebalance(&vec![None; BUCKETS], &equal_weights(1..=15));
