--- a/crates/bellyoke-balancer/src/process/traffic/thread.rs
+++ b/crates/bellyoke-balancer/src/process/traffic/thread.rs
@@ -140,7 +140,7 @@
         batch: traffic.batch,
         parse: ParseOptions {
             verify_checksums: traffic.verify_checksums,
-            longest_packet: traffic.mtu,
+            maximum_packet_bytes: traffic.mtu,
         },
         flows: FlowSettings {
             capacity: u32::try_from(share).unwrap_or(u32::MAX),
--- a/crates/bellyoke-core/src/generation/selector.rs
+++ b/crates/bellyoke-core/src/generation/selector.rs
@@ -18,7 +18,7 @@
     #[error("`{0}` is not a valid label key")]
     Key(String),
     /// Invalid label value.
-    #[error("`{value}` is not a valid value of label `{key}`")]
+    #[error("`{value}` is not a value that label `{key}` can have")]
     Value {
         /// Name of the label.
         key: String,
--- a/crates/bellyoke-core/src/packet/flow_key.rs
+++ b/crates/bellyoke-core/src/packet/flow_key.rs
@@ -61,7 +61,7 @@
 }
 
 /// Two addresses of 16 bytes, two ports and a protocol number.
-const ENCODED_KEY_LENGTH: usize = 37;
+const ENCODED_KEY_BYTES: usize = 37;
 
 impl FlowHasher {
     /// A hasher with the cluster's `seed`.
@@ -73,7 +73,7 @@
     /// The hash of `key`.
     #[must_use]
     pub fn hash(&self, key: &FlowKey) -> FlowHash {
-        let mut encoded = [0_u8; ENCODED_KEY_LENGTH];
+        let mut encoded = [0_u8; ENCODED_KEY_BYTES];
         encoded[..16].copy_from_slice(&address_bytes(key.source));
         encoded[16..32].copy_from_slice(&address_bytes(key.destination));
         encoded[32..34].copy_from_slice(&key.source_port.to_be_bytes());
--- a/crates/bellyoke-core/src/packet/parse.rs
+++ b/crates/bellyoke-core/src/packet/parse.rs
@@ -10,7 +10,7 @@
 use std::net::IpAddr;
 
 /// Length of the headers of ICMP and ICMPv6 errors, before the packet they quote, bytes.
-const ICMP_HEADER_LENGTH: usize = 8;
+const ICMP_HEADER_BYTES: usize = 8;
 
 /// Reads a whole IP packet: TCP, UDP, or an ICMP error that quotes either.
 ///
@@ -19,7 +19,7 @@
 /// packet is whole and may be answered.
 pub fn parse(packet: &[u8], options: &ParseOptions) -> Result<PacketSummary, PacketError> {
     let ip = IpSlice::from_slice(packet).map_err(|_| PacketError::Header)?;
-    check_stated_length(&ip, packet.len())?;
+    check_declared_length(&ip, packet.len())?;
     if options.verify_checksums {
         verify_header(&ip)?;
     }
@@ -27,22 +27,22 @@
         return Err(PacketError::Fragment);
     }
     let summary = parse_transport(&ip, packet.len(), options)?;
-    if packet.len() > options.longest_packet {
+    if packet.len() > options.maximum_packet_bytes {
         return Err(PacketError::Oversized {
             length: packet.len(),
-            limit: options.longest_packet,
+            limit: options.maximum_packet_bytes,
         });
     }
     Ok(summary)
 }
 
 /// An IPv6 payload length of zero would mean a jumbogram (RFC 2675): never carried here.
-fn check_stated_length(ip: &IpSlice<'_>, length: usize) -> Result<(), PacketError> {
-    let stated = match ip {
+fn check_declared_length(ip: &IpSlice<'_>, length: usize) -> Result<(), PacketError> {
+    let declared = match ip {
         IpSlice::Ipv4(packet) => usize::from(packet.header().total_len()),
         IpSlice::Ipv6(packet) => Ipv6Header::LEN + usize::from(packet.header().payload_length()),
     };
-    if stated == length {
+    if declared == length {
         Ok(())
     } else {
         Err(PacketError::Length { length })
@@ -80,7 +80,10 @@
         fin: segment.fin(),
         rst: segment.rst(),
     };
-    Ok((sent_key(ip, Transport::Tcp, ports), PacketKind::Tcp(flags)))
+    Ok((
+        key_from_headers(ip, Transport::Tcp, ports),
+        PacketKind::Tcp(flags),
+    ))
 }
 
 fn parse_udp(
@@ -105,7 +108,7 @@
         }
     }
     let ports = (datagram.source_port(), datagram.destination_port());
-    Ok((sent_key(ip, Transport::Udp, ports), PacketKind::Udp))
+    Ok((key_from_headers(ip, Transport::Udp, ports), PacketKind::Udp))
 }
 
 fn parse_icmpv4(
@@ -132,7 +135,7 @@
     );
     let segment = &quote[header.slice().len()..];
     let key = quoted_key(addresses, header.protocol(), segment)?;
-    check_receiver(ip, &key)?;
+    check_quoted_source(ip, &key)?;
     Ok((key, PacketKind::IcmpError))
 }
 
@@ -158,12 +161,12 @@
         IpAddr::V6(header.destination_addr()),
     );
     let key = quoted_key(addresses, header.next_header(), &quote[Ipv6Header::LEN..])?;
-    check_receiver(ip, &key)?;
+    check_quoted_source(ip, &key)?;
     Ok((key, PacketKind::IcmpError))
 }
 
 fn quoted_packet(message: &[u8]) -> Result<&[u8], PacketError> {
-    message.get(ICMP_HEADER_LENGTH..).ok_or(PacketError::Header)
+    message.get(ICMP_HEADER_BYTES..).ok_or(PacketError::Header)
 }
 
 /// The flow as the caller sends it: the quoted packet went the other way.
@@ -187,7 +190,7 @@
     })
 }
 
-fn check_receiver(ip: &IpSlice<'_>, key: &FlowKey) -> Result<(), PacketError> {
+fn check_quoted_source(ip: &IpSlice<'_>, key: &FlowKey) -> Result<(), PacketError> {
     if ip.destination_addr() == key.destination {
         Ok(())
     } else {
@@ -195,7 +198,7 @@
     }
 }
 
-fn sent_key(ip: &IpSlice<'_>, transport: Transport, ports: (u16, u16)) -> FlowKey {
+fn key_from_headers(ip: &IpSlice<'_>, transport: Transport, ports: (u16, u16)) -> FlowKey {
     FlowKey {
         transport,
         source: ip.source_addr(),
--- a/crates/bellyoke-core/src/packet/reply.rs
+++ b/crates/bellyoke-core/src/packet/reply.rs
@@ -12,11 +12,11 @@
 /// Hop limit of answers: the value that RFC 1700 recommends.
 const HOP_LIMIT: u8 = 64;
 /// Longest ICMP error, bytes (RFC 1812, 4.3.2.3).
-const LONGEST_ICMPV4_ERROR: usize = 576;
+const MAXIMUM_ICMPV4_ERROR_BYTES: usize = 576;
 /// Longest ICMPv6 error, bytes: the least MTU of IPv6 (RFC 4443, 2.4).
-const LONGEST_ICMPV6_ERROR: usize = 1280;
+const MAXIMUM_ICMPV6_ERROR_BYTES: usize = 1280;
 /// Length of an ICMP header, bytes.
-const ICMP_HEADER_LENGTH: usize = 8;
+const ICMP_HEADER_BYTES: usize = 8;
 
 /// The answer that ends the flow of `packet`: a TCP reset, or an ICMP or ICMPv6 "port
 /// unreachable" for a UDP datagram.
@@ -25,7 +25,7 @@
 /// single host's (RFC 1122, 3.2.2), or to what is no whole packet.
 #[must_use]
 pub fn reset_for(packet: &[u8]) -> Option<Vec<u8>> {
-    let summary = answerable(packet)?;
+    let summary = parse_answerable(packet)?;
     match summary.kind {
         PacketKind::Tcp(flags) if flags.rst => None,
         PacketKind::Tcp(_) => tcp_reset(&summary, packet),
@@ -35,13 +35,13 @@
 }
 
 /// The answer to a packet that is longer than the tunnel carries: ICMP "fragmentation
-/// needed" (RFC 1191) or ICMPv6 "packet too big" (RFC 8201) that names `mtu`, the longest
+/// needed" (RFC 1191) or ICMPv6 "packet too big" (RFC 8201) that names `mtu`, the maximum_length
 /// packet that it does carry, bytes.
 ///
 /// None where [`reset_for`] has none; a reset, though, is answered.
 #[must_use]
 pub fn too_big_for(packet: &[u8], mtu: u16) -> Option<Vec<u8>> {
-    let summary = answerable(packet)?;
+    let summary = parse_answerable(packet)?;
     match summary.kind {
         PacketKind::Tcp(_) | PacketKind::Udp => {
             icmp_error(&summary, packet, IcmpError::TooBig { mtu })
@@ -57,7 +57,7 @@
     TooBig { mtu: u16 },
 }
 
-fn answerable(packet: &[u8]) -> Option<PacketSummary> {
+fn parse_answerable(packet: &[u8]) -> Option<PacketSummary> {
     let options = ParseOptions {
         verify_checksums: false,
         ..ParseOptions::default()
@@ -82,7 +82,7 @@
     let segment = TcpSlice::from_slice(ip.payload().payload).ok()?;
     let key = &summary.key;
     let (source, destination) = (key.destination_port, key.source_port);
-    let builder = answer_header(summary)?;
+    let builder = reply_header(summary)?;
     let reset = if segment.ack() {
         let sequence = segment.acknowledgment_number();
         builder.tcp(source, destination, sequence, 0).rst()
@@ -107,7 +107,7 @@
 }
 
 fn icmp_error(summary: &PacketSummary, packet: &[u8], error: IcmpError) -> Option<Vec<u8>> {
-    let builder = answer_header(summary)?;
+    let builder = reply_header(summary)?;
     let mut answer = Vec::new();
     match summary.key.source {
         IpAddr::V4(_) => {
@@ -117,8 +117,9 @@
                     DestUnreachableHeader::FragmentationNeeded { next_hop_mtu: mtu }
                 }
             });
-            let longest = LONGEST_ICMPV4_ERROR - Ipv4Header::MIN_LEN - ICMP_HEADER_LENGTH;
-            let quote = quote(packet, longest);
+            let maximum_length =
+                MAXIMUM_ICMPV4_ERROR_BYTES - Ipv4Header::MIN_LEN - ICMP_HEADER_BYTES;
+            let quote = quote(packet, maximum_length);
             builder.icmpv4(message).write(&mut answer, quote).ok()?;
         }
         IpAddr::V6(_) => {
@@ -128,20 +129,20 @@
                 }
                 IcmpError::TooBig { mtu } => Icmpv6Type::PacketTooBig { mtu: mtu.into() },
             };
-            let longest = LONGEST_ICMPV6_ERROR - Ipv6Header::LEN - ICMP_HEADER_LENGTH;
-            let quote = quote(packet, longest);
+            let maximum_length = MAXIMUM_ICMPV6_ERROR_BYTES - Ipv6Header::LEN - ICMP_HEADER_BYTES;
+            let quote = quote(packet, maximum_length);
             builder.icmpv6(message).write(&mut answer, quote).ok()?;
         }
     }
     Some(answer)
 }
 
-fn quote(packet: &[u8], longest: usize) -> &[u8] {
-    packet.get(..longest).unwrap_or(packet)
+fn quote(packet: &[u8], maximum_length: usize) -> &[u8] {
+    packet.get(..maximum_length).unwrap_or(packet)
 }
 
 /// An IP header from the service to the caller; the builder fills in length and protocol.
-fn answer_header(summary: &PacketSummary) -> Option<PacketBuilderStep<IpHeaders>> {
+fn reply_header(summary: &PacketSummary) -> Option<PacketBuilderStep<IpHeaders>> {
     let protocol = ip_number::TCP;
     let headers = match (summary.key.destination, summary.key.source) {
         (IpAddr::V4(service), IpAddr::V4(caller)) => {
--- a/crates/bellyoke-core/src/packet/summary.rs
+++ b/crates/bellyoke-core/src/packet/summary.rs
@@ -10,7 +10,7 @@
     /// Whether IPv4 header and transport checksums are verified.
     pub verify_checksums: bool,
     /// Longest packet that the tunnel carries, bytes.
-    pub longest_packet: usize,
+    pub maximum_packet_bytes: usize,
 }
 
 impl Default for ParseOptions {
@@ -18,7 +18,7 @@
     fn default() -> Self {
         Self {
             verify_checksums: true,
-            longest_packet: usize::from(u16::MAX),
+            maximum_packet_bytes: usize::from(u16::MAX),
         }
     }
 }
--- a/crates/bellyoke-core/tests/packet.rs
+++ b/crates/bellyoke-core/tests/packet.rs
@@ -10,12 +10,12 @@
 use flow_support::*;
 use proptest::prelude::*;
 
-fn rejection(packet: &[u8]) -> PacketError {
+fn parse_error(packet: &[u8]) -> PacketError {
     parse(packet, &ParseOptions::default()).unwrap_err()
 }
 
 fn drop_reason(packet: &[u8]) -> DropReason {
-    rejection(packet).into()
+    parse_error(packet).into()
 }
 
 /// Sets an IPv4 header's checksum right again after a change.
@@ -70,7 +70,7 @@
         let mut longer = packet.clone();
         longer.push(0);
         let length = longer.len();
-        assert_eq!(rejection(&longer), PacketError::Length { length });
+        assert_eq!(parse_error(&longer), PacketError::Length { length });
     }
 }
 
@@ -99,7 +99,7 @@
     for (mut packet, byte, expected) in packets {
         assert!(parse(&packet, &ParseOptions::default()).is_ok());
         packet[byte] ^= 0x10;
-        assert_eq!(rejection(&packet), expected);
+        assert_eq!(parse_error(&packet), expected);
         assert_eq!(DropReason::from(expected), DropReason::Checksum);
         assert!(parse(&packet, &unchecked).is_ok());
     }
@@ -112,7 +112,7 @@
     assert!(parse(&packet, &ParseOptions::default()).is_ok());
     let mut packet = udp_v6(1, b"data");
     packet[46..48].fill(0);
-    assert_eq!(rejection(&packet), PacketError::TransportChecksum);
+    assert_eq!(parse_error(&packet), PacketError::TransportChecksum);
 }
 
 #[test]
@@ -121,14 +121,14 @@
         let mut packet = tcp_v4(1, ACK, b"data");
         packet[byte] = value;
         fix_header(&mut packet);
-        assert_eq!(rejection(&packet), PacketError::Fragment);
+        assert_eq!(parse_error(&packet), PacketError::Fragment);
     }
     let mut packet = udp_v6(1, b"data");
     let fragment_header = [17, 0, 0, 1, 0, 0, 0, 9];
     packet[5] += fragment_header.len() as u8;
     packet[6] = 44;
     packet.splice(40..40, fragment_header);
-    assert_eq!(rejection(&packet), PacketError::Fragment);
+    assert_eq!(parse_error(&packet), PacketError::Fragment);
     assert_eq!(drop_reason(&packet), DropReason::Fragment);
 }
 
@@ -137,7 +137,7 @@
     let mut packet = tcp_v4(1, ACK, b"");
     packet[9] = 47;
     fix_header(&mut packet);
-    assert_eq!(rejection(&packet), PacketError::Protocol(47));
+    assert_eq!(parse_error(&packet), PacketError::Protocol(47));
     let echo = Icmpv4Type::EchoRequest(etherparse::IcmpEchoHeader { id: 1, seq: 1 });
     let packet = write_icmpv4(SERVICE.octets(), echo, &answer_v4(1));
     assert_eq!(drop_reason(&packet), DropReason::Protocol);
@@ -146,8 +146,8 @@
 #[test]
 fn a_whole_packet_may_be_too_long() {
     let packet = tcp_v4(1, ACK, &[0; 100]);
-    let limited = |longest_packet| ParseOptions {
-        longest_packet,
+    let limited = |maximum_packet_bytes| ParseOptions {
+        maximum_packet_bytes,
         ..ParseOptions::default()
     };
     assert!(parse(&packet, &limited(packet.len())).is_ok());
@@ -176,11 +176,11 @@
     let port = icmpv4::DestUnreachableHeader::Port;
     let message = Icmpv4Type::DestinationUnreachable(port);
     let packet = write_icmpv4([192, 0, 2, 2], message.clone(), &answer_v4(7000));
-    assert_eq!(rejection(&packet), PacketError::ForeignQuote);
+    assert_eq!(parse_error(&packet), PacketError::ForeignQuote);
     for length in 0..24 {
         let quote = &answer_v4(7000)[..length];
         let packet = write_icmpv4(SERVICE.octets(), message.clone(), quote);
-        assert_eq!(rejection(&packet), PacketError::Header);
+        assert_eq!(parse_error(&packet), PacketError::Header);
     }
 }
 
@@ -191,7 +191,7 @@
     let mut quote = answer_v4(7000);
     quote[7] = 1;
     let packet = write_icmpv4(SERVICE.octets(), message, &quote);
-    assert_eq!(rejection(&packet), PacketError::Fragment);
+    assert_eq!(parse_error(&packet), PacketError::Fragment);
 }
 
 /// Packets that a mutation starts from.
@@ -210,11 +210,11 @@
 }
 
 /// Reads a packet in every way; answers that are made must be whole.
-fn read_all_ways(packet: &[u8]) -> Result<(), TestCaseError> {
+fn parse_and_answer(packet: &[u8]) -> Result<(), TestCaseError> {
     for verify_checksums in [true, false] {
         let options = ParseOptions {
             verify_checksums,
-            longest_packet: 1500,
+            maximum_packet_bytes: 1500,
         };
         let _ = parse(packet, &options);
     }
@@ -232,7 +232,7 @@
 
     #[test]
     fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        read_all_ways(&bytes)?;
+        parse_and_answer(&bytes)?;
     }
 
     #[test]
@@ -241,7 +241,7 @@
         mut bytes in proptest::collection::vec(any::<u8>(), 1..200),
     ) {
         bytes[0] = version;
-        read_all_ways(&bytes)?;
+        parse_and_answer(&bytes)?;
     }
 
     #[test]
@@ -259,7 +259,7 @@
         if cut {
             packet.truncate(length.index(packet.len()));
         }
-        read_all_ways(&packet)?;
+        parse_and_answer(&packet)?;
     }
 }
 
--- a/crates/bellyoke-core/tests/packet_reply.rs
+++ b/crates/bellyoke-core/tests/packet_reply.rs
@@ -10,7 +10,7 @@
 use flow_support::*;
 
 /// A whole answer from the service to the caller.
-fn read_answer(answer: &[u8], to: &PacketSummary) -> (IpNumber, Vec<u8>) {
+fn parse_answer(answer: &[u8], to: &PacketSummary) -> (IpNumber, Vec<u8>) {
     let ip = IpSlice::from_slice(answer).unwrap();
     assert_eq!(ip.source_addr(), to.key.destination);
     assert_eq!(ip.destination_addr(), to.key.source);
@@ -22,7 +22,7 @@
     for packet in [tcp_v4(7000, FIN, b"data"), tcp_v6(7000, ACK, b"")] {
         let answer = reset_for(&packet).unwrap();
         assert!(parse(&answer, &ParseOptions::default()).is_ok());
-        let (_, segment) = read_answer(&answer, &read(&packet));
+        let (_, segment) = parse_answer(&answer, &read(&packet));
         let segment = TcpSlice::from_slice(&segment).unwrap();
         assert_eq!(
             (segment.source_port(), segment.destination_port()),
@@ -54,7 +54,7 @@
     let packet = udp_v4(7002, &[1; 900]);
     let answer = reset_for(&packet).unwrap();
     assert_eq!(answer.len(), 576);
-    let (protocol, message) = read_answer(&answer, &read(&packet));
+    let (protocol, message) = parse_answer(&answer, &read(&packet));
     assert_eq!(protocol, IpNumber::ICMP);
     let icmp = Icmpv4Slice::from_slice(&message).unwrap();
     let port = Icmpv4Type::DestinationUnreachable(icmpv4::DestUnreachableHeader::Port);
@@ -66,7 +66,7 @@
     let packet = udp_v6(7003, &[1; 1300]);
     let answer = reset_for(&packet).unwrap();
     assert_eq!(answer.len(), 1280);
-    let (protocol, message) = read_answer(&answer, &read(&packet));
+    let (protocol, message) = parse_answer(&answer, &read(&packet));
     assert_eq!(protocol, IpNumber::IPV6_ICMP);
     let icmp = Icmpv6Slice::from_slice(&message).unwrap();
     let port = Icmpv6Type::DestinationUnreachable(icmpv6::DestUnreachableCode::Port);
@@ -77,14 +77,14 @@
 #[test]
 fn a_packet_too_long_is_answered_by_the_mtu() {
     let packet = tcp_v4(7000, ACK, &[0; 1400]);
-    let (_, message) = read_answer(&too_big_for(&packet, 1300).unwrap(), &read(&packet));
+    let (_, message) = parse_answer(&too_big_for(&packet, 1300).unwrap(), &read(&packet));
     let needed = icmpv4::DestUnreachableHeader::FragmentationNeeded { next_hop_mtu: 1300 };
     assert_eq!(
         Icmpv4Slice::from_slice(&message).unwrap().icmp_type(),
         Icmpv4Type::DestinationUnreachable(needed)
     );
     let packet = udp_v6(7000, &[0; 1400]);
-    let (_, message) = read_answer(&too_big_for(&packet, 1300).unwrap(), &read(&packet));
+    let (_, message) = parse_answer(&too_big_for(&packet, 1300).unwrap(), &read(&packet));
     assert_eq!(
         Icmpv6Slice::from_slice(&message).unwrap().icmp_type(),
         Icmpv6Type::PacketTooBig { mtu: 1300 }
