--- a/crates/bellyoke-core/src/identity.rs
+++ b/crates/bellyoke-core/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of the things that nodes agree on.
+//! Identifiers of objects on which nodes agree.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use std::fmt;
@@ -22,22 +22,21 @@
 }
 
 identifier!(
-    /// One run of one balancer process, drawn at random at its start. A restarted
-    /// process is another node, so nothing that it forgot is held against it.
+    /// One run of a balancer process, chosen at random at its start. A restarted process is
+    /// another node, so the state that it lost does not violate any promise of the previous one.
     NodeId(u64)
 );
 identifier!(
-    /// A service, numbered when it first enters a generation and never numbered again.
+    /// A service, numbered when it is first added to a generation. Numbers are never changed.
     ServiceId(u32)
 );
 identifier!(
-    /// A backend, numbered when its object UID first enters a generation. An address
-    /// that is reused belongs to another UID and so to another number: it cannot
-    /// inherit flows.
+    /// A backend, numbered when its object UID is first added to a generation. A reused address
+    /// has another UID and thus another number, so the new backend cannot inherit flows.
     BackendId(u32)
 );
 identifier!(
-    /// Position of a generation in the one sequence that all nodes agree on.
+    /// Position of a generation in the sequence on which all nodes agree.
     GenerationNumber(u64)
 );
 identifier!(
@@ -45,6 +44,6 @@
     BucketIndex(u32)
 );
 identifier!(
-    /// A group of buckets that share an owner and its replicas.
+    /// Index of a group of buckets that share an owner and its replicas.
     GroupIndex(u16)
 );
--- a/crates/bellyoke-core/src/lib.rs
+++ b/crates/bellyoke-core/src/lib.rs
@@ -1,21 +1,20 @@
-//! Coordination parts of the bellyoke layer-4 load balancer.
+//! Coordination logic of the bellyoke layer-4 load balancer.
 //!
-//! Many balancers that disagree for a while must still send every packet of a
-//! flow to the same backend. This crate holds the state machines that make it
-//! so, without socket, clock, thread, async runtime or global: time and
-//! randomness are arguments, and every input returns a list of typed outputs.
-//! That is what lets the hard part be tested in virtual time.
+//! Balancers with temporarily inconsistent state must still send every packet of a flow to the
+//! same backend. This crate contains the state machines that ensure it. They use no sockets,
+//! clocks, threads, async runtime or globals: time and randomness are arguments, and every input
+//! returns a list of typed outputs. This allows tests in virtual time.
 //!
-//! Modules are laid out by the life span of what they hold:
+//! Modules are organized by the lifetime of their state:
 //!
-//! * [`packet`] - one packet: parsing, classification, replies built in place.
-//! * [`flow`] - one flow: the flow table and the per-packet decision.
+//! * [`packet`] - one packet: parsing, classification and replies.
+//! * [`flow`] - one flow: the flow table and the forwarding decision for each packet.
 //! * [`generation`] - one version of the configuration: services, backends,
-//!   members and lookup tables, and how the next version follows from the last.
+//!   members and lookup tables, and compilation of the next version.
 //! * [`node`] - the process: membership, dissemination, leases, ownership.
 //!
-//! [`cookie`] holds the other way of forwarding, for packet formats that carry the identity of
-//! the backend: it needs none of the tables, leases and owners above.
+//! [`cookie`] implements an alternative forwarding method for packet formats that contain the
+//! identity of the backend. It needs none of the tables, leases and owners above.
 
 pub mod cookie;
 pub mod flow;
--- a/crates/bellyoke-core/src/packet/flow_key.rs
+++ b/crates/bellyoke-core/src/packet/flow_key.rs
@@ -1,10 +1,10 @@
-//! The 5-tuple that names a flow, and its hash.
+//! The 5-tuple that identifies a flow, and its hash.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use std::net::IpAddr;
 use twox_hash::XxHash3_128;
 
-/// Transport protocols that are balanced.
+/// Load-balanced transport protocols.
 #[derive(
     Clone,
     Copy,
@@ -23,13 +23,13 @@
 #[rkyv(derive(Debug, PartialEq, Eq, Hash))]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Transport {
-    /// RFC 9293.
+    /// TCP (RFC 9293).
     Tcp,
-    /// RFC 768.
+    /// UDP (RFC 768).
     Udp,
 }
 
-/// Source and destination of a flow, as the caller sends them.
+/// Source and destination of a flow, in the direction from the caller to the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowKey {
     /// Transport protocol.
@@ -44,33 +44,33 @@
     pub destination_port: u16,
 }
 
-/// 128-bit keyed hash of a [`FlowKey`]; equal on all nodes of a cluster.
+/// 128-bit seeded hash of a [`FlowKey`], the same on all nodes of a cluster.
 ///
-/// Flow tables hold the hash in place of the key: at 13 million flows the chance
-/// that any two collide is below 2^-80.
+/// Flow tables store the hash instead of the key. With 13 million flows, the probability of any
+/// collision is below 2^-80.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 #[rkyv(derive(Debug, PartialEq, Eq, PartialOrd, Ord, Hash))]
 pub struct FlowHash(pub u128);
 
-/// Hashes flow keys with the cluster's seed.
+/// Hashes flow keys with the seed of the cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowHasher {
     seed: u64,
 }
 
-/// Two addresses of 16 bytes, two ports and a protocol number.
+/// Two addresses of 16 bytes, two ports of 2 bytes and a protocol number.
 const ENCODED_KEY_BYTES: usize = 37;
 
 impl FlowHasher {
-    /// A hasher with the cluster's `seed`.
+    /// Creates a hasher with the `seed` of the cluster.
     #[must_use]
     pub const fn new(seed: u64) -> Self {
         Self { seed }
     }
 
-    /// The hash of `key`.
+    /// Returns the hash of `key`.
     #[must_use]
     pub fn hash(&self, key: &FlowKey) -> FlowHash {
         let mut encoded = [0_u8; ENCODED_KEY_BYTES];
@@ -87,7 +87,7 @@
 }
 
 impl FlowHash {
-    /// Index of this flow's bucket among `buckets` (at least one).
+    /// Returns the index of the flow's bucket in a table of `buckets` buckets, at least one.
     #[must_use]
     pub fn bucket(self, buckets: usize) -> usize {
         let high = (self.0 >> 64) as u64;
--- a/crates/bellyoke-core/src/packet/mod.rs
+++ b/crates/bellyoke-core/src/packet/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one packet.
+//! Per-packet processing: parsing, flow keys and replies.
 
 mod checksum;
 mod flow_key;
--- a/crates/bellyoke-core/src/packet/parse.rs
+++ b/crates/bellyoke-core/src/packet/parse.rs
@@ -1,4 +1,4 @@
-//! Reads whole IP packets.
+//! Parsing of IP packets.
 
 use crate::packet::checksum::{verify_header, verify_icmpv4, verify_transport};
 use crate::packet::{FlowKey, PacketError, PacketKind, PacketSummary, ParseOptions};
@@ -9,14 +9,14 @@
 };
 use std::net::IpAddr;
 
-/// Length of the headers of ICMP and ICMPv6 errors, before the packet they quote, bytes.
+/// Length of the ICMP or ICMPv6 header that precedes the quoted packet in an error.
 const ICMP_HEADER_BYTES: usize = 8;
 
-/// Reads a whole IP packet: TCP, UDP, or an ICMP error that quotes either.
+/// Parses an IP packet: TCP, UDP, or an ICMP error that quotes either.
 ///
 /// # Errors
-/// Says why the packet belongs to no flow. [`PacketError::Oversized`] comes last: such a
-/// packet is whole and may be answered.
+/// Returns an error if the packet is invalid or belongs to no flow. [`PacketError::Oversized`] is
+/// checked last, so such a packet is otherwise valid and may be answered.
 pub fn parse(packet: &[u8], options: &ParseOptions) -> Result<PacketSummary, PacketError> {
     let ip = IpSlice::from_slice(packet).map_err(|_| PacketError::Header)?;
     check_declared_length(&ip, packet.len())?;
@@ -36,7 +36,8 @@
     Ok(summary)
 }
 
-/// An IPv6 payload length of zero would mean a jumbogram (RFC 2675): never carried here.
+/// Checks that the length in the IP header is that of the packet. An IPv6 payload length of zero
+/// would mean a jumbogram (RFC 2675), which is not supported.
 fn check_declared_length(ip: &IpSlice<'_>, length: usize) -> Result<(), PacketError> {
     let declared = match ip {
         IpSlice::Ipv4(packet) => usize::from(packet.header().total_len()),
@@ -97,8 +98,8 @@
             length: payload.len(),
         });
     }
-    // Over IPv4 a checksum of zero means that none was computed (RFC 768); over IPv6 it is
-    // not allowed (RFC 8200, 8.1).
+    // A checksum of zero means that none was computed over IPv4 (RFC 768). It is not allowed over
+    // IPv6 (RFC 8200, 8.1).
     let without_checksum = datagram.checksum() == 0;
     if options.verify_checksums {
         match (without_checksum, ip) {
@@ -169,7 +170,8 @@
     message.get(ICMP_HEADER_BYTES..).ok_or(PacketError::Header)
 }
 
-/// The flow as the caller sends it: the quoted packet went the other way.
+/// Returns the key of the flow of a quoted packet. Source and destination are swapped, as the
+/// quoted packet was sent to the caller.
 fn quoted_key(
     (service, caller): (IpAddr, IpAddr),
     protocol: IpNumber,
--- a/crates/bellyoke-core/src/packet/reply.rs
+++ b/crates/bellyoke-core/src/packet/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to the caller that a balancer makes itself, in the service's name.
+//! Packets that a balancer sends to the caller with the source address of the service.
 
 use crate::packet::{PacketKind, PacketSummary, ParseOptions, parse};
 use etherparse::icmpv4::DestUnreachableHeader;
@@ -9,20 +9,20 @@
 };
 use std::net::IpAddr;
 
-/// Hop limit of answers: the value that RFC 1700 recommends.
+/// Hop limit of answers, as recommended by RFC 1700.
 const HOP_LIMIT: u8 = 64;
-/// Longest ICMP error, bytes (RFC 1812, 4.3.2.3).
+/// Maximum length of an ICMP error (RFC 1812, 4.3.2.3).
 const MAXIMUM_ICMPV4_ERROR_BYTES: usize = 576;
-/// Longest ICMPv6 error, bytes: the least MTU of IPv6 (RFC 4443, 2.4).
+/// Maximum length of an ICMPv6 error: the minimum MTU of IPv6 (RFC 4443, 2.4).
 const MAXIMUM_ICMPV6_ERROR_BYTES: usize = 1280;
-/// Length of an ICMP header, bytes.
+/// Length of an ICMP or ICMPv6 header.
 const ICMP_HEADER_BYTES: usize = 8;
 
-/// The answer that ends the flow of `packet`: a TCP reset, or an ICMP or ICMPv6 "port
+/// Returns the answer that ends the flow of `packet`: a TCP reset, or an ICMP or ICMPv6 "port
 /// unreachable" for a UDP datagram.
 ///
-/// None if nothing may be answered: to a reset, to an ICMP error, to an address that is no
-/// single host's (RFC 1122, 3.2.2), or to what is no whole packet.
+/// Returns `None` if no answer may be sent: for a reset, an ICMP error, an address that is not of
+/// a single host (RFC 1122, 3.2.2), or an invalid packet.
 #[must_use]
 pub fn reset_for(packet: &[u8]) -> Option<Vec<u8>> {
     let summary = parse_answerable(packet)?;
@@ -50,7 +50,7 @@
     }
 }
 
-/// What an ICMP error says.
+/// Kind of an ICMP error.
 #[derive(Clone, Copy)]
 enum IcmpError {
     PortUnreachable,
@@ -75,8 +75,9 @@
     !(broadcast || address.is_multicast() || address.is_unspecified())
 }
 
-/// RFC 9293, 3.10.7.1: a segment with an acknowledgement is reset with the sequence number
-/// that it expects; one without is acknowledged, so that its sender accepts the reset.
+/// Returns a TCP reset (RFC 9293, 3.10.7.1). For a segment with ACK, the reset has the sequence
+/// number that the sender expects. Otherwise it acknowledges the segment, without which the sender
+/// would ignore the reset.
 fn tcp_reset(summary: &PacketSummary, packet: &[u8]) -> Option<Vec<u8>> {
     let ip = IpSlice::from_slice(packet).ok()?;
     let segment = TcpSlice::from_slice(ip.payload().payload).ok()?;
@@ -100,7 +101,8 @@
     Some(answer)
 }
 
-/// Sequence numbers that a segment takes, SYN and FIN included (RFC 9293, 3.4).
+/// Returns the number of sequence numbers that a segment occupies, including SYN and FIN (RFC
+/// 9293, 3.4).
 fn segment_length(segment: &TcpSlice<'_>) -> u32 {
     let data = segment.payload().len() as u32;
     data + u32::from(segment.syn()) + u32::from(segment.fin())
@@ -141,7 +143,7 @@
     packet.get(..maximum_length).unwrap_or(packet)
 }
 
-/// An IP header from the service to the caller; the builder fills in length and protocol.
+/// Returns an IP header from the service to the caller. The builder sets length and protocol.
 fn reply_header(summary: &PacketSummary) -> Option<PacketBuilderStep<IpHeaders>> {
     let protocol = ip_number::TCP;
     let headers = match (summary.key.destination, summary.key.source) {
--- a/crates/bellyoke-core/src/packet/summary.rs
+++ b/crates/bellyoke-core/src/packet/summary.rs
@@ -1,20 +1,20 @@
-//! What the rest of the balancer needs to know of a packet.
+//! Parsed properties of a packet.
 
 use crate::flow::DropReason;
 use crate::packet::FlowKey;
 use thiserror::Error;
 
-/// How strictly packets are read.
+/// Options for parsing packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseOptions {
     /// Whether IPv4 header and transport checksums are verified.
     pub verify_checksums: bool,
-    /// Longest packet that the tunnel carries, bytes.
+    /// Maximum length of a packet in the tunnel.
     pub maximum_packet_bytes: usize,
 }
 
 impl Default for ParseOptions {
-    /// Checksums verified, any length that an IP header can state.
+    /// Returns options that verify checksums and allow the maximum length of an IP packet.
     fn default() -> Self {
         Self {
             verify_checksums: true,
@@ -23,46 +23,46 @@
     }
 }
 
-/// Control bits of a TCP segment that matter to its flow (RFC 9293, 3.1).
+/// Control bits of a TCP segment that affect the state of its flow (RFC 9293, 3.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TcpFlags {
-    /// Synchronise sequence numbers.
+    /// Synchronizes sequence numbers.
     pub syn: bool,
     /// The acknowledgement number is significant.
     pub ack: bool,
-    /// No more data from the sender.
+    /// The sender has no more data.
     pub fin: bool,
-    /// Reset the connection.
+    /// Resets the connection.
     pub rst: bool,
 }
 
-/// What kind of packet belongs to the flow.
+/// Kind of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketKind {
     /// A TCP segment.
     Tcp(TcpFlags),
     /// A UDP datagram.
     Udp,
-    /// An ICMP or ICMPv6 error about a packet that a backend sent to the caller. It
-    /// follows the flow that it quotes.
+    /// An ICMP or ICMPv6 error about a packet that a backend sent to the caller. It is
+    /// forwarded with the flow of the quoted packet.
     IcmpError,
 }
 
-/// A packet that belongs to a flow.
+/// Parsed properties of a packet that belongs to a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketSummary {
-    /// The flow, as the caller sends it.
+    /// Key of the flow, in the direction from the caller to the service.
     pub key: FlowKey,
-    /// What kind of packet it is.
+    /// Kind of the packet.
     pub kind: PacketKind,
-    /// Length of the whole IP packet, bytes.
+    /// Length of the IP packet in bytes.
     pub length: usize,
 }
 
 impl PacketSummary {
-    /// Whether the packet may open a flow: a TCP SYN without ACK, or any UDP datagram.
+    /// Returns whether the packet may open a flow: a TCP SYN without ACK, or any UDP datagram.
     ///
-    /// A listener ignores a segment with RST before it looks at SYN (RFC 9293, 3.10.7.2).
+    /// A listener ignores a segment with RST before it checks SYN (RFC 9293, 3.10.7.2).
     #[must_use]
     pub const fn may_open(&self) -> bool {
         match self.kind {
@@ -73,16 +73,16 @@
     }
 }
 
-/// Why a packet belongs to no flow.
+/// An error in parsing a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PacketError {
-    /// A header is cut off or cannot be.
-    #[error("a header is cut off or invalid")]
+    /// A header is truncated or invalid.
+    #[error("a header is truncated or invalid")]
     Header,
-    /// A stated length differs from the packet's.
-    #[error("a stated length differs from the packet's length of {length} bytes")]
+    /// A length field differs from the length of the packet.
+    #[error("a length field differs from the packet length of {length} bytes")]
     Length {
-        /// Length of the packet, bytes.
+        /// Length of the packet in bytes.
         length: usize,
     },
     /// The IPv4 header checksum is wrong.
@@ -91,21 +91,21 @@
     /// The TCP, UDP, ICMP or ICMPv6 checksum is wrong.
     #[error("the transport checksum is wrong")]
     TransportChecksum,
-    /// An IP fragment, or an ICMP error that quotes one without ports.
-    #[error("a fragment, whose flow cannot be told")]
+    /// The packet is an IP fragment, or an ICMP error that quotes one without ports.
+    #[error("the packet is a fragment, whose flow cannot be determined")]
     Fragment,
-    /// Neither TCP nor UDP nor an ICMP error that quotes either.
-    #[error("protocol {0} is not balanced")]
+    /// The packet is neither TCP nor UDP nor an ICMP error that quotes either.
+    #[error("protocol {0} is not load-balanced")]
     Protocol(u8),
-    /// An ICMP error whose quoted packet was not sent from the address it is sent to.
-    #[error("an ICMP error quotes a packet that its receiver did not send")]
+    /// An ICMP error is addressed to a host other than the source of the quoted packet.
+    #[error("an ICMP error quotes a packet that its recipient did not send")]
     ForeignQuote,
-    /// Longer than the tunnel carries.
-    #[error("{length} bytes, but the tunnel carries {limit}")]
+    /// The packet exceeds the maximum packet length of the tunnel.
+    #[error("packet of {length} bytes exceeds the tunnel limit of {limit}")]
     Oversized {
-        /// Length of the packet, bytes.
+        /// Length of the packet in bytes.
         length: usize,
-        /// Longest that is carried, bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
 }
--- a/crates/bellyoke-core/tests/packet.rs
+++ b/crates/bellyoke-core/tests/packet.rs
@@ -1,4 +1,4 @@
-//! Reading packets.
+//! Parsing of packets.
 
 mod flow_support;
 
@@ -18,15 +18,15 @@
     parse_error(packet).into()
 }
 
-/// Sets an IPv4 header's checksum right again after a change.
-fn fix_header(packet: &mut [u8]) {
+/// Recomputes the checksum of a changed IPv4 header.
+fn fix_header_checksum(packet: &mut [u8]) {
     packet[10..12].fill(0);
     let sum = etherparse::checksum::Sum16BitWords::new().add_slice(&packet[..20]);
     packet[10..12].copy_from_slice(&sum.ones_complement().to_ne_bytes());
 }
 
 #[test]
-fn whole_packets_are_read() {
+fn valid_packets_are_parsed() {
     let packet = tcp_v4(7000, SYN, b"");
     let summary = read(&packet);
     assert_eq!(summary.key, key(Transport::Tcp, 7000, TCP_PORT));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn only_a_syn_without_ack_or_rst_or_a_datagram_may_open() {
+fn only_a_syn_without_ack_or_rst_or_a_datagram_may_open_a_flow() {
     let with = |syn, ack, rst| {
         let fin = false;
         tcp(1, TcpFlags { syn, ack, fin, rst }).may_open()
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_packet_cut_off_anywhere_is_rejected() {
+fn a_truncated_or_extended_packet_is_rejected() {
     let packets = [
         tcp_v4(1, SYN, b"data"),
         tcp_v6(1, SYN, b"data"),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_udp_length_that_differs_is_rejected() {
+fn a_wrong_udp_length_is_rejected() {
     let mut packet = udp_v4(1, b"data");
     packet[25] -= 1;
     assert_eq!(drop_reason(&packet), DropReason::Malformed);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn checksums_are_verified_unless_switched_off() {
+fn checksums_are_verified_unless_disabled() {
     let unchecked = ParseOptions {
         verify_checksums: false,
         ..ParseOptions::default()
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn udp_may_leave_out_its_checksum_over_ipv4_only() {
+fn udp_may_omit_its_checksum_over_ipv4_only() {
     let mut packet = udp_v4(1, b"data");
     packet[26..28].fill(0);
     assert!(parse(&packet, &ParseOptions::default()).is_ok());
@@ -120,7 +120,7 @@
     for (byte, value) in [(6, 0x20), (7, 0x01)] {
         let mut packet = tcp_v4(1, ACK, b"data");
         packet[byte] = value;
-        fix_header(&mut packet);
+        fix_header_checksum(&mut packet);
         assert_eq!(parse_error(&packet), PacketError::Fragment);
     }
     let mut packet = udp_v6(1, b"data");
@@ -136,7 +136,7 @@
 fn other_protocols_are_rejected() {
     let mut packet = tcp_v4(1, ACK, b"");
     packet[9] = 47;
-    fix_header(&mut packet);
+    fix_header_checksum(&mut packet);
     assert_eq!(parse_error(&packet), PacketError::Protocol(47));
     let echo = Icmpv4Type::EchoRequest(etherparse::IcmpEchoHeader { id: 1, seq: 1 });
     let packet = write_icmpv4(SERVICE.octets(), echo, &answer_v4(1));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_whole_packet_may_be_too_long() {
+fn a_valid_packet_over_the_length_limit_is_rejected() {
     let packet = tcp_v4(1, ACK, &[0; 100]);
     let limited = |maximum_packet_bytes| ParseOptions {
         maximum_packet_bytes,
@@ -156,10 +156,10 @@
 }
 
 #[test]
-fn an_icmp_error_follows_the_flow_it_quotes() {
+fn an_icmp_error_belongs_to_the_flow_that_it_quotes() {
     let needed = icmpv4::DestUnreachableHeader::FragmentationNeeded { next_hop_mtu: 1300 };
     let message = Icmpv4Type::DestinationUnreachable(needed);
-    // A router need not quote more than eight bytes after the IP header (RFC 792).
+    // RFC 792 requires routers to quote only eight bytes after the IP header.
     let packet = write_icmpv4(SERVICE.octets(), message, &answer_v4(7000)[..28]);
     let summary = read(&packet);
     assert_eq!(summary.key, key(Transport::Tcp, 7000, TCP_PORT));
@@ -194,7 +194,7 @@
     assert_eq!(parse_error(&packet), PacketError::Fragment);
 }
 
-/// Packets that a mutation starts from.
+/// Returns valid packets to mutate.
 fn valid_packets() -> Vec<Vec<u8>> {
     let port = icmpv4::DestUnreachableHeader::Port;
     let unreachable = Icmpv4Type::DestinationUnreachable(port);
@@ -209,7 +209,7 @@
     ]
 }
 
-/// Reads a packet in every way; answers that are made must be whole.
+/// Parses a packet with and without checksum verification. Answers to it must be valid IP packets.
 fn parse_and_answer(packet: &[u8]) -> Result<(), TestCaseError> {
     for verify_checksums in [true, false] {
         let options = ParseOptions {
@@ -231,12 +231,12 @@
     #![proptest_config(seeded(512))]
 
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         parse_and_answer(&bytes)?;
     }
 
     #[test]
-    fn no_bytes_after_a_version_panic(
+    fn arbitrary_bytes_with_a_valid_ip_version_do_not_panic(
         version in prop_oneof![0x40_u8..0x50, Just(0x60)],
         mut bytes in proptest::collection::vec(any::<u8>(), 1..200),
     ) {
@@ -245,7 +245,7 @@
     }
 
     #[test]
-    fn no_changed_packet_panics(
+    fn mutated_packets_do_not_panic(
         which in 0..6_usize,
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..8),
         length in any::<prop::sample::Index>(),
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_changed_byte_never_yields_another_flow() {
+fn a_corrupt_byte_never_results_in_another_flow() {
     for valid in valid_packets().into_iter().take(4) {
         let before = read(&valid).key;
         for index in 0..valid.len() {
--- a/crates/bellyoke-core/tests/packet_reply.rs
+++ b/crates/bellyoke-core/tests/packet_reply.rs
@@ -1,4 +1,4 @@
-//! Answers that a balancer makes itself.
+//! Resets and ICMP errors that a balancer sends to callers.
 
 mod flow_support;
 
@@ -9,7 +9,7 @@
 };
 use flow_support::*;
 
-/// A whole answer from the service to the caller.
+/// Parses an answer from the service to the caller. Returns its protocol and payload.
 fn parse_answer(answer: &[u8], to: &PacketSummary) -> (IpNumber, Vec<u8>) {
     let ip = IpSlice::from_slice(answer).unwrap();
     assert_eq!(ip.source_addr(), to.key.destination);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_segment_with_ack_is_reset_at_the_sequence_number_it_expects() {
+fn a_segment_with_ack_is_reset_at_its_acknowledgment_number() {
     for packet in [tcp_v4(7000, FIN, b"data"), tcp_v6(7000, ACK, b"")] {
         let answer = reset_for(&packet).unwrap();
         assert!(parse(&answer, &ParseOptions::default()).is_ok());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_datagram_is_answered_by_port_unreachable() {
+fn a_datagram_is_answered_with_port_unreachable() {
     let packet = udp_v4(7002, &[1; 900]);
     let answer = reset_for(&packet).unwrap();
     assert_eq!(answer.len(), 576);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_packet_too_long_is_answered_by_the_mtu() {
+fn an_oversized_packet_is_answered_with_the_mtu() {
     let packet = tcp_v4(7000, ACK, &[0; 1400]);
     let (_, message) = parse_answer(&too_big_for(&packet, 1300).unwrap(), &read(&packet));
     let needed = icmpv4::DestUnreachableHeader::FragmentationNeeded { next_hop_mtu: 1300 };
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn resets_errors_and_groups_are_not_answered() {
+fn resets_icmp_errors_and_non_host_addresses_are_not_answered() {
     let rst = TcpFlags { rst: true, ..ACK };
     assert_eq!(reset_for(&tcp_v4(1, rst, b"")), None);
     let port = icmpv4::DestUnreachableHeader::Port;
