--- a/crates/bellyoke-core/src/packet/reply.rs
+++ b/crates/bellyoke-core/src/packet/reply.rs
@@ -34,11 +34,11 @@
     }
 }
 
-/// The answer to a packet that is longer than the tunnel carries: ICMP "fragmentation
-/// needed" (RFC 1191) or ICMPv6 "packet too big" (RFC 8201) that names `mtu`, the maximum_length
-/// packet that it does carry, bytes.
+/// Returns the answer to a packet that exceeds the maximum packet length of the tunnel: ICMP
+/// "fragmentation needed" (RFC 1191) or ICMPv6 "packet too big" (RFC 8201) with `mtu`, the maximum
+/// length in bytes.
 ///
-/// None where [`reset_for`] has none; a reset, though, is answered.
+/// Returns `None` in the same cases as [`reset_for`], except that a reset is answered.
 #[must_use]
 pub fn too_big_for(packet: &[u8], mtu: u16) -> Option<Vec<u8>> {
     let summary = parse_answerable(packet)?;
