--- a/crates/bellyoke-core/src/flow/mod.rs
+++ b/crates/bellyoke-core/src/flow/mod.rs
@@ -1,10 +1,10 @@
-//! What lives for one flow.
+//! Per-flow state: the flow table and the forwarding decision for each packet.
 
 mod counters;
 mod decider;
 mod decision;
 mod record;
-mod services;
+mod service_index;
 mod settings;
 mod settlement;
 mod sweep;
--- a/crates/bellyoke-core/src/generation/compile/mod.rs
+++ b/crates/bellyoke-core/src/generation/compile/mod.rs
@@ -1,6 +1,6 @@
-//! How a generation follows from the one before, the operators' objects and the membership.
+//! Compilation of a generation from the previous one, the operators' objects and the membership.
 //!
-//! A pure function: every publisher that starts from the same input gets the same content.
+//! Compilation is deterministic: every publisher gets the same content from the same input.
 
 mod backends;
 mod buckets;
@@ -26,14 +26,14 @@
     pub services: Vec<ServiceObject>,
     /// All backends.
     pub backends: Vec<BackendObject>,
-    /// How far in the store's history they were read.
+    /// Store revision at which they were read.
     pub revision: StoreRevision,
-    /// Names of objects that are there but can't be understood: they aren't taken for
-    /// deleted. Such a service keeps its settings, such a backend drains.
+    /// Names of objects that exist but cannot be parsed. They are not treated as deleted: a
+    /// service keeps its previous settings and a backend is drained.
     pub unreadable: UnreadableObjects,
 }
 
-/// Names of objects that can't be understood.
+/// Names of objects that cannot be parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnreadableObjects {
     /// Names of services.
@@ -42,31 +42,33 @@
     pub backends: BTreeSet<String>,
 }
 
-/// The generation that follows, and what operators should know about it.
+/// Result of a compilation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Compilation {
     /// The generation.
     pub generation: Generation,
-    /// Whether it differs from the one before in more than number and revision. If not, it
-    /// isn't published.
+    /// Whether it differs from the previous generation in more than number and revision.
+    /// Otherwise it is not published.
     pub changed: bool,
-    /// What of the objects isn't in force, and why.
+    /// Parts of the objects that are not in effect, for the operators.
     pub problems: Vec<Problem>,
 }
 
-/// Why no generation can follow.
+/// An error in compiling a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CompileError {
-    /// The objects are older than those of the previous generation.
-    #[error("the objects were read at {read:?}, before {previous:?} of the newest generation")]
+    /// The objects are older than those that the previous generation was compiled from.
+    #[error("the objects were read at {read:?}, before {previous:?} of the previous generation")]
     StaleRevision {
-        /// Where the previous generation's objects were read.
+        /// Store revision of the previous generation.
         previous: StoreRevision,
-        /// Where these were read.
+        /// Store revision of the objects.
         read: StoreRevision,
     },
-    /// What is fixed when a cluster is founded differs.
-    #[error("the cluster was founded with {previous:?}, this node is set to {configured:?}")]
+    /// The cluster parameters differ from those of the previous generation.
+    #[error(
+        "the cluster was created with {previous:?}, but this node is configured with {configured:?}"
+    )]
     ParametersDiffer {
         /// Parameters of the previous generation.
         previous: ClusterParameters,
@@ -77,28 +79,27 @@
 
 /// Compiles the generation that follows `previous`.
 ///
-/// `cleaned` names buckets that were found settled under `previous` itself; reports under an
-/// older generation must not be passed, as their buckets may have moved since. When it
-/// names all buckets of a service that is placed by load, then no draining backend of that
-/// service holds a flow.
+/// `settled` lists buckets that were reported as settled with `previous` itself. Reports for an
+/// older generation must not be passed, as the buckets may have moved since. If it contains all
+/// buckets of a least-loaded service, no draining backend of that service has a flow.
 ///
 /// # Errors
-/// When the input contradicts `previous`.
+/// Returns an error if the input is inconsistent with `previous`.
 pub fn compile(
     previous: Option<&Generation>,
     desired: &DesiredState,
     members: &[MemberObject],
-    cleaned: &[SettledBucket],
+    settled: &[SettledBucket],
     parameters: ClusterParameters,
 ) -> Result<Compilation, CompileError> {
     if let Some(previous) = previous {
         check_history(previous, desired, parameters)?;
     }
-    let context = Context {
+    let context = CompileContext {
         previous,
         unreadable: &desired.unreadable,
         number: GenerationNumber(previous.map_or(0, |generation| generation.number.0) + 1),
-        cleaned: cleaned.iter().copied().collect(),
+        settled: settled.iter().copied().collect(),
     };
     let mut problems = Vec::new();
     let (admitted, next_service) = services::admit(&context, desired, &mut problems);
@@ -110,7 +111,7 @@
         number: context.number,
         revision: desired.revision,
         parameters,
-        backends: without_forgotten(backends, &services),
+        backends: without_unreferenced(backends, &services),
         services,
         members: member_list(members),
         next_service,
@@ -123,12 +124,12 @@
     })
 }
 
-/// What all steps need.
-struct Context<'a> {
+/// Input shared by all compilation steps.
+struct CompileContext<'a> {
     previous: Option<&'a Generation>,
     unreadable: &'a UnreadableObjects,
     number: GenerationNumber,
-    cleaned: HashSet<SettledBucket>,
+    settled: HashSet<SettledBucket>,
 }
 
 fn check_history(
@@ -153,7 +154,7 @@
 }
 
 fn compile_services(
-    context: &Context<'_>,
+    context: &CompileContext<'_>,
     admitted: Vec<AdmittedService<'_>>,
     backends: &BTreeMap<BackendId, Backend>,
     memberships: &matching::Memberships<'_>,
@@ -171,7 +172,7 @@
             number: context.number,
         };
         service.buckets = next_buckets(&change, |bucket| {
-            context.cleaned.contains(&SettledBucket {
+            context.settled.contains(&SettledBucket {
                 service: service.id,
                 bucket,
             })
@@ -182,9 +183,12 @@
     services
 }
 
-/// Drops dead backends that no bucket has as its base any more: an unknown backend is
-/// treated like a dead one.
-fn without_forgotten(backends: BTreeMap<BackendId, Backend>, services: &[Service]) -> Vec<Backend> {
+/// Removes dead backends that are no longer the base of a bucket. An unknown backend is treated
+/// like a dead one.
+fn without_unreferenced(
+    backends: BTreeMap<BackendId, Backend>,
+    services: &[Service],
+) -> Vec<Backend> {
     let buckets = services.iter().flat_map(|service| &service.buckets);
     let bases: BTreeSet<BackendId> = buckets.filter_map(|bucket| bucket.base).collect();
     let kept = |backend: &Backend| backends::is_alive(backend) || bases.contains(&backend.id);
--- a/crates/bellyoke-core/src/generation/compile/services.rs
+++ b/crates/bellyoke-core/src/generation/compile/services.rs
@@ -1,6 +1,6 @@
-//! Which services are served, under which number and on which address.
+//! Admission of services: their numbers and addresses.
 
-use super::{Context, DesiredState, Problem, service_by_id};
+use super::{CompileContext, DesiredState, Problem, service_by_id};
 use crate::generation::encoding::without_table;
 use crate::generation::forwarding::ServiceEndpoint;
 use crate::generation::objects::{ObjectUid, ServiceObject};
@@ -10,30 +10,31 @@
 
 /// A service of the next generation, without its backends and table.
 pub(super) struct AdmittedService<'a> {
-    /// Its settings.
+    /// Settings of the service.
     pub service: Service,
-    /// The operators' object; none if that is invalid and the former settings stay.
+    /// The operators' object, or `None` if it is invalid and the previous settings are kept.
     pub object: Option<&'a ServiceObject>,
     /// The service in the previous generation.
     pub previous: Option<&'a Service>,
-    /// Size of its table.
+    /// Number of buckets in its table.
     pub table_size: usize,
 }
 
-/// A service that asks for an address.
+/// A service to be admitted.
 enum Candidate<'a> {
     /// A valid object, and the service in the previous generation.
-    Wanted(&'a ServiceObject, Option<&'a Service>),
-    /// A service whose object is invalid: it stays as it was.
-    Kept(&'a Service),
+    Valid(&'a ServiceObject, Option<&'a Service>),
+    /// A service with an invalid or unreadable object, which keeps its previous settings.
+    Unchanged(&'a Service),
 }
 
 /// Admits services and numbers new ones.
 ///
-/// An address goes to the service that has it, then to the older by number, then to the
-/// first by name. A served service that can't have its new address keeps the former one.
+/// An address is assigned to the service that already has it, then to the service with the lowest
+/// number, then to the first by name. An existing service whose new address is taken keeps the
+/// previous one.
 pub(super) fn admit<'a>(
-    context: &Context<'a>,
+    context: &CompileContext<'a>,
     desired: &'a DesiredState,
     problems: &mut Vec<Problem>,
 ) -> (Vec<AdmittedService<'a>>, ServiceId) {
@@ -71,7 +72,7 @@
 }
 
 fn candidates<'a>(
-    context: &Context<'a>,
+    context: &CompileContext<'a>,
     desired: &'a DesiredState,
     problems: &mut Vec<Problem>,
 ) -> Vec<Candidate<'a>> {
@@ -83,13 +84,13 @@
         let id = numbers.get(uid).copied();
         let previous = id.and_then(|id| service_by_id(context.previous, id));
         match object.validate() {
-            Ok(()) => candidates.push(Candidate::Wanted(object, previous)),
+            Ok(()) => candidates.push(Candidate::Valid(object, previous)),
             Err(error) => {
                 problems.push(Problem::InvalidService {
                     service: object.name.clone(),
                     error,
                 });
-                candidates.extend(previous.map(Candidate::Kept));
+                candidates.extend(previous.map(Candidate::Unchanged));
             }
         }
     }
@@ -100,12 +101,12 @@
         let is_unreadable = context.unreadable.services.contains(&service.name);
         is_unreadable && !by_uid.contains_key(&service.uid)
     });
-    candidates.extend(unreadable.map(Candidate::Kept));
+    candidates.extend(unreadable.map(Candidate::Unchanged));
     candidates.sort_by(|left, right| left.order().cmp(&right.order()));
     candidates
 }
 
-fn numbers_by_uid<'a>(context: &Context<'a>) -> HashMap<&'a ObjectUid, ServiceId> {
+fn numbers_by_uid<'a>(context: &CompileContext<'a>) -> HashMap<&'a ObjectUid, ServiceId> {
     let services = context
         .previous
         .map_or(&[][..], |generation| &generation.services);
@@ -116,7 +117,8 @@
 }
 
 impl<'a> Candidate<'a> {
-    /// Those that keep their address first, then the served by number, then by name.
+    /// Sort key: services that keep their address first, then existing services by number, then
+    /// new services by name.
     fn order(&self) -> (bool, bool, Option<ServiceId>, &'a str, &'a ObjectUid) {
         let former = self.previous().map(Service::endpoint);
         let number = self.previous().map(|service| service.id);
@@ -126,33 +128,33 @@
 
     fn previous(&self) -> Option<&'a Service> {
         match self {
-            Self::Wanted(_, previous) => *previous,
-            Self::Kept(service) => Some(service),
+            Self::Valid(_, previous) => *previous,
+            Self::Unchanged(service) => Some(service),
         }
     }
 
     fn name(&self) -> &'a str {
         match self {
-            Self::Wanted(object, _) => &object.name,
-            Self::Kept(service) => &service.name,
+            Self::Valid(object, _) => &object.name,
+            Self::Unchanged(service) => &service.name,
         }
     }
 
     fn uid(&self) -> &'a ObjectUid {
         match self {
-            Self::Wanted(object, _) => &object.uid,
-            Self::Kept(service) => &service.uid,
+            Self::Valid(object, _) => &object.uid,
+            Self::Unchanged(service) => &service.uid,
         }
     }
 
     fn endpoint(&self) -> ServiceEndpoint {
         match self {
-            Self::Wanted(object, _) => ServiceEndpoint {
+            Self::Valid(object, _) => ServiceEndpoint {
                 transport: object.transport,
                 address: object.address,
                 port: object.port,
             },
-            Self::Kept(service) => service.endpoint(),
+            Self::Unchanged(service) => service.endpoint(),
         }
     }
 
@@ -163,13 +165,13 @@
         problems: &mut Vec<Problem>,
     ) -> AdmittedService<'a> {
         match self {
-            Self::Kept(service) => AdmittedService {
+            Self::Unchanged(service) => AdmittedService {
                 service: without_table(service),
                 object: None,
                 previous: Some(service),
                 table_size: service.buckets.len(),
             },
-            Self::Wanted(object, previous) => AdmittedService {
+            Self::Valid(object, previous) => AdmittedService {
                 service: new_settings(object, id, endpoint),
                 object: Some(object),
                 previous,
--- a/crates/bellyoke-core/src/generation/encoding.rs
+++ b/crates/bellyoke-core/src/generation/encoding.rs
@@ -1,6 +1,6 @@
-//! The canonical encoding of a generation and its digest.
+//! Canonical encoding and digest of a generation.
 
-use crate::generation::codec::{DecodeError, archive, pack, unpack};
+use crate::generation::codec::{DecodeError, compress_archive, decode_archive, to_archive};
 use crate::generation::types::{Bucket, Generation, Service};
 use crate::identity::{BackendId, GenerationNumber};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -23,29 +23,29 @@
 }
 
 impl Generation {
-    /// The generation as compact bytes.
+    /// Encodes the generation.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        pack(&archive(&EncodedGeneration::new(self)))
+        compress_archive(&to_archive(&EncodedGeneration::new(self)))
     }
 
-    /// The generation that `bytes` hold.
+    /// Decodes a generation.
     ///
     /// # Errors
-    /// When the bytes aren't those of a generation in a known format.
+    /// Returns an error if `bytes` is not a generation in the supported format.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        unpack::<EncodedGeneration>(bytes)?.into_generation()
+        decode_archive::<EncodedGeneration>(bytes)?.into_generation()
     }
 
-    /// Hash of the content: two generations with one digest are equal.
+    /// Returns the hash of the content. Generations with equal digests are equal.
     #[must_use]
     pub fn digest(&self) -> GenerationDigest {
-        let archive = archive(&EncodedGeneration::new(self));
+        let archive = to_archive(&EncodedGeneration::new(self));
         GenerationDigest(*blake3::hash(&archive).as_bytes())
     }
 }
 
-/// Buckets `first` to `last`.
+/// Consecutive buckets from `first` to `last`, inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(super) struct BucketRun {
     /// The first bucket.
@@ -55,7 +55,7 @@
 }
 
 impl BucketRun {
-    /// Adds bucket `index`, which is above all of `runs`.
+    /// Adds bucket `index`, which must be higher than all buckets in `runs`.
     pub fn append(runs: &mut Vec<Self>, index: usize) {
         let index = u16::try_from(index).unwrap_or(u16::MAX);
         match runs.last_mut() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The entries of `buckets` in the run.
+    /// Returns the entries of `buckets` in the run.
     pub fn entries<'a>(&self, buckets: &'a mut [Bucket]) -> Result<&'a mut [Bucket], DecodeError> {
         let range = usize::from(self.first)..=usize::from(self.last);
         if range.is_empty() {
@@ -77,19 +77,19 @@
     }
 }
 
-/// A generation with its tables apart.
+/// A generation with separately encoded tables.
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedGeneration {
-    /// All but the tables, which are empty here.
-    head: Generation,
-    /// A table for each service.
+    /// The generation with empty tables.
+    metadata: Generation,
+    /// The table of each service, in the order of the services.
     tables: Vec<EncodedTable>,
 }
 
 impl EncodedGeneration {
     fn new(generation: &Generation) -> Self {
         let services = generation.services.iter();
-        let head = Generation {
+        let metadata = Generation {
             services: services.map(without_table).collect(),
             backends: generation.backends.clone(),
             members: generation.members.clone(),
@@ -97,7 +97,7 @@
         };
         let services = generation.services.iter();
         Self {
-            head,
+            metadata,
             tables: services
                 .map(|service| EncodedTable::new(&service.buckets))
                 .collect(),
@@ -105,10 +105,10 @@
     }
 
     fn into_generation(self) -> Result<Generation, DecodeError> {
-        if self.tables.len() != self.head.services.len() {
+        if self.tables.len() != self.metadata.services.len() {
             return Err(DecodeError::Table);
         }
-        let mut generation = self.head;
+        let mut generation = self.metadata;
         for (service, table) in generation.services.iter_mut().zip(&self.tables) {
             service.buckets = table.buckets()?;
         }
@@ -116,7 +116,7 @@
     }
 }
 
-/// All of a service but its table.
+/// Returns a copy of the service with an empty table.
 pub(super) fn without_table(service: &Service) -> Service {
     Service {
         uid: service.uid.clone(),
@@ -127,15 +127,16 @@
     }
 }
 
-/// A lookup table: targets as positions in a list of its backends, contests as runs.
+/// A lookup table: targets as positions in the list of its backends, and runs of contested
+/// buckets.
 #[derive(Archive, Serialize, Deserialize)]
 struct EncodedTable {
     backends: Vec<BackendId>,
     targets: Targets,
-    contests: Vec<Contest>,
+    contested: Vec<ContestedRuns>,
 }
 
-/// Position of each bucket's target, from 1; 0 for none.
+/// Position of the target of each bucket, starting at 1; 0 if there is no target.
 #[derive(Archive, Serialize, Deserialize)]
 enum Targets {
     Narrow(Vec<u8>),
@@ -144,7 +145,7 @@
 
 /// Buckets that became contested together and have the same base.
 #[derive(Archive, Serialize, Deserialize)]
-struct Contest {
+struct ContestedRuns {
     base: Option<BackendId>,
     since: GenerationNumber,
     runs: Vec<BucketRun>,
@@ -169,7 +170,7 @@
         Self {
             backends: backends.into_iter().collect(),
             targets,
-            contests: contests(buckets),
+            contested: contested(buckets),
         }
     }
 
@@ -185,11 +186,11 @@
                 .map(|entry| clean(*entry as usize))
                 .collect::<Result<Vec<_>, _>>(),
         }?;
-        for contest in &self.contests {
-            for run in &contest.runs {
+        for entry in &self.contested {
+            for run in &entry.runs {
                 for bucket in run.entries(&mut buckets)? {
-                    bucket.base = contest.base;
-                    bucket.contested_since = contest.since;
+                    bucket.base = entry.base;
+                    bucket.contested_since = entry.since;
                 }
             }
         }
@@ -208,15 +209,15 @@
     }
 }
 
-fn contests(buckets: &[Bucket]) -> Vec<Contest> {
+fn contested(buckets: &[Bucket]) -> Vec<ContestedRuns> {
     let mut runs = BTreeMap::<(GenerationNumber, Option<BackendId>), Vec<BucketRun>>::new();
     for (index, bucket) in buckets.iter().enumerate() {
         if bucket.is_contested() {
-            let contest = (bucket.contested_since, bucket.base);
-            BucketRun::append(runs.entry(contest).or_default(), index);
+            let entry = (bucket.contested_since, bucket.base);
+            BucketRun::append(runs.entry(entry).or_default(), index);
         }
     }
     runs.into_iter()
-        .map(|((since, base), runs)| Contest { base, since, runs })
+        .map(|((since, base), runs)| ContestedRuns { base, since, runs })
         .collect()
 }
--- a/crates/bellyoke-core/src/generation/maglev.rs
+++ b/crates/bellyoke-core/src/generation/maglev.rs
@@ -1,8 +1,8 @@
-//! Maglev hashing, the baseline that [`super::rebalance`] is compared with.
+//! Maglev hashing, a baseline for comparison with [`super::rebalance`].
 //!
 //! D. Eisenbud et al., "Maglev: A Fast and Reliable Software Network Load Balancer", NSDI
-//! 2016, section 3.4. The paper takes a prime table size so that every skip visits all
-//! entries; here a skip is raised until it has no common divisor with the size, which also
+//! 2016, section 3.4. The paper requires a prime table size, for which every skip visits all
+//! entries. This implementation increments a skip until it is coprime to the size, which also
 //! allows powers of two.
 
 use crate::identity::BackendId;
@@ -11,7 +11,7 @@
 const OFFSET_SEED: u64 = 1;
 const SKIP_SEED: u64 = 2;
 
-/// The order in which a backend asks for table entries.
+/// Preference list of a backend: the order in which it claims table entries.
 struct Preference {
     backend: BackendId,
     position: usize,
@@ -20,10 +20,10 @@
 
 impl Preference {
     fn new(backend: BackendId, size: usize) -> Self {
-        let size_hash = size as u64;
-        let position = backend_hash(backend, OFFSET_SEED) % size_hash;
-        let mut skip = backend_hash(backend, SKIP_SEED) % size_hash.max(2).saturating_sub(1) + 1;
-        while greatest_common_divisor(skip, size_hash) != 1 {
+        let table_size = size as u64;
+        let position = backend_hash(backend, OFFSET_SEED) % table_size;
+        let mut skip = backend_hash(backend, SKIP_SEED) % table_size.max(2).saturating_sub(1) + 1;
+        while greatest_common_divisor(skip, table_size) != 1 {
             skip += 1;
         }
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes the first entry of the preference list that is still free.
+    /// Claims the first free entry of the preference list.
     fn claim(&mut self, table: &mut [Option<BackendId>]) {
         while table[self.position].is_some() {
             self.position = (self.position + self.skip) % table.len();
@@ -42,7 +42,7 @@
     }
 }
 
-/// A Maglev table of `size` entries for backends of equal weight.
+/// Computes a Maglev table of `size` entries for backends of equal weight.
 #[must_use]
 pub fn maglev_table(backends: &[BackendId], size: usize) -> Vec<Option<BackendId>> {
     let mut table = vec![None; size];
@@ -53,8 +53,8 @@
         .iter()
         .map(|backend| Preference::new(*backend, size))
         .collect();
-    for turn in 0..size {
-        preferences[turn % backends.len()].claim(&mut table);
+    for step in 0..size {
+        preferences[step % backends.len()].claim(&mut table);
     }
     table
 }
--- a/crates/bellyoke-core/src/packet/parse.rs
+++ b/crates/bellyoke-core/src/packet/parse.rs
@@ -1,4 +1,4 @@
-//! Reads whole IP packets.
+//! Parsing of IP packets.
 
 use crate::packet::checksum::{verify_header, verify_icmpv4, verify_transport};
 use crate::packet::{FlowKey, PacketError, PacketKind, PacketSummary, ParseOptions};
@@ -9,17 +9,17 @@
 };
 use std::net::IpAddr;
 
-/// Length of the headers of ICMP and ICMPv6 errors, before the packet they quote, bytes.
-const ICMP_HEADER_LENGTH: usize = 8;
+/// Length of the ICMP or ICMPv6 header that precedes the quoted packet in an error.
+const ICMP_HEADER_BYTES: usize = 8;
 
-/// Reads a whole IP packet: TCP, UDP, or an ICMP error that quotes either.
+/// Parses an IP packet: TCP, UDP, or an ICMP error that quotes either.
 ///
 /// # Errors
-/// Says why the packet belongs to no flow. [`PacketError::Oversized`] comes last: such a
-/// packet is whole and may be answered.
+/// Returns an error if the packet is invalid or belongs to no flow. [`PacketError::Oversized`] is
+/// checked last, so such a packet is otherwise valid and may be answered.
 pub fn parse(packet: &[u8], options: &ParseOptions) -> Result<PacketSummary, PacketError> {
     let ip = IpSlice::from_slice(packet).map_err(|_| PacketError::Header)?;
-    check_stated_length(&ip, packet.len())?;
+    check_declared_length(&ip, packet.len())?;
     if options.verify_checksums {
         verify_header(&ip)?;
     }
@@ -27,22 +27,23 @@
         return Err(PacketError::Fragment);
     }
     let summary = parse_transport(&ip, packet.len(), options)?;
-    if packet.len() > options.longest_packet {
+    if packet.len() > options.maximum_packet_bytes {
         return Err(PacketError::Oversized {
             length: packet.len(),
-            limit: options.longest_packet,
+            limit: options.maximum_packet_bytes,
         });
     }
     Ok(summary)
 }
 
-/// An IPv6 payload length of zero would mean a jumbogram (RFC 2675): never carried here.
-fn check_stated_length(ip: &IpSlice<'_>, length: usize) -> Result<(), PacketError> {
-    let stated = match ip {
+/// Checks that the length in the IP header is that of the packet. An IPv6 payload length of zero
+/// would mean a jumbogram (RFC 2675), which is not supported.
+fn check_declared_length(ip: &IpSlice<'_>, length: usize) -> Result<(), PacketError> {
+    let declared = match ip {
         IpSlice::Ipv4(packet) => usize::from(packet.header().total_len()),
         IpSlice::Ipv6(packet) => Ipv6Header::LEN + usize::from(packet.header().payload_length()),
     };
-    if stated == length {
+    if declared == length {
         Ok(())
     } else {
         Err(PacketError::Length { length })
@@ -80,7 +81,10 @@
         fin: segment.fin(),
         rst: segment.rst(),
     };
-    Ok((sent_key(ip, Transport::Tcp, ports), PacketKind::Tcp(flags)))
+    Ok((
+        key_from_headers(ip, Transport::Tcp, ports),
+        PacketKind::Tcp(flags),
+    ))
 }
 
 fn parse_udp(
@@ -94,8 +98,8 @@
             length: payload.len(),
         });
     }
-    // Over IPv4 a checksum of zero means that none was computed (RFC 768); over IPv6 it is
-    // not allowed (RFC 8200, 8.1).
+    // A checksum of zero means that none was computed over IPv4 (RFC 768). It is not allowed over
+    // IPv6 (RFC 8200, 8.1).
     let without_checksum = datagram.checksum() == 0;
     if options.verify_checksums {
         match (without_checksum, ip) {
@@ -105,7 +109,7 @@
         }
     }
     let ports = (datagram.source_port(), datagram.destination_port());
-    Ok((sent_key(ip, Transport::Udp, ports), PacketKind::Udp))
+    Ok((key_from_headers(ip, Transport::Udp, ports), PacketKind::Udp))
 }
 
 fn parse_icmpv4(
@@ -132,7 +136,7 @@
     );
     let segment = &quote[header.slice().len()..];
     let key = quoted_key(addresses, header.protocol(), segment)?;
-    check_receiver(ip, &key)?;
+    check_quoted_source(ip, &key)?;
     Ok((key, PacketKind::IcmpError))
 }
 
@@ -158,15 +162,16 @@
         IpAddr::V6(header.destination_addr()),
     );
     let key = quoted_key(addresses, header.next_header(), &quote[Ipv6Header::LEN..])?;
-    check_receiver(ip, &key)?;
+    check_quoted_source(ip, &key)?;
     Ok((key, PacketKind::IcmpError))
 }
 
 fn quoted_packet(message: &[u8]) -> Result<&[u8], PacketError> {
-    message.get(ICMP_HEADER_LENGTH..).ok_or(PacketError::Header)
+    message.get(ICMP_HEADER_BYTES..).ok_or(PacketError::Header)
 }
 
-/// The flow as the caller sends it: the quoted packet went the other way.
+/// Returns the key of the flow of a quoted packet. Source and destination are swapped, as the
+/// quoted packet was sent to the caller.
 fn quoted_key(
     (service, caller): (IpAddr, IpAddr),
     protocol: IpNumber,
@@ -187,7 +192,7 @@
     })
 }
 
-fn check_receiver(ip: &IpSlice<'_>, key: &FlowKey) -> Result<(), PacketError> {
+fn check_quoted_source(ip: &IpSlice<'_>, key: &FlowKey) -> Result<(), PacketError> {
     if ip.destination_addr() == key.destination {
         Ok(())
     } else {
@@ -195,7 +200,7 @@
     }
 }
 
-fn sent_key(ip: &IpSlice<'_>, transport: Transport, ports: (u16, u16)) -> FlowKey {
+fn key_from_headers(ip: &IpSlice<'_>, transport: Transport, ports: (u16, u16)) -> FlowKey {
     FlowKey {
         transport,
         source: ip.source_addr(),
