--- a/crates/bellyoke-node/src/packet/counters.rs
+++ b/crates/bellyoke-node/src/packet/counters.rs
@@ -166,7 +166,7 @@
 struct AdmissionLabels {
     service: String,
     priority: u32,
-    may_retry: u32,
+    may_repeat: u32,
 }
 
 impl AdmissionLabels {
@@ -174,7 +174,7 @@
         Self {
             service: service.to_owned(),
             priority: u32::from(class.priority),
-            may_retry: u32::from(class.may_retry),
+            may_repeat: u32::from(class.may_retry),
         }
     }
 }
