--- a/crates/bellyoke-core/src/cookie/follower.rs
+++ b/crates/bellyoke-core/src/cookie/follower.rs
@@ -42,7 +42,7 @@
 /// Maximum delay before the second page of the first list, as a multiple of the time that the first
 /// page took; the actual delay is a random part of it. The delay is long when many nodes list at
 /// once: a few of them then read the full list and the others get it from these. 986 nodes that all
-/// read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for 20 s (calculated); one
+/// read 10,000 records of 250 bytes occupy a store with 1,000 Mbit/s for 20 s; one
 /// page for each node takes 1 s.
 const LIST_SPREAD_FACTOR: f64 = 10.0;
 
